--- a/elmstream/src/admission.rs
+++ b/elmstream/src/admission.rs
@@ -60,13 +60,13 @@
 
 /// A request that asks for a slot.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SlotRequest {
     /// The service.
     pub service: ServiceId,
     /// Whether the request comes from another home region.
     pub shifted: bool,
     /// How long it may wait for a slot, in microseconds.
-    pub patience: u64,
+    pub max_wait: u64,
     /// Time left for the request, in microseconds.
     pub deadline: u64,
 }
@@ -93,9 +93,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunResult {
     /// The backend server answered.
-    Good,
+    Succeeded,
     /// It shed the request, failed or could not be reached.
-    Bad,
+    Failed,
     /// The caller or the deadline ended it.
     Cancelled,
 }
@@ -119,7 +119,7 @@
 impl Admissions {
     /// Takes over what this host owns now. A server that is new here has all
     /// its slots reserved until [`Admissions::reserve`] tells otherwise.
-    pub fn own(&mut self, now: Time, catalog: &Catalog, owned: &BTreeSet<Name>) {
+    pub fn set_owned(&mut self, now: Time, catalog: &Catalog, owned: &BTreeSet<Name>) {
         let was_owned = self.owned();
         for server in self.servers.values_mut() {
             server.owned = false;
@@ -153,7 +153,7 @@
 
     /// Carries everything over to the services' new indexes. What belonged to a
     /// service that is gone waits until its callers give up.
-    pub fn renumber(&mut self, new_id: impl Fn(ServiceId) -> Option<ServiceId>) {
+    pub fn remap_services(&mut self, new_id: impl Fn(ServiceId) -> Option<ServiceId>) {
         let queues = std::mem::take(&mut self.queues);
         let moved = queues.into_iter().filter_map(|(id, queue)| Some((new_id(id)?, queue)));
         self.queues = moved.collect();
@@ -169,7 +169,7 @@
     }
 
     /// Sets how many slots the former owner of a server may still use.
-    pub fn reserve(&mut self, name: &str, count: u32) {
+    pub fn set_reserved(&mut self, name: &str, count: u32) {
         if let Some(server) = self.servers.get_mut(name) {
             server.reserved = count.min(server.slots);
         }
@@ -184,7 +184,7 @@
     }
 
     /// Marks backend servers that the host list calls leaving.
-    pub fn drain(&mut self, leaving: &[Name]) {
+    pub fn mark_draining(&mut self, leaving: &[Name]) {
         for name in leaving {
             if let Some(server) = self.servers.get_mut(name) {
                 server.draining = true;
@@ -193,7 +193,7 @@
     }
 
     /// Asks for a slot.
-    pub fn ask(&mut self, now: Time, service: &Service, ask: &Ask) -> Admission {
+    pub fn request_slot(&mut self, now: Time, service: &Service, ask: &SlotRequest) -> Admission {
         let (in_use, slots) = self.usage(now, ask.service);
         if slots == 0 {
             return Admission::Refuse(Code::NoOwner, SECOND);
@@ -208,12 +208,12 @@
     }
 
     /// The slot of a waiting request that was woken.
-    pub fn granted(&mut self, number: u64) -> Option<Slot> {
+    pub fn take_granted(&mut self, number: u64) -> Option<Slot> {
         self.granted.remove(&number)
     }
 
     /// A waiting request gives up. Its slot, if it was woken meanwhile, goes on.
-    pub fn give_up(&mut self, number: u64) -> Option<Slot> {
+    pub fn cancel_wait(&mut self, number: u64) -> Option<Slot> {
         for queue in self.queues.values_mut() {
             queue.waiting.retain(|&n| n != number);
         }
@@ -235,20 +235,20 @@
         server.in_flight = server.in_flight.saturating_sub(1);
         let service = server.service;
         match result {
-            RunResult::Good => {
+            RunResult::Succeeded => {
                 server.failures = 0;
                 let queue = self.queues.entry(service).or_default();
                 queue.sample(took);
             }
-            RunResult::Bad => self.failed(now, &slot.backend),
+            RunResult::Failed => self.failed(now, &slot.backend),
             RunResult::Cancelled => {}
         }
         self.servers.retain(|_, s| s.owned || s.in_flight > 0);
-        self.wake(now, catalog, service)
+        self.wake_waiting(now, catalog, service)
     }
 
     /// Hands free slots to waiting requests, first come first served.
-    pub fn wake(&mut self, now: Time, catalog: &Catalog, id: ServiceId) -> Vec<u64> {
+    pub fn wake_waiting(&mut self, now: Time, catalog: &Catalog, id: ServiceId) -> Vec<u64> {
         let Some(service) = catalog.services.get(id.index()) else {
             return Vec::new();
         };
@@ -283,7 +283,7 @@
     }
 
     /// Mean run time of a service's requests, in microseconds.
-    pub fn mean(&self, service: ServiceId) -> u64 {
+    pub fn mean_run_time(&self, service: ServiceId) -> u64 {
         self.queues.get(&service).map_or(MEAN_FIRST, Queue::mean)
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// Whether some backend server has more in flight than it has slots.
-    pub fn is_exceeded(&self) -> bool {
+    pub fn is_over_slots(&self) -> bool {
         self.servers.values().any(|s| s.owned && s.in_flight > s.slots)
     }
 
@@ -315,13 +315,13 @@
     }
 
     /// Queues the request if it may expect a slot within its patience.
-    fn enqueue(&mut self, service: &Service, ask: &Ask, slots: u32) -> Admission {
+    fn enqueue(&mut self, service: &Service, ask: &SlotRequest, slots: u32) -> Admission {
         let queue = self.queues.entry(ask.service).or_default();
         let queued = queue.waiting.len() as u64;
         let mean = queue.mean();
         let expected = (queued + 1) * mean / u64::from(slots.max(1));
         let is_full = queued >= u64::from(service.queue_per_slot * slots);
-        let is_late = expected > ask.patience.min(ask.deadline / QUEUE_DIVISOR);
+        let is_late = expected > ask.max_wait.min(ask.deadline / QUEUE_DIVISOR);
         if ask.shifted || is_full || is_late {
             return Admission::Refuse(Code::NoCapacity, expected.max(mean));
         }
--- a/elmstream/src/allotment.rs
+++ b/elmstream/src/allotment.rs
@@ -10,10 +10,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    cap::WHOLE,
     catalog::{Backend, Catalog},
-    group::{Candidate, Groups},
     id::{HostRef, Name, RegionId},
+    token_bucket::PARTS_PER_WHOLE,
+    witness_groups::{Candidate, Groups},
 };
 
 /// Moves per epoch that only serve balance, at least.
@@ -78,7 +78,7 @@
     }
 
     /// The part of the caps that the grant carries now.
-    pub fn part(&self, grant: &Grant) -> u64 {
+    pub fn effective_part(&self, grant: &Grant) -> u64 {
         match self.settled {
             true => u64::from(grant.part),
             false => u64::from(grant.part.min(grant.part_from)),
@@ -112,7 +112,7 @@
     }
 
     /// Backend servers whose owner changes with this epoch.
-    pub fn moves(&self) -> usize {
+    pub fn move_count(&self) -> usize {
         self.grants.values().filter(|g| g.owner != g.from).count()
     }
 
@@ -125,10 +125,15 @@
 /// Works out the next row, or `None` if the present one will do.
 ///
 /// `hosts` are the live hosts of the region, in the order of their names.
-pub fn plan(catalog: &Catalog, region: RegionId, row: &Row, hosts: &[Candidate]) -> Option<Row> {
+pub fn plan_next_row(
+    catalog: &Catalog,
+    region: RegionId,
+    row: &Row,
+    hosts: &[Candidate],
+) -> Option<Row> {
     let mut planner = Planner::new(catalog, region, hosts);
     let grants = planner.grants(row);
-    let groups = row.groups.plan(hosts);
+    let groups = row.groups.plan_next(hosts);
     let unchanged = groups == row.groups
         && grants.len() == row.grants.len()
         && grants.iter().all(|(name, grant)| is_same(row.grants.get(name), grant));
@@ -154,7 +159,7 @@
 }
 
 /// Weight of a host for a key, for rendezvous hashing.
-pub fn rendezvous(host: &str, key: &str) -> u64 {
+pub fn rendezvous_weight(host: &str, key: &str) -> u64 {
     let mut bytes = Vec::with_capacity(host.len() + key.len() + 1);
     bytes.extend_from_slice(host.as_bytes());
     bytes.push(0);
@@ -225,7 +230,7 @@
     fn place(&mut self, backend: &Backend) -> Option<HostRef> {
         let rank = |&i: &usize| {
             let host = &self.hosts[i].host;
-            (self.load(i), u64::MAX - rendezvous(&host.host, &backend.name))
+            (self.load(i), u64::MAX - rendezvous_weight(&host.host, &backend.name))
         };
         let index = self.eligible(backend).into_iter().min_by_key(rank)?;
         self.add(index, backend.slots);
@@ -273,7 +278,7 @@
         }
         let part = |b: &&Backend| {
             let total = totals[&b.service].max(1);
-            (b.name.clone(), (WHOLE * u64::from(b.slots) / total) as u32)
+            (b.name.clone(), (PARTS_PER_WHOLE * u64::from(b.slots) / total) as u32)
         };
         backends.iter().map(part).collect()
     }
--- a/elmstream/src/beat.rs
+++ b/elmstream/src/heartbeat.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     id::{HostRef, Name, ServiceId},
-    member::{DIRECT_MAX, HEARTBEAT_INTERVAL, Member, TOLD},
-    message::{Command, Digest, Heartbeat, HeartbeatReply, ServiceLoad, Sighting},
+    member::{FULL_MESH_PEERS_MAX, HEARTBEAT_INTERVAL, Member, REPORTED_LIVENESS_TIMEOUT},
+    message::{Command, Heartbeat, HeartbeatReply, LivenessDigest, ServiceLoad, Sighting},
     node::Node,
     time::{MILLI, SECOND, Time},
 };
@@ -42,38 +42,38 @@
 
 /// The region's hosts that are out, and when that was so.
 #[derive(Clone, Debug)]
-pub(crate) struct Out {
-    at: Time,
-    hosts: Vec<Name>,
+pub(crate) struct ReceivedDigest {
+    as_of: Time,
+    unavailable: Vec<Name>,
 }
 
 impl Node {
     /// Takes a heartbeat and answers it, as a witness too.
-    pub fn heartbeat(&mut self, now: Time, beat: &Heartbeat) -> HeartbeatReply {
+    pub fn on_heartbeat(&mut self, now: Time, beat: &Heartbeat) -> HeartbeatReply {
         let is_news = self.members.get(&beat.from.host).is_some_and(|m| m.epoch < beat.epoch);
-        self.members.heard(now, beat);
+        self.members.record_heartbeat(now, beat);
         self.note_revision(now, beat.revision);
         for sighting in &beat.sightings {
-            self.members.told(now, sighting);
+            self.members.record_sighting(now, sighting);
         }
         let same_region = self.region_name().is_some_and(|name| name == beat.region);
         let ours = (self.row.epoch, self.row.settled);
         let knows_newer = ours > (beat.epoch, beat.settled);
         if same_region && ours < (beat.epoch, beat.settled) {
             // The sender's answer to our next heartbeat brings its row.
-            self.ask_row.get_or_insert(beat.from.host.clone());
-            self.beat_soon();
+            self.newer_row_host.get_or_insert(beat.from.host.clone());
+            self.request_early_heartbeat();
         }
         if same_region && is_news && !self.row.settled && !self.is_small_fleet() {
             // The steward waits to hear who has taken the epoch.
-            self.beat_soon();
+            self.request_early_heartbeat();
         }
         let promises = same_region && self.witness.promises(&beat.region, beat.epoch);
         HeartbeatReply {
             from: self.settings.me.clone(),
             sequence: beat.sequence,
-            promised: promises.then_some(beat.epoch),
-            renewed: self.steward.renewed(&beat.from).filter(|_| same_region),
+            promised_epoch: promises.then_some(beat.epoch),
+            table_renewal: self.steward.table_renewal(&beat.from).filter(|_| same_region),
             revision: self.catalog.revision,
             row: (same_region && knows_newer).then(|| self.row.clone()),
             digest: same_region.then(|| self.digest(now)).flatten(),
@@ -81,18 +81,18 @@
     }
 
     /// Takes the answer to a heartbeat of this host.
-    pub fn heartbeat_reply(&mut self, now: Time, reply: &HeartbeatReply) -> Vec<Command> {
+    pub fn on_heartbeat_reply(&mut self, now: Time, reply: &HeartbeatReply) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.members.answered(now, &reply.from);
+        self.members.record_reply(now, &reply.from);
         self.note_revision(now, reply.revision);
-        let group = self.row.groups.of(&self.settings.me.host);
-        if let (Some(epoch), Some(group)) = (reply.promised, group)
+        let group = self.row.groups.group_of(&self.settings.me.host);
+        if let (Some(epoch), Some(group)) = (reply.promised_epoch, group)
             && epoch == self.row.epoch
         {
-            self.lease.promised(group, &reply.from, epoch, reply.sequence);
+            self.lease.on_promise(group, &reply.from, epoch, reply.sequence);
         }
-        if let Some(renewal) = reply.renewed {
-            self.lease.renewed_by_table(renewal);
+        if let Some(renewal) = reply.table_renewal {
+            self.lease.on_table_renewal(renewal);
         }
         if let Some(digest) = &reply.digest {
             self.take_digest(now, digest);
@@ -104,8 +104,8 @@
     }
 
     /// Has the next tick send heartbeats, because the others should know soon.
-    pub fn beat_soon(&mut self) {
-        self.beat_wanted = true;
+    pub fn request_early_heartbeat(&mut self) {
+        self.early_heartbeat = true;
     }
 
     /// Whether this host acts as its region's steward now: it is the first
@@ -133,19 +133,19 @@
     /// shows that we were not behind it.
     fn note_revision(&mut self, now: Time, revision: u64) {
         if revision > 0 && revision == self.catalog.revision {
-            self.fresh_at = Some(now);
+            self.revision_confirmed_at = Some(now);
         }
     }
 
-    pub(crate) fn is_beat_due(&self, now: Time) -> bool {
-        let interval = if self.beat_wanted { BEAT_SOON } else { HEARTBEAT_INTERVAL };
-        self.beat_at.is_none_or(|at| now.since(at) >= interval)
+    pub(crate) fn is_heartbeat_due(&self, now: Time) -> bool {
+        let interval = if self.early_heartbeat { BEAT_SOON } else { HEARTBEAT_INTERVAL };
+        self.last_heartbeat_at.is_none_or(|at| now.since(at) >= interval)
     }
 
     /// A host hears itself: it is a member like the others.
-    pub(crate) fn hear_self(&mut self, now: Time) {
+    pub(crate) fn record_own_heartbeat(&mut self, now: Time) {
         if let Some(beat) = self.make_heartbeat(now) {
-            self.members.heard(now, &beat);
+            self.members.record_heartbeat(now, &beat);
         }
     }
 
@@ -155,11 +155,11 @@
         };
         self.sequence += 1;
         let beat = Heartbeat { sequence: self.sequence, ..beat };
-        self.lease.ask(now, self.row.epoch, self.sequence);
+        self.lease.begin_round(now, self.row.epoch, self.sequence);
         self.promise_to_self(&beat);
         let reports_to = self.reports_to(now);
         let mut targets = self.heartbeat_targets(now);
-        self.ask_row = None;
+        self.newer_row_host = None;
         if !reports_to.is_empty() {
             let report = Heartbeat { sightings: self.sightings(now), ..beat.clone() };
             targets.retain(|name| !reports_to.contains(name));
@@ -173,10 +173,10 @@
     /// A witness that is the owner itself promises at once.
     fn promise_to_self(&mut self, beat: &Heartbeat) {
         let me = &self.settings.me;
-        if let Some(group) = self.row.groups.of(&me.host)
+        if let Some(group) = self.row.groups.group_of(&me.host)
             && self.witness.promises(&beat.region, beat.epoch)
         {
-            self.lease.promised(group, me, beat.epoch, beat.sequence);
+            self.lease.on_promise(group, me, beat.epoch, beat.sequence);
         }
     }
 
@@ -204,13 +204,13 @@
 
     /// Whether each host sends heartbeats to each other one.
     pub fn is_small_fleet(&self) -> bool {
-        self.members.len() <= DIRECT_MAX + 1
+        self.members.len() <= FULL_MESH_PEERS_MAX + 1
     }
 
     /// Whether this host reads the region's row at times, though it is not the
     /// steward: in a large fleet only the steward's group does, and a host that
     /// nobody has told of a row.
-    pub(crate) fn follows_row(&self, now: Time) -> bool {
+    pub(crate) fn reads_row_when_idle(&self, now: Time) -> bool {
         self.is_small_fleet() || self.row.groups.is_empty() || self.is_of_steward_group(now)
     }
 
@@ -218,7 +218,7 @@
     fn heartbeat_targets(&self, now: Time) -> Vec<Name> {
         let me = &self.settings.me.host;
         let groups = [&self.row.groups, &self.row.groups_from];
-        let witnesses = groups.into_iter().filter_map(|groups| groups.of(me));
+        let witnesses = groups.into_iter().filter_map(|groups| groups.group_of(me));
         let mut targets: Vec<Name> =
             witnesses.flat_map(|g| &g.witnesses).map(|w| w.host.clone()).collect();
         match self.is_small_fleet() {
@@ -228,7 +228,7 @@
                 targets.extend(self.heirs(now));
             }
         }
-        targets.extend(self.ask_row.clone());
+        targets.extend(self.newer_row_host.clone());
         targets.retain(|name| name != me && self.members.get(name).is_some());
         targets.sort();
         targets.dedup();
@@ -253,7 +253,8 @@
     fn reports_to(&self, now: Time) -> Vec<Name> {
         let groups = &self.row.groups;
         let me = &self.settings.me.host;
-        let Some(own) = groups.witnessed_by(me).and_then(|index| groups.iter().nth(index)) else {
+        let Some(own) = groups.witnessed_group_index(me).and_then(|index| groups.iter().nth(index))
+        else {
             return Vec::new();
         };
         let is_due = !self.row.settled || self.sequence.is_multiple_of(REPORT_ROUNDS);
@@ -263,7 +264,7 @@
             return Vec::new();
         }
         let to = groups.steward_group(|name| self.is_live(now, name));
-        let to = to.filter(|group| !group.names(me));
+        let to = to.filter(|group| !group.has_witness(me));
         let names = to.into_iter().flat_map(|group| &group.witnesses).map(|w| w.host.clone());
         names.filter(|name| self.members.get(name).is_some()).collect()
     }
@@ -271,13 +272,14 @@
     /// The hosts of the group that this host is a witness of.
     fn sightings(&self, now: Time) -> Vec<Sighting> {
         let groups = &self.row.groups;
-        let own = groups.witnessed_by(&self.settings.me.host);
-        let is_served =
-            |m: &&Member| own.is_some() && groups.index_of(&m.name) == own && self.is_of_region(m);
+        let own = groups.witnessed_group_index(&self.settings.me.host);
+        let is_served = |m: &&Member| {
+            own.is_some() && groups.group_index_of(&m.name) == own && self.is_of_region(m)
+        };
         let heard = self.members.iter().filter(|m| m.is_heard(now)).filter(is_served);
         let sighting = |m: &Member| Sighting {
             host: HostRef { host: m.name.clone(), incarnation: m.incarnation },
-            ago_ms: millis(now, m.heard.unwrap_or_default()),
+            age_ms: millis(now, m.last_heard.unwrap_or_default()),
             epoch: m.epoch,
             sequence: m.sequence,
             revision: m.revision,
@@ -288,40 +290,49 @@
 
     /// The region's hosts that are out: of the steward's group by own
     /// knowledge, of others as they were told.
-    fn digest(&self, now: Time) -> Option<Digest> {
+    fn digest(&self, now: Time) -> Option<LivenessDigest> {
         if self.is_small_fleet() {
             return None;
         }
         if self.is_of_steward_group(now) {
-            let is_out = |m: &&Member| !m.is_witnessed(now) || !m.is_staying();
+            let is_out = |m: &&Member| !m.is_heard_or_reported(now) || !m.takes_new_work();
             let out = self.members.iter().filter(|m| self.is_of_region(m)).filter(is_out);
-            return Some(Digest { ago_ms: 0, out: out.map(|m| m.name.clone()).collect() });
+            return Some(LivenessDigest {
+                age_ms: 0,
+                unavailable: out.map(|m| m.name.clone()).collect(),
+            });
         }
-        let known = self.out.as_ref().filter(|out| now.since(out.at) < TOLD)?;
-        Some(Digest { ago_ms: millis(now, known.at), out: known.hosts.clone() })
+        let known = self
+            .liveness_digest
+            .as_ref()
+            .filter(|out| now.since(out.as_of) < REPORTED_LIVENESS_TIMEOUT)?;
+        Some(LivenessDigest {
+            age_ms: millis(now, known.as_of),
+            unavailable: known.unavailable.clone(),
+        })
     }
 
     /// Whether this host is a witness of the steward's group.
     fn is_of_steward_group(&self, now: Time) -> bool {
         let group = self.row.groups.steward_group(|name| self.is_live(now, name));
-        group.is_some_and(|group| group.names(&self.settings.me.host))
+        group.is_some_and(|group| group.has_witness(&self.settings.me.host))
     }
 
     /// Takes a digest, if it is newer than the last one.
-    fn take_digest(&mut self, now: Time, digest: &Digest) {
-        let at = now - u64::from(digest.ago_ms) * MILLI;
-        if self.out.as_ref().is_some_and(|out| out.at >= at) {
+    fn take_digest(&mut self, now: Time, digest: &LivenessDigest) {
+        let at = now - u64::from(digest.age_ms) * MILLI;
+        if self.liveness_digest.as_ref().is_some_and(|out| out.as_of >= at) {
             return;
         }
-        let out = Out { at, hosts: digest.out.clone() };
+        let out = ReceivedDigest { as_of: at, unavailable: digest.unavailable.clone() };
         let region = self.region();
         for member in self.members.iter_mut() {
             if self.catalog.region_of_domain(&member.domain) == region {
-                member.out = out.hosts.contains(&member.name);
-                member.vouched = (!member.out).then_some(at);
+                member.reported_out = out.unavailable.contains(&member.name);
+                member.confirmed_live_at = (!member.reported_out).then_some(at);
             }
         }
-        self.out = Some(out);
+        self.liveness_digest = Some(out);
     }
 
     /// Chooses partners anew, when hosts come or go.
@@ -344,7 +355,7 @@
     }
 
     pub(crate) fn may_own(&self, name: &str) -> bool {
-        let stays = self.members.get(name).is_some_and(Member::is_staying);
+        let stays = self.members.get(name).is_some_and(Member::takes_new_work);
         stays && !self.catalog.draining_hosts.iter().any(|drained| **drained == *name)
     }
 }
--- a/elmstream/src/lease.rs
+++ b/elmstream/src/lease.rs
@@ -9,14 +9,14 @@
 use std::collections::{HashMap, HashSet};
 
 use crate::{
-    group::Group,
     id::{HostRef, Name},
     message::TableRenewal,
     time::{MILLI, Time},
+    witness_groups::Group,
 };
 
 /// Length of a lease in microseconds.
-pub const LENGTH: u64 = 3_000 * MILLI;
+pub const LEASE_LENGTH: u64 = 3_000 * MILLI;
 
 /// The holder's side: the lease on everything that a region's row gives it.
 #[derive(Debug, Default)]
@@ -42,7 +42,7 @@
 
 impl Lease {
     /// Starts a round; `now` must be read before the request is sent.
-    pub fn ask(&mut self, now: Time, epoch: u64, sequence: u64) {
+    pub fn begin_round(&mut self, now: Time, epoch: u64, sequence: u64) {
         if self.epoch != epoch {
             self.rounds.clear();
             self.epoch = epoch;
@@ -55,7 +55,7 @@
     }
 
     /// A witness of the holder's group promised at `epoch` for round `sequence`.
-    pub fn promised(&mut self, group: &Group, by: &HostRef, epoch: u64, sequence: u64) {
+    pub fn on_promise(&mut self, group: &Group, by: &HostRef, epoch: u64, sequence: u64) {
         if epoch != self.epoch || !group.witnesses.contains(by) {
             return;
         }
@@ -64,18 +64,18 @@
         };
         round.promised.insert(by.clone());
         if group.has_majority(|w| round.promised.contains(w)) {
-            self.until = self.until.max(round.asked + LENGTH);
+            self.until = self.until.max(round.asked + LEASE_LENGTH);
         }
     }
 
     /// The table took a renewal of what was asked in round `sequence`.
-    pub fn renewed_by_table(&mut self, renewal: TableRenewal) {
+    pub fn on_table_renewal(&mut self, renewal: TableRenewal) {
         if renewal.epoch != self.epoch {
             return;
         }
         let round = self.rounds.iter().find(|r| r.sequence == renewal.sequence);
         if let Some(round) = round {
-            self.until = self.until.max(round.asked + LENGTH);
+            self.until = self.until.max(round.asked + LEASE_LENGTH);
         }
     }
 
--- a/elmstream/src/message.rs
+++ b/elmstream/src/message.rs
@@ -64,7 +64,7 @@
     /// The host and the incarnation that was heard.
     pub host: HostRef,
     /// Milliseconds since it was heard.
-    pub ago_ms: u32,
+    pub age_ms: u32,
     /// The epoch that it has taken.
     pub epoch: u64,
     /// The round of its heartbeat.
@@ -78,11 +78,11 @@
 /// What the steward's group knows of the hosts of its region: all that the
 /// platform lists are live, but these.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Digest {
+pub struct LivenessDigest {
     /// Milliseconds since this was so.
-    pub ago_ms: u32,
+    pub age_ms: u32,
     /// Hosts that are silent or leave.
-    pub out: Vec<Name>,
+    pub unavailable: Vec<Name>,
 }
 
 /// A renewal that took effect in the table.
@@ -102,15 +102,15 @@
     /// Which round is answered.
     pub sequence: u64,
     /// The epoch at which a witness promises the renewal.
-    pub promised: Option<u64>,
+    pub promised_epoch: Option<u64>,
     /// The last round of the asker that the table renewed.
-    pub renewed: Option<TableRenewal>,
+    pub table_renewal: Option<TableRenewal>,
     /// The revision in force at the sender of the answer.
     pub revision: u64,
     /// The region's row, where the asker's is older.
     pub row: Option<Row>,
     /// The region's hosts, in a fleet where no host hears each other one.
-    pub digest: Option<Digest>,
+    pub digest: Option<LivenessDigest>,
 }
 
 /// A steward's demand that a witness promises no more at `epoch`.
--- a/elmstream/src/node.rs
+++ b/elmstream/src/node.rs
@@ -10,24 +10,24 @@
 use crate::{
     admission::Admissions,
     allotment::Row,
-    beat::Out,
-    cap::Bucket,
     catalog::Catalog,
+    heartbeat::ReceivedDigest,
     id::{HostRef, Name, RegionId, ServiceId, SiteId},
-    inherit::Inherited,
+    inherited_servers::InheritedServer,
     lease::{Lease, Witness},
-    lookup::{self, Choice},
+    lookup::{self, RankedHost},
     member::{ListedHost, Members},
     message::{Command, Event, Fence, FenceReply},
-    once::TicketTable,
-    retry::RetryBudget,
-    steward::{Steward, Stored, WriteOutcome},
+    retry_budget::RetryBudget,
+    steward::{Steward, StoredRow, WriteOutcome},
+    tickets::TicketTable,
     time::{SECOND, Time},
+    token_bucket::TokenBucket,
 };
 
 /// Time without any sign of the newest revision after which a host may be
 /// behind, in microseconds.
-pub const FRESH: u64 = 10 * SECOND;
+pub const CATALOG_FRESH_TIMEOUT: u64 = 10 * SECOND;
 
 /// What a node is started with.
 #[derive(Clone, Debug)]
@@ -49,36 +49,36 @@
     pub(crate) admissions: Admissions,
     pub(crate) lease: Lease,
     pub(crate) row: Row,
-    pub(crate) shift_buckets: HashMap<(Name, Name), Bucket>,
+    pub(crate) shift_buckets: HashMap<(Name, Name), TokenBucket>,
     /// Requests over the links from other regions.
-    pub(crate) link_buckets: HashMap<Name, Bucket>,
+    pub(crate) link_request_buckets: HashMap<Name, TokenBucket>,
     /// Bytes over the links from other regions.
-    pub(crate) byte_buckets: HashMap<Name, Bucket>,
-    pub(crate) retries: HashMap<ServiceId, RetryBudget>,
+    pub(crate) link_byte_buckets: HashMap<Name, TokenBucket>,
+    pub(crate) retry_budgets: HashMap<ServiceId, RetryBudget>,
     pub(crate) tickets: TicketTable,
     pub(crate) rng: StdRng,
     pub(crate) leaving_backends: Vec<Name>,
     pub(crate) stopping: bool,
     /// Answers to look-ups by site and service, until a host's state changes.
-    pub(crate) lookups: HashMap<(Option<SiteId>, ServiceId), Arc<[Choice]>>,
-    lookups_of: u64,
-    pub(crate) fresh_at: Option<Time>,
+    pub(crate) lookup_cache: HashMap<(Option<SiteId>, ServiceId), Arc<[RankedHost]>>,
+    lookup_cache_digest: u64,
+    pub(crate) revision_confirmed_at: Option<Time>,
     /// When the row's epoch was learned to be settled; since then nobody else
     /// uses what this host owns at it.
     pub(crate) settled_at: Time,
     pub(crate) witness: Witness,
     pub(crate) steward: Steward,
     pub(crate) sequence: u64,
-    pub(crate) beat_at: Option<Time>,
-    pub(crate) beat_wanted: bool,
+    pub(crate) last_heartbeat_at: Option<Time>,
+    pub(crate) early_heartbeat: bool,
     /// A host that has shown a newer row and is to be asked for it.
-    pub(crate) ask_row: Option<Name>,
+    pub(crate) newer_row_host: Option<Name>,
     /// Hosts that this one and they send heartbeats to, in a large fleet.
     pub(crate) partners: Vec<Name>,
     /// What the steward's group told of the region's hosts.
-    pub(crate) out: Option<Out>,
-    was_held: bool,
-    pub(crate) inherited: BTreeMap<Name, Inherited>,
+    pub(crate) liveness_digest: Option<ReceivedDigest>,
+    lease_was_held: bool,
+    pub(crate) inherited: BTreeMap<Name, InheritedServer>,
     /// The row's owners by service, each once, in a large fleet.
     pub(crate) row_owners: HashMap<ServiceId, Vec<HostRef>>,
 }
@@ -96,26 +96,26 @@
             lease: Lease::default(),
             row: Row::default(),
             shift_buckets: HashMap::new(),
-            link_buckets: HashMap::new(),
-            byte_buckets: HashMap::new(),
-            retries: HashMap::new(),
+            link_request_buckets: HashMap::new(),
+            link_byte_buckets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             tickets: TicketTable::default(),
             rng,
             leaving_backends: Vec::new(),
             stopping: false,
-            lookups: HashMap::new(),
-            lookups_of: 0,
-            fresh_at: None,
+            lookup_cache: HashMap::new(),
+            lookup_cache_digest: 0,
+            revision_confirmed_at: None,
             settled_at: Time::default(),
             witness: Witness::default(),
             steward,
             sequence: 0,
-            beat_at: None,
-            beat_wanted: false,
-            ask_row: None,
+            last_heartbeat_at: None,
+            early_heartbeat: false,
+            newer_row_host: None,
             partners: Vec::new(),
-            out: None,
-            was_held: false,
+            liveness_digest: None,
+            lease_was_held: false,
             inherited: BTreeMap::new(),
             row_owners: HashMap::new(),
         }
@@ -163,52 +163,57 @@
         }
         let old = std::mem::replace(&mut self.catalog, catalog);
         self.renumber(&old);
-        self.lookups.clear();
-        self.fresh_at = Some(now);
+        self.lookup_cache.clear();
+        self.revision_confirmed_at = Some(now);
         self.choose_partners();
-        self.reown(now);
+        self.refresh_ownership(now);
         true
     }
 
     /// Forgets answers to look-ups if a host's part in them has changed.
     fn forget_lookups(&mut self, now: Time) {
-        let state = lookup::state(&self.catalog, &self.members, now);
-        if state != self.lookups_of {
-            self.lookups_of = state;
-            self.lookups.clear();
+        let state = lookup::ranking_digest(&self.catalog, &self.members, now);
+        if state != self.lookup_cache_digest {
+            self.lookup_cache_digest = state;
+            self.lookup_cache.clear();
         }
     }
 
     /// Carries what is kept by a service's index over to the new indexes.
     fn renumber(&mut self, old: &Catalog) {
         let new_id = |id: ServiceId| self.catalog.service(&old.services[id.index()].name);
-        self.admissions.renumber(new_id);
-        let retries = std::mem::take(&mut self.retries);
+        self.admissions.remap_services(new_id);
+        let retries = std::mem::take(&mut self.retry_budgets);
         let moved = retries.into_iter().filter_map(|(id, budget)| Some((new_id(id)?, budget)));
-        self.retries = moved.collect();
+        self.retry_budgets = moved.collect();
     }
 
     /// The newest revision was seen at the table.
-    pub fn seen_fresh(&mut self, now: Time) {
-        self.fresh_at = Some(now);
+    pub fn confirm_revision(&mut self, now: Time) {
+        self.revision_confirmed_at = Some(now);
     }
 
     /// Whether this host may be behind the newest revision.
     pub fn is_isolated(&self, now: Time) -> bool {
-        self.fresh_at.is_none_or(|at| now.since(at) >= FRESH)
+        self.revision_confirmed_at.is_none_or(|at| now.since(at) >= CATALOG_FRESH_TIMEOUT)
     }
 
     /// Takes the platform's host list.
-    pub fn take_list(&mut self, now: Time, hosts: Vec<ListedHost>, leaving_backends: Vec<Name>) {
-        if self.members.take_list(now, hosts) {
+    pub fn apply_host_list(
+        &mut self,
+        now: Time,
+        hosts: Vec<ListedHost>,
+        leaving_backends: Vec<Name>,
+    ) {
+        if self.members.apply_host_list(now, hosts) {
             self.choose_partners();
         }
         self.leaving_backends = leaving_backends;
-        self.reown(now);
+        self.refresh_ownership(now);
     }
 
     /// Begins a planned stop: the host owns nothing new and leaves look-ups.
-    pub fn stop(&mut self) {
+    pub fn begin_stop(&mut self) {
         self.stopping = true;
     }
 
@@ -224,10 +229,10 @@
     }
 
     /// Gives up what this host owns, although nobody has taken it over.
-    pub fn abandon(&mut self) {
+    pub fn abandon_ownership(&mut self) {
         let Row { epoch, region, .. } = std::mem::take(&mut self.row);
         self.row = Row { epoch, region, settled: true, ..Row::default() };
-        self.admissions.own(Time::default(), &self.catalog, &BTreeSet::new());
+        self.admissions.set_owned(Time::default(), &self.catalog, &BTreeSet::new());
     }
 
     /// Runs every system once.
@@ -236,23 +241,23 @@
         self.tickets.expire(now);
         self.watch_hosts(now, &mut commands);
         self.watch_lease(now, &mut commands);
-        if self.is_beat_due(now) {
-            self.beat_at = Some(now);
-            self.beat_wanted = false;
+        if self.is_heartbeat_due(now) {
+            self.last_heartbeat_at = Some(now);
+            self.early_heartbeat = false;
             self.send_heartbeats(now, &mut commands);
-            self.hear_self(now);
-            self.probe(&mut commands);
+            self.record_own_heartbeat(now);
+            self.probe_inherited_servers(&mut commands);
             lookup::step_weights(&mut self.members, now);
             self.forget_lookups(now);
         }
         self.run_steward(now, &mut commands);
-        self.reserve(now);
+        self.update_reserved_slots(now);
         self.wake_all(now, &mut commands);
         commands
     }
 
     /// Takes a steward's fence, as a witness.
-    pub fn fence(&mut self, fence: &Fence) -> FenceReply {
+    pub fn on_fence(&mut self, fence: &Fence) -> FenceReply {
         self.witness.fence(&fence.region, fence.epoch);
         FenceReply {
             from: self.settings.me.clone(),
@@ -262,30 +267,30 @@
     }
 
     /// Takes a witness's answer to a fence, as steward.
-    pub fn fence_reply(&mut self, reply: FenceReply) {
-        self.steward.fenced(reply.from, reply.epoch);
+    pub fn on_fence_reply(&mut self, reply: FenceReply) {
+        self.steward.on_witness_fenced(reply.from, reply.epoch);
     }
 
     /// Takes the table's answer to a read of the row.
-    pub fn row_read(&mut self, now: Time, stored: Option<Stored>) -> Vec<Command> {
+    pub fn on_row_read(&mut self, now: Time, stored: Option<StoredRow>) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.steward.row_read(stored);
-        self.adopt_stored(now, &mut commands);
+        self.steward.on_row_read(stored);
+        self.take_stored_row(now, &mut commands);
         commands
     }
 
     /// The table did not answer a read of the row.
-    pub fn row_read_failed(&mut self) {
-        self.steward.read_failed();
+    pub fn on_row_read_failed(&mut self) {
+        self.steward.on_read_failed();
     }
 
     /// Takes the table's answer to a write of the row.
-    pub fn row_written(&mut self, now: Time, outcome: WriteOutcome) -> Vec<Command> {
+    pub fn on_row_written(&mut self, now: Time, outcome: WriteOutcome) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.steward.row_written(outcome);
-        self.adopt_stored(now, &mut commands);
-        if let Some(renewal) = self.steward.renewed(&self.settings.me) {
-            self.lease.renewed_by_table(renewal);
+        self.steward.on_row_written(outcome);
+        self.take_stored_row(now, &mut commands);
+        if let Some(renewal) = self.steward.table_renewal(&self.settings.me) {
+            self.lease.on_table_renewal(renewal);
         }
         commands
     }
@@ -313,35 +318,35 @@
     /// Reports a lease that lapsed or is held again.
     fn watch_lease(&mut self, now: Time, commands: &mut Vec<Command>) {
         let held = self.lease.is_held(now);
-        if held != self.was_held {
-            self.was_held = held;
+        if held != self.lease_was_held {
+            self.lease_was_held = held;
             let event = if held { Event::LeaseHeld } else { Event::LeaseLapsed };
             commands.push(Command::Event(event));
         }
     }
 
     /// Brings the admission table in line with row, configuration and list.
-    pub(crate) fn reown(&mut self, now: Time) {
+    pub(crate) fn refresh_ownership(&mut self, now: Time) {
         let owned = self.row.owned_by(&self.settings.me);
         let owned: BTreeSet<Name> = owned.map(|(name, _)| name.clone()).collect();
         let before = self.admissions.owned();
-        self.admissions.own(now, &self.catalog, &owned);
-        self.admissions.drain(&self.leaving_backends);
+        self.admissions.set_owned(now, &self.catalog, &owned);
+        self.admissions.mark_draining(&self.leaving_backends);
         self.inherited.retain(|name, _| owned.contains(name));
         for name in owned.difference(&before) {
             let from = self.row.grants.get(name).and_then(|grant| grant.from.clone());
-            let inherited = Inherited {
+            let inherited = InheritedServer {
                 from,
                 epoch: self.row.epoch,
                 since: now,
                 released: self.row.released,
-                told: None,
+                reported: None,
                 probed: None,
             };
             self.inherited.insert(name.clone(), inherited);
         }
         self.list_row_owners();
-        self.reserve(now);
+        self.update_reserved_slots(now);
     }
 
     /// Lists the owners that requests may go to although they are no partners.
@@ -367,7 +372,7 @@
     fn wake_all(&mut self, now: Time, commands: &mut Vec<Command>) {
         let catalog = self.catalog.clone();
         for id in (0..catalog.services.len() as u32).map(ServiceId) {
-            let woken = self.admissions.wake(now, &catalog, id);
+            let woken = self.admissions.wake_waiting(now, &catalog, id);
             commands.extend(woken.into_iter().map(Command::Wake));
         }
     }
--- a/elmstream/src/region.rs
+++ b/elmstream/src/region_steward.rs
@@ -4,20 +4,20 @@
 
 use crate::{
     allotment::{Renewal, Row},
-    group::Candidate,
     id::{HostRef, RegionId},
-    member::{Listed, Member, Members},
+    member::{ListStatus, Member, Members},
     message::{Command, Event, Fence},
     node::Node,
-    steward::{Step, Stored, View},
+    steward::{StewardStep, StewardView, StoredRow},
     time::Time,
+    witness_groups::Candidate,
 };
 
 impl Node {
     /// Live hosts of the region, in the order of their names.
     pub(crate) fn candidates(&self, now: Time, region: RegionId) -> Vec<Candidate> {
         let in_region = |m: &&Member| self.catalog.region_of_domain(&m.domain) == Some(region);
-        let live = self.members.iter().filter(|m| m.is_live(now) && m.is_known());
+        let live = self.members.iter().filter(|m| m.is_live(now) && m.has_known_incarnation());
         let candidate = |m: &Member| Candidate {
             host: m.host_ref(),
             domain: m.domain.clone(),
@@ -29,8 +29,8 @@
     pub(crate) fn run_steward(&mut self, now: Time, commands: &mut Vec<Command>) {
         let Some(region) = self.region() else { return };
         if !self.is_steward(now) {
-            let follows = self.follows_row(now);
-            if let Some(step) = follows.then(|| self.steward.idle(now)).flatten() {
+            let follows = self.reads_row_when_idle(now);
+            if let Some(step) = follows.then(|| self.steward.tick_idle(now)).flatten() {
                 self.do_step(now, step, commands);
             }
             return;
@@ -41,14 +41,14 @@
         let taken = self.taken();
         let gone = self.gone();
         let asked = self.asked();
-        let view = View {
+        let view = StewardView {
             catalog: &catalog,
             region,
-            name: &name,
+            region_name: &name,
             hosts: &hosts,
-            taken: &taken,
-            gone: &gone,
-            asked: &asked,
+            epoch_taken_by: &taken,
+            lost_witnesses: &gone,
+            renewal_requests: &asked,
         };
         let steps = self.steward.tick(now, &view);
         for step in steps {
@@ -60,16 +60,18 @@
     fn asked(&self) -> Vec<Renewal> {
         let epoch = self.steward.stored().map_or(0, |s| s.row.epoch);
         let owners = self.steward.stored().map(|s| s.row.owners()).unwrap_or_default();
-        let at_epoch = self.members.iter().filter(|m| m.known_epoch() == epoch && m.is_known());
+        let at_epoch =
+            self.members.iter().filter(|m| m.latest_epoch() == epoch && m.has_known_incarnation());
         let owners = at_epoch.filter(|m| owners.contains(&m.host_ref()));
-        let renewal = |m: &Member| Renewal { owner: m.host_ref(), sequence: m.known_sequence() };
+        let renewal = |m: &Member| Renewal { owner: m.host_ref(), sequence: m.latest_sequence() };
         owners.map(renewal).collect()
     }
 
     /// Hosts that have taken the epoch that the steward works on.
     fn taken(&self) -> HashSet<HostRef> {
         let epoch = self.steward.stored().map_or(0, |s| s.row.epoch);
-        let taken = self.members.iter().filter(|m| m.is_known() && m.known_epoch() >= epoch);
+        let taken =
+            self.members.iter().filter(|m| m.has_known_incarnation() && m.latest_epoch() >= epoch);
         let mut taken: HashSet<HostRef> = taken.map(Member::host_ref).collect();
         if self.row.epoch >= epoch {
             taken.insert(self.settings.me.clone());
@@ -79,22 +81,22 @@
 
     /// Witnesses of the row that can promise no more.
     fn gone(&self) -> HashSet<HostRef> {
-        let Some(Stored { row, .. }) = self.steward.stored() else { return HashSet::new() };
+        let Some(StoredRow { row, .. }) = self.steward.stored() else { return HashSet::new() };
         let witnesses = row.groups.witnesses().chain(row.groups_from.witnesses());
         witnesses.filter(|w| is_gone(&self.members, w)).cloned().collect()
     }
 
-    fn do_step(&mut self, now: Time, step: Step, commands: &mut Vec<Command>) {
+    fn do_step(&mut self, now: Time, step: StewardStep, commands: &mut Vec<Command>) {
         match step {
-            Step::Read => commands.extend(self.region_name().map(Command::ReadRow)),
-            Step::Write { row, expect } => {
-                let moves = row.moves();
+            StewardStep::Read => commands.extend(self.region_name().map(Command::ReadRow)),
+            StewardStep::Write { row, expect } => {
+                let moves = row.move_count();
                 let event = Event::RowProposed(row.region.clone(), row.epoch, moves);
                 commands.push(Command::Event(event));
                 commands.push(Command::WriteRow { row, expect });
             }
-            Step::Fence(witnesses, epoch) => self.send_fences(&witnesses, epoch, commands),
-            Step::Settled(row) => self.take_row(now, row, commands),
+            StewardStep::Fence(witnesses, epoch) => self.send_fences(&witnesses, epoch, commands),
+            StewardStep::Settled(row) => self.take_row(now, row, commands),
         }
     }
 
@@ -105,8 +107,8 @@
         for witness in witnesses {
             let fence = Fence { region: region.clone(), epoch };
             if *witness == self.settings.me {
-                let reply = self.fence(&fence);
-                self.fence_reply(reply);
+                let reply = self.on_fence(&fence);
+                self.on_fence_reply(reply);
             } else {
                 commands.push(Command::Fence(witness.host.clone(), fence));
             }
@@ -114,7 +116,7 @@
     }
 
     /// Takes the row that the steward part has from the table.
-    pub(crate) fn adopt_stored(&mut self, now: Time, commands: &mut Vec<Command>) {
+    pub(crate) fn take_stored_row(&mut self, now: Time, commands: &mut Vec<Command>) {
         let stored = self.steward.stored().filter(|s| s.version != 0);
         if let Some(row) = stored.map(|s| s.row.clone()) {
             self.take_row(now, row, commands);
@@ -130,8 +132,8 @@
         if self.row.settled {
             self.settled_at = now;
         }
-        self.reown(now);
-        self.beat_soon();
+        self.refresh_ownership(now);
+        self.request_early_heartbeat();
         let owned = self.row.owned_by(&self.settings.me).count();
         let Row { region, epoch, settled, .. } = &self.row;
         commands.push(Command::Event(Event::RowTaken(region.clone(), *epoch, *settled, owned)));
@@ -143,7 +145,7 @@
 fn is_gone(members: &Members, host: &HostRef) -> bool {
     match members.get(&host.host) {
         None => true,
-        Some(m) if m.is_known() && m.host_ref() != *host => true,
-        Some(m) => m.listed == Listed::Absent,
+        Some(m) if m.has_known_incarnation() && m.host_ref() != *host => true,
+        Some(m) => m.list_status == ListStatus::Absent,
     }
 }
--- a/elmstream/src/serve.rs
+++ b/elmstream/src/request_handling.rs
@@ -3,17 +3,17 @@
 use std::{net::IpAddr, sync::Arc};
 
 use crate::{
-    admission::{Admission, Ask, RunResult, Slot},
+    admission::{Admission, RunResult, Slot, SlotRequest},
     catalog::{Isolation, Service},
     code::Code,
     id::{Name, RegionId, ServiceId},
-    inherit::is_bounded_by_lease,
-    lookup::{self, Choice},
-    member::AVOID,
+    inherited_servers::is_bounded_by_lease,
+    lookup::{self, RankedHost},
+    member::UNREACHABLE_PAUSE,
     message::ServiceLoad,
     node::Node,
-    once::{Decision, Ticket, TicketId},
     route::{self, Attempt},
+    tickets::{Ticket, TicketDecision, TicketId},
     time::{MILLI, SECOND, Time},
 };
 
@@ -39,17 +39,17 @@
 
 /// What a backend server is given for a request, from the dispatch on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Span {
+pub struct RunWindow {
     /// Microseconds after which it must not begin; the lease does not reach
     /// further.
-    pub begin: u64,
+    pub begin_within: u64,
     /// Microseconds after which it must have ended.
-    pub end: u64,
+    pub end_within: u64,
 }
 
 /// A request as its owner sees it.
 #[derive(Clone, Debug)]
-pub struct OwnerAsk<'a> {
+pub struct OwnerRequest<'a> {
     /// The service's name.
     pub service: &'a str,
     /// The caller's home region.
@@ -57,7 +57,7 @@
     /// Time left for the request, in microseconds.
     pub deadline: u64,
     /// How long it may wait for a slot, in microseconds.
-    pub patience: u64,
+    pub max_wait: u64,
 }
 
 /// The owner's answer.
@@ -84,22 +84,22 @@
         now: Time,
         client: IpAddr,
         service: &str,
-    ) -> Result<Arc<[Choice]>, Refusal> {
+    ) -> Result<Arc<[RankedHost]>, Refusal> {
         if self.catalog.revision == 0 {
             return Err(Refusal::new(Code::NotReady, SECOND));
         }
         let unknown = Refusal::new(Code::UnknownService, 0);
         let id = self.catalog.service(service).ok_or(unknown)?;
         let site = self.catalog.blocks.site(client);
-        if let Some(known) = self.lookups.get(&(site, id)) {
+        if let Some(known) = self.lookup_cache.get(&(site, id)) {
             return Ok(known.clone());
         }
         let home = self.home_region(client).ok_or(Refusal::new(Code::NotReady, SECOND))?;
         let name = site.map_or("", |id| &self.catalog.sites[id.index()].name);
         let key = [name, service].join("/");
-        let choices = lookup::rank(&self.catalog, &self.members, now, home, &key);
-        let choices: Arc<[Choice]> = choices.into();
-        self.lookups.insert((site, id), choices.clone());
+        let choices = lookup::rank_hosts(&self.catalog, &self.members, now, home, &key);
+        let choices: Arc<[RankedHost]> = choices.into();
+        self.lookup_cache.insert((site, id), choices.clone());
         Ok(choices)
     }
 
@@ -136,15 +136,17 @@
         if isolated && service.isolation == Isolation::Stop {
             return Err(Refusal::new(Code::Isolated, SECOND));
         }
-        self.retries.entry(id).or_default().first_try(service.retry_percent);
+        self.retry_budgets.entry(id).or_default().deposit(service.retry_percent);
         self.report_to_self(now, id);
         let me = &self.settings.me.host;
         let is_home = self.region() == Some(home);
         let row_owners =
             self.row_owners.get(&id).filter(|_| is_home).map_or(&[][..], Vec::as_slice);
         let may_shift = !isolated;
-        let request = route::Request { service: id, home, deadline, me, may_shift, row_owners };
-        let attempts = route::plan(&self.catalog, &self.members, now, &mut self.rng, &request);
+        let request =
+            route::RouteRequest { service: id, home, deadline, me, may_shift, row_owners };
+        let attempts =
+            route::plan_attempts(&self.catalog, &self.members, now, &mut self.rng, &request);
         if attempts.is_empty() {
             let after = route::retry_after(&self.catalog, &self.members, now, &request);
             return Err(match after {
@@ -168,55 +170,61 @@
     fn report_to_self(&mut self, now: Time, id: ServiceId) {
         let load = self.load(now, id);
         if let Some(member) = self.members.get_mut(&self.settings.me.host) {
-            member.take_load(load);
+            member.update_load(load);
         }
     }
 
     /// Takes an owner's report that came with an answer.
-    pub fn take_load(&mut self, owner: &str, load: ServiceLoad) {
+    pub fn update_owner_load(&mut self, owner: &str, load: ServiceLoad) {
         if let Some(member) = self.members.get_mut(owner) {
-            member.take_load(load);
+            member.update_load(load);
         }
     }
 
     /// Notes that an owner had nothing to give.
-    pub fn refused(&mut self, now: Time, attempt: &Attempt, service: &Name, refusal: &Refusal) {
+    pub fn record_refusal(
+        &mut self,
+        now: Time,
+        attempt: &Attempt,
+        service: &Name,
+        refusal: &Refusal,
+    ) {
         let is_full =
             matches!(refusal.code, Code::NoCapacity | Code::ShiftCapped | Code::LinkLimited);
         if let Some(member) = self.members.get_mut(&attempt.owner.host).filter(|_| is_full) {
-            member.refused(now, service, attempt.want, refusal.retry_after);
+            member.record_refusal(now, service, attempt.demand, refusal.retry_after);
         }
     }
 
     /// Spends one retry of the service's budget.
-    pub fn may_retry(&mut self, id: ServiceId) -> bool {
-        self.retries.entry(id).or_default().retry()
+    pub fn withdraw_retry(&mut self, id: ServiceId) -> bool {
+        self.retry_budgets.entry(id).or_default().withdraw()
     }
 
     /// Notes that a request was sent to an owner.
-    pub fn sent(&mut self, owner: &str, service: &Name) {
+    pub fn record_sent(&mut self, owner: &str, service: &Name) {
         if let Some(member) = self.members.get_mut(owner) {
-            *member.sent.entry(service.clone()).or_default() += 1;
+            *member.unanswered.entry(service.clone()).or_default() += 1;
         }
     }
 
     /// Notes that a host could not be reached.
-    pub fn unreachable(&mut self, now: Time, host: &str) {
+    pub fn record_unreachable(&mut self, now: Time, host: &str) {
         if let Some(member) = self.members.get_mut(host) {
-            member.avoid_until = now + AVOID;
+            member.avoid_until = now + UNREACHABLE_PAUSE;
         }
     }
 
     /// Notes that an owner answered.
-    pub fn answered(&mut self, owner: &str, service: &Name) {
+    pub fn record_answer(&mut self, owner: &str, service: &Name) {
         let member = self.members.get_mut(owner);
-        if let Some(sent) = member.and_then(|m| m.sent.get_mut(service)) {
+        if let Some(sent) = member.and_then(|m| m.unanswered.get_mut(service)) {
             *sent = sent.saturating_sub(1);
         }
     }
 
     /// Asks this host, as owner, to take a request.
-    pub fn ask(&mut self, now: Time, ask: &OwnerAsk<'_>) -> OwnerAnswer {
+    pub fn request_slot(&mut self, now: Time, ask: &OwnerRequest<'_>) -> OwnerAnswer {
         match self.try_ask(now, ask) {
             Ok(Admission::Run(slot)) => OwnerAnswer::Run(slot),
             Ok(Admission::Wait(number)) => OwnerAnswer::Wait(number),
@@ -226,20 +234,20 @@
     }
 
     /// The slot of a waiting request that was woken.
-    pub fn granted(&mut self, number: u64) -> Option<Slot> {
-        self.admissions.granted(number)
+    pub fn take_granted_slot(&mut self, number: u64) -> Option<Slot> {
+        self.admissions.take_granted(number)
     }
 
     /// A waiting request gives up. Returns the waiting requests to wake.
-    pub fn give_up(&mut self, now: Time, number: u64) -> Vec<u64> {
-        match self.admissions.give_up(number) {
-            Some(slot) => self.finish(now, &slot, RunResult::Cancelled, 0),
+    pub fn cancel_wait(&mut self, now: Time, number: u64) -> Vec<u64> {
+        match self.admissions.cancel_wait(number) {
+            Some(slot) => self.finish_run(now, &slot, RunResult::Cancelled, 0),
             None => Vec::new(),
         }
     }
 
     /// Checks the lease at the moment of dispatch.
-    pub fn dispatch(&self, now: Time, slot: &Slot, deadline: Time) -> Result<Span, Refusal> {
+    pub fn dispatch(&self, now: Time, slot: &Slot, deadline: Time) -> Result<RunWindow, Refusal> {
         let owns = self.row.may_act(&self.settings.me, &slot.backend);
         let lease_end = self.lease.until() - LEASE_MARGIN;
         let backend = self.catalog.backend(&slot.backend);
@@ -250,15 +258,15 @@
         let bounded = is_bounded_by_lease(self.service(service_id).deadline);
         let end = if bounded { deadline.min(lease_end) } else { deadline };
         // One that cannot end in time would waste a slot, and be "unknown".
-        let mean = self.admissions.mean(service_id);
+        let mean = self.admissions.mean_run_time(service_id);
         if end.since(now) < DEADLINE_MIN.max(mean / 2) {
             return Err(Refusal::new(Code::DeadlineTooShort, 0));
         }
-        Ok(Span { begin: lease_end.min(end).since(now), end: end.since(now) })
+        Ok(RunWindow { begin_within: lease_end.min(end).since(now), end_within: end.since(now) })
     }
 
     /// A run has ended. Returns the waiting requests to wake.
-    pub fn finish(&mut self, now: Time, slot: &Slot, result: RunResult, took: u64) -> Vec<u64> {
+    pub fn finish_run(&mut self, now: Time, slot: &Slot, result: RunResult, took: u64) -> Vec<u64> {
         let catalog = self.catalog.clone();
         self.admissions.release(now, &catalog, slot, result, took)
     }
@@ -277,7 +285,7 @@
     }
 
     /// Decides on a try with a ticket that this incarnation issued.
-    pub fn begin_ticket(&mut self, now: Time, ticket: &Ticket, service: &str) -> Decision {
+    pub fn begin_ticket(&mut self, now: Time, ticket: &Ticket, service: &str) -> TicketDecision {
         self.tickets.begin(now, ticket, service)
     }
 
@@ -286,7 +294,7 @@
         self.tickets.end(id, not_run);
     }
 
-    fn try_ask(&mut self, now: Time, ask: &OwnerAsk<'_>) -> Result<Admission, Refusal> {
+    fn try_ask(&mut self, now: Time, ask: &OwnerRequest<'_>) -> Result<Admission, Refusal> {
         if self.stopping && !self.lease.is_held(now) {
             return Err(Refusal::new(Code::Stopping, 0));
         }
@@ -298,17 +306,18 @@
         let home = self.catalog.region(ask.home).ok_or(unknown)?;
         let here = self.region().ok_or(unknown)?;
         let shifted = home != here;
-        let patience = ask.patience.min(ask.deadline);
-        let request = Ask { service: id, shifted, patience, deadline: ask.deadline };
+        let patience = ask.max_wait.min(ask.deadline);
+        let request =
+            SlotRequest { service: id, shifted, max_wait: patience, deadline: ask.deadline };
         if shifted {
             self.check_shift(now, id, home, here)?;
         }
         let service = &self.catalog.services[id.index()];
-        let admission = self.admissions.ask(now, service, &request);
+        let admission = self.admissions.request_slot(now, service, &request);
         if let (true, Admission::Run(slot)) = (shifted, &admission) {
             let slot = slot.clone();
-            if let Err(refusal) = self.spend(now, id, home, here) {
-                self.finish(now, &slot, RunResult::Cancelled, 0);
+            if let Err(refusal) = self.charge_shift(now, id, home, here) {
+                self.finish_run(now, &slot, RunResult::Cancelled, 0);
                 return Err(refusal);
             }
         }
--- a/elmstream/src/retry.rs
+++ b/elmstream/src/retry_budget.rs
@@ -20,12 +20,12 @@
 
 impl RetryBudget {
     /// A first try earns a share of a retry.
-    pub fn first_try(&mut self, percent: u32) {
+    pub fn deposit(&mut self, percent: u32) {
         self.saved = (self.saved + percent).min(SAVED_MAX);
     }
 
     /// Spends one retry, if the budget has it.
-    pub fn retry(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         let enough = self.saved >= COST;
         if enough {
             self.saved -= COST;
--- a/elmstream/src/route.rs
+++ b/elmstream/src/route.rs
@@ -14,7 +14,7 @@
 use crate::{
     catalog::Catalog,
     id::{HostRef, Name, RegionId, ServiceId},
-    member::{Member, Members, Want},
+    member::{Member, Members, SlotDemand},
     time::Time,
 };
 
@@ -33,21 +33,21 @@
     /// The region that would serve.
     pub region: RegionId,
     /// What is wanted there.
-    pub want: Want,
+    pub demand: SlotDemand,
     /// How long the request may wait there for a slot, in microseconds.
-    pub patience: u64,
+    pub max_wait: u64,
 }
 
 impl Attempt {
     /// Whether this spends a shift cap.
     pub fn is_shifted(&self) -> bool {
-        self.want == Want::Shift
+        self.demand == SlotDemand::Shifted
     }
 }
 
 /// What a route is asked for.
 #[derive(Clone, Debug)]
-pub struct Request<'a> {
+pub struct RouteRequest<'a> {
     /// The service.
     pub service: ServiceId,
     /// The caller's home region.
@@ -64,12 +64,12 @@
 
 /// The owners to ask, in order; none if all that could be asked have just
 /// refused.
-pub fn plan(
+pub fn plan_attempts(
     catalog: &Catalog,
     members: &Members,
     now: Time,
     rng: &mut StdRng,
-    request: &Request<'_>,
+    request: &RouteRequest<'_>,
 ) -> Vec<Attempt> {
     let service = &catalog.services[request.service.index()].name;
     let owners = owners(catalog, members, now, request.home, service);
@@ -79,14 +79,17 @@
     if let Some(shift) = shifts.first() {
         let round_trip = 2 * catalog.delay(request.home, shift.region);
         let patience = round_trip.min(request.deadline);
-        let willing = willing(&owners, now, service, Want::Slot);
+        let willing = willing(&owners, now, service, SlotDemand::Immediate);
         let home = pick_two(&willing, rng, request, service);
-        attempts.extend(home.iter().map(|m| at_home(m, request.home, Want::Slot, patience)));
+        attempts
+            .extend(home.iter().map(|m| at_home(m, request.home, SlotDemand::Immediate, patience)));
         attempts.extend(shifts);
     }
-    let willing = willing(&owners, now, service, Want::Place);
+    let willing = willing(&owners, now, service, SlotDemand::Queueable);
     let home = pick_two(&willing, rng, request, service);
-    attempts.extend(home.iter().map(|m| at_home(m, request.home, Want::Place, request.deadline)));
+    attempts.extend(
+        home.iter().map(|m| at_home(m, request.home, SlotDemand::Queueable, request.deadline)),
+    );
     if home.len() < OWNERS_MIN {
         attempts.extend(by_row(&owners, members, now, rng, request, service));
     }
@@ -100,7 +103,7 @@
     members: &Members,
     now: Time,
     rng: &mut StdRng,
-    request: &Request<'_>,
+    request: &RouteRequest<'_>,
     service: &Name,
 ) -> Option<Attempt> {
     let is_willing = |owner: &&HostRef| {
@@ -110,7 +113,7 @@
             && member.is_some_and(|m| {
                 m.is_live(now)
                     && m.avoid_until <= now
-                    && m.refused_until(service, Want::Place) <= now
+                    && m.refused_until(service, SlotDemand::Queueable) <= now
             })
     };
     let willing: Vec<&HostRef> = request.row_owners.iter().filter(is_willing).collect();
@@ -118,8 +121,8 @@
     Some(Attempt {
         owner: (*owner).clone(),
         region: request.home,
-        want: Want::Place,
-        patience: request.deadline,
+        demand: SlotDemand::Queueable,
+        max_wait: request.deadline,
     })
 }
 
@@ -129,19 +132,24 @@
     catalog: &Catalog,
     members: &Members,
     now: Time,
-    request: &Request<'_>,
+    request: &RouteRequest<'_>,
 ) -> Option<u64> {
     let service = &catalog.services[request.service.index()].name;
     let owners = owners(catalog, members, now, request.home, service);
-    owners.iter().map(|m| m.refused_until(service, Want::Place).since(now)).min()
+    owners.iter().map(|m| m.refused_until(service, SlotDemand::Queueable).since(now)).min()
 }
 
-fn at_home(member: &Member, region: RegionId, want: Want, patience: u64) -> Attempt {
-    Attempt { owner: member.host_ref(), region, want, patience }
+fn at_home(member: &Member, region: RegionId, want: SlotDemand, patience: u64) -> Attempt {
+    Attempt { owner: member.host_ref(), region, demand: want, max_wait: patience }
 }
 
 /// Owners that have not just refused what is wanted.
-fn willing<'a>(owners: &[&'a Member], now: Time, service: &Name, want: Want) -> Vec<&'a Member> {
+fn willing<'a>(
+    owners: &[&'a Member],
+    now: Time,
+    service: &Name,
+    want: SlotDemand,
+) -> Vec<&'a Member> {
     let willing = owners.iter().filter(|m| m.refused_until(service, want) <= now);
     willing.copied().collect()
 }
@@ -150,10 +158,10 @@
 fn pick_two<'a>(
     owners: &[&'a Member],
     rng: &mut StdRng,
-    request: &Request<'_>,
+    request: &RouteRequest<'_>,
     service: &str,
 ) -> Vec<&'a Member> {
-    let own = owners.iter().find(|m| m.name == *request.me && m.free(service) > 0);
+    let own = owners.iter().find(|m| m.name == *request.me && m.free_slots(service) > 0);
     let first = own.copied().or_else(|| best_of_two(owners, rng, service));
     let others: Vec<&Member> =
         owners.iter().filter(|m| first.is_none_or(|f| f.name != m.name)).copied().collect();
@@ -168,12 +176,17 @@
     }
     let first = owners[rng.random_range(0..owners.len())];
     let second = owners[rng.random_range(0..owners.len())];
-    Some(if second.free(service) > first.free(service) { second } else { first })
+    Some(if second.free_slots(service) > first.free_slots(service) { second } else { first })
 }
 
 /// Owners in other regions that a shift may go to, nearest first, and of one
 /// region the one with most headroom.
-fn shifts(catalog: &Catalog, members: &Members, now: Time, request: &Request<'_>) -> Vec<Attempt> {
+fn shifts(
+    catalog: &Catalog,
+    members: &Members,
+    now: Time,
+    request: &RouteRequest<'_>,
+) -> Vec<Attempt> {
     let service = &catalog.services[request.service.index()].name;
     let mut regions: Vec<RegionId> = (0..catalog.regions.len() as u32)
         .map(RegionId)
@@ -184,13 +197,13 @@
     regions.sort_by_key(|&to| catalog.delay(request.home, to));
     let best = |to: RegionId| {
         let mut owners = owners(catalog, members, now, to, service);
-        owners.retain(|m| m.refused_until(service, Want::Shift) <= now);
-        owners.sort_by_key(|m| Reverse(m.free(service)));
+        owners.retain(|m| m.refused_until(service, SlotDemand::Shifted) <= now);
+        owners.sort_by_key(|m| Reverse(m.free_slots(service)));
         owners.into_iter().take(SHIFT_TRIES_EACH).map(move |m| Attempt {
             owner: m.host_ref(),
             region: to,
-            want: Want::Shift,
-            patience: 0,
+            demand: SlotDemand::Shifted,
+            max_wait: 0,
         })
     };
     regions.into_iter().flat_map(best).take(SHIFT_TRIES).collect()
@@ -206,6 +219,6 @@
 ) -> Vec<&'a Member> {
     let has_slots = |m: &&Member| m.load(service).is_some_and(|load| load.slots > 0);
     let in_region = |m: &&Member| catalog.region_of_domain(&m.domain) == Some(region);
-    let live = members.iter().filter(|m| m.is_fresh(now) && m.avoid_until <= now);
+    let live = members.iter().filter(|m| m.is_routable(now) && m.avoid_until <= now);
     live.filter(in_region).filter(has_slots).collect()
 }
--- a/elmstream/src/steward.rs
+++ b/elmstream/src/steward.rs
@@ -9,13 +9,13 @@
 use std::collections::HashSet;
 
 use crate::{
-    allotment::{Renewal, Row, plan},
+    allotment::{Renewal, Row, plan_next_row},
     catalog::Catalog,
-    group::Candidate,
     id::{HostRef, Name, RegionId},
     lease,
     message::TableRenewal,
     time::{MILLI, SECOND, Time},
+    witness_groups::Candidate,
 };
 
 /// Time between two reads of the row by a steward at rest, in microseconds.
@@ -44,7 +44,7 @@
 
 /// A row as the table holds it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stored {
+pub struct StoredRow {
     /// The row.
     pub row: Row,
     /// Its version in the table; 0 is "no row yet".
@@ -53,7 +53,7 @@
 
 /// What the steward wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum StewardStep {
     /// Read the row.
     Read,
     /// Write the row if its version is still `expect`.
@@ -73,7 +73,7 @@
 #[derive(Debug, Default)]
 pub struct Steward {
     /// The row as last read from or written to the table.
-    stored: Option<Stored>,
+    stored: Option<StoredRow>,
     read_at: Option<Time>,
     /// A call to the table is under way since then.
     calling: Option<Time>,
@@ -90,21 +90,21 @@
 
 /// What the steward looks at.
 #[derive(Debug)]
-pub struct View<'a> {
+pub struct StewardView<'a> {
     /// The configuration in force.
     pub catalog: &'a Catalog,
     /// The region.
     pub region: RegionId,
     /// Its name.
-    pub name: &'a Name,
+    pub region_name: &'a Name,
     /// Live hosts of the region, in the order of their names.
     pub hosts: &'a [Candidate],
     /// Hosts that have taken the row's epoch.
-    pub taken: &'a HashSet<HostRef>,
+    pub epoch_taken_by: &'a HashSet<HostRef>,
     /// Witnesses that cannot promise any more: replaced, or gone from the list.
-    pub gone: &'a HashSet<HostRef>,
+    pub lost_witnesses: &'a HashSet<HostRef>,
     /// The last round in which each owner asked at the row's epoch.
-    pub asked: &'a [Renewal],
+    pub renewal_requests: &'a [Renewal],
 }
 
 impl Steward {
@@ -114,12 +114,12 @@
     }
 
     /// The row as the table held it when last heard.
-    pub fn stored(&self) -> Option<&Stored> {
+    pub fn stored(&self) -> Option<&StoredRow> {
         self.stored.as_ref()
     }
 
     /// One tick of a host that is the steward.
-    pub fn tick(&mut self, now: Time, view: &View<'_>) -> Vec<Step> {
+    pub fn tick(&mut self, now: Time, view: &StewardView<'_>) -> Vec<StewardStep> {
         if self.is_calling(now) {
             return self.settle(now, view).into_iter().collect();
         }
@@ -131,7 +131,7 @@
         };
         if !stored.row.settled && stored.version != 0 {
             let step = self.settle(now, view);
-            let may_renew = matches!(step, Some(Step::Fence(..)));
+            let may_renew = matches!(step, Some(StewardStep::Fence(..)));
             let renewal = may_renew.then(|| self.renew(now, view, &stored)).flatten();
             return step.into_iter().chain(renewal).collect();
         }
@@ -140,20 +140,20 @@
     }
 
     /// One tick of a host that is not the steward.
-    pub fn idle(&mut self, now: Time) -> Option<Step> {
+    pub fn tick_idle(&mut self, now: Time) -> Option<StewardStep> {
         let due = !self.is_calling(now) && self.is_read_due(now, IDLE_READ_INTERVAL);
         due.then(|| self.read(now))
     }
 
     /// The table answered a read; `None` is "no such row".
-    pub fn row_read(&mut self, stored: Option<Stored>) {
+    pub fn on_row_read(&mut self, stored: Option<StoredRow>) {
         self.calling = None;
         self.writing = None;
         self.take(stored.unwrap_or_default());
     }
 
     /// The table did not answer a read.
-    pub fn read_failed(&mut self) {
+    pub fn on_read_failed(&mut self) {
         self.calling = None;
     }
 
@@ -161,18 +161,18 @@
     ///
     /// After anything but success the row is read again, and the nonce there
     /// tells whose write it holds.
-    pub fn row_written(&mut self, outcome: WriteOutcome) {
+    pub fn on_row_written(&mut self, outcome: WriteOutcome) {
         self.calling = None;
         let row = self.writing.take();
         match (outcome, row) {
-            (WriteOutcome::Written(version), Some(row)) => self.take(Stored { row, version }),
+            (WriteOutcome::Written(version), Some(row)) => self.take(StoredRow { row, version }),
             (WriteOutcome::Refused, _) => {}
             _ => self.read_at = None,
         }
     }
 
     /// A witness answered that it is fenced.
-    pub fn fenced(&mut self, by: HostRef, epoch: u64) {
+    pub fn on_witness_fenced(&mut self, by: HostRef, epoch: u64) {
         let Some(stored) = &self.stored else { return };
         let is_named = stored.row.groups_from.witnesses().any(|w| *w == by);
         if epoch + 1 == stored.row.epoch && is_named {
@@ -181,7 +181,7 @@
     }
 
     /// Takes a row, and forgets the fences of another epoch.
-    fn take(&mut self, stored: Stored) {
+    fn take(&mut self, stored: StoredRow) {
         let before = self.stored.as_ref().map_or(0, |s| s.row.epoch);
         if stored.row.epoch != before {
             self.fenced.clear();
@@ -191,23 +191,23 @@
     }
 
     /// Brings an unsettled epoch forward: fence, wait, mark as settled.
-    fn settle(&mut self, now: Time, view: &View<'_>) -> Option<Step> {
+    fn settle(&mut self, now: Time, view: &StewardView<'_>) -> Option<StewardStep> {
         let stored = self.stored.clone()?;
         if stored.row.settled || stored.version == 0 {
             return None;
         }
         let row = &stored.row;
-        let gone = row.groups_from.witnesses().filter(|w| view.gone.contains(*w));
+        let gone = row.groups_from.witnesses().filter(|w| view.lost_witnesses.contains(*w));
         self.fenced.extend(gone.cloned());
         let waited = self.has_waited(now, row);
         if !waited && !is_released(row, view) {
             let left = row.groups_from.witnesses().filter(|w| !self.fenced.contains(*w));
-            return Some(Step::Fence(left.cloned().collect(), row.epoch - 1));
+            return Some(StewardStep::Fence(left.cloned().collect(), row.epoch - 1));
         }
         let nonce = self.next_nonce();
         let settled = Row { settled: true, released: !waited, nonce, ..row.clone() };
         if self.is_calling(now) {
-            return Some(Step::Settled(settled));
+            return Some(StewardStep::Settled(settled));
         }
         Some(self.write(now, settled, stored.version))
     }
@@ -220,17 +220,22 @@
             return false;
         }
         let since = *self.majority_at.get_or_insert(now);
-        is_first_epoch || now.since(since) >= lease::LENGTH
+        is_first_epoch || now.since(since) >= lease::LEASE_LENGTH
     }
 
     /// Proposes the next epoch if the plan differs from the row.
-    fn change(&mut self, now: Time, view: &View<'_>, stored: &Stored) -> Option<Step> {
+    fn change(
+        &mut self,
+        now: Time,
+        view: &StewardView<'_>,
+        stored: &StoredRow,
+    ) -> Option<StewardStep> {
         let hears = hears_majority(&stored.row, view);
         if !hears || now.since(self.changed_at) < CHANGE_INTERVAL {
             return None;
         }
-        let present = Row { region: view.name.clone(), ..stored.row.clone() };
-        let mut next = plan(view.catalog, view.region, &present, view.hosts)?;
+        let present = Row { region: view.region_name.clone(), ..stored.row.clone() };
+        let mut next = plan_next_row(view.catalog, view.region, &present, view.hosts)?;
         next.nonce = self.next_nonce();
         self.changed_at = now;
         Some(self.write(now, next, stored.version))
@@ -240,36 +245,41 @@
     ///
     /// The write is conditional on the row's version, so that none at an old
     /// epoch can succeed after the swap to a new one.
-    fn renew(&mut self, now: Time, view: &View<'_>, stored: &Stored) -> Option<Step> {
+    fn renew(
+        &mut self,
+        now: Time,
+        view: &StewardView<'_>,
+        stored: &StoredRow,
+    ) -> Option<StewardStep> {
         let is_live = |w: &HostRef| view.hosts.iter().any(|c| c.host == *w);
         let complete = stored.row.groups.witnesses().all(is_live);
         let due = now.since(self.renewed_at) >= RENEW_INTERVAL;
-        if complete || !due || stored.version == 0 || view.asked.is_empty() {
+        if complete || !due || stored.version == 0 || view.renewal_requests.is_empty() {
             return None;
         }
         self.renewed_at = now;
-        let renewals = view.asked.to_vec();
+        let renewals = view.renewal_requests.to_vec();
         let row = Row { renewals, nonce: self.next_nonce(), ..stored.row.clone() };
         Some(self.write(now, row, stored.version))
     }
 
     /// The last round of an owner that the table renewed.
-    pub fn renewed(&self, owner: &HostRef) -> Option<TableRenewal> {
+    pub fn table_renewal(&self, owner: &HostRef) -> Option<TableRenewal> {
         let row = &self.stored.as_ref()?.row;
         let renewal = row.renewals.iter().find(|r| r.owner == *owner)?;
         Some(TableRenewal { epoch: row.epoch, sequence: renewal.sequence })
     }
 
-    fn read(&mut self, now: Time) -> Step {
+    fn read(&mut self, now: Time) -> StewardStep {
         self.read_at = Some(now);
         self.calling = Some(now);
-        Step::Read
+        StewardStep::Read
     }
 
-    fn write(&mut self, now: Time, row: Row, expect: u64) -> Step {
+    fn write(&mut self, now: Time, row: Row, expect: u64) -> StewardStep {
         self.calling = Some(now);
         self.writing = Some(row.clone());
-        Step::Write { row, expect }
+        StewardStep::Write { row, expect }
     }
 
     fn next_nonce(&mut self) -> u64 {
@@ -279,7 +289,7 @@
 
     fn is_calling(&mut self, now: Time) -> bool {
         if self.calling.is_some_and(|since| now.since(since) >= CALL_TIMEOUT) {
-            self.row_written(WriteOutcome::Unknown);
+            self.on_row_written(WriteOutcome::Unknown);
         }
         self.calling.is_some()
     }
@@ -291,16 +301,16 @@
 
 /// Whether the steward hears of a majority of each group's witnesses, or knows
 /// them to be gone. A host that is cut off from the others must not take what is theirs.
-fn hears_majority(row: &Row, view: &View<'_>) -> bool {
+fn hears_majority(row: &Row, view: &StewardView<'_>) -> bool {
     let is_live = |w: &HostRef| view.hosts.iter().any(|c| c.host == *w);
-    row.groups.each_has_majority(|w| is_live(w) || view.gone.contains(w))
+    row.groups.each_has_majority(|w| is_live(w) || view.lost_witnesses.contains(w))
 }
 
 /// Whether each owner of the epoch before has taken this one.
 ///
 /// An owner that has taken an epoch keeps nothing of the one before but what
 /// both give it, and never asks at the old one again.
-fn is_released(row: &Row, view: &View<'_>) -> bool {
+fn is_released(row: &Row, view: &StewardView<'_>) -> bool {
     let former = row.former_owners();
-    former.iter().all(|owner| view.taken.contains(*owner))
+    former.iter().all(|owner| view.epoch_taken_by.contains(*owner))
 }
--- a/elmstream/src/once.rs
+++ b/elmstream/src/tickets.rs
@@ -41,7 +41,7 @@
 
 /// What the issuer does with a ticketed request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Decision {
+pub enum TicketDecision {
     /// It is the first try: run it.
     Run,
     /// It must not run; the code says why.
@@ -66,17 +66,17 @@
 
     /// Decides on a try with a ticket whose signature was checked and whose
     /// issuer is this incarnation.
-    pub fn begin(&mut self, now: Time, ticket: &Ticket, service: &str) -> Decision {
+    pub fn begin(&mut self, now: Time, ticket: &Ticket, service: &str) -> TicketDecision {
         if ticket.expires <= now || &*ticket.service != service {
-            return Decision::Answer(Code::TicketBad);
+            return TicketDecision::Answer(Code::TicketBad);
         }
         match self.used.get(&ticket.id) {
-            Some(State::Running) => Decision::Answer(Code::TicketRunning),
-            Some(State::Ended) => Decision::Answer(Code::TicketUsed),
+            Some(State::Running) => TicketDecision::Answer(Code::TicketRunning),
+            Some(State::Ended) => TicketDecision::Answer(Code::TicketUsed),
             None => {
                 self.used.insert(ticket.id, State::Running);
                 self.expiry.insert((ticket.expires, ticket.id), ());
-                Decision::Run
+                TicketDecision::Run
             }
         }
     }
--- a/elmstream/src/cap.rs
+++ b/elmstream/src/token_bucket.rs
@@ -9,17 +9,17 @@
 use crate::time::{SECOND, Time};
 
 /// Parts in a whole; a part of a cap is counted in these.
-pub const WHOLE: u64 = 1_000_000;
+pub const PARTS_PER_WHOLE: u64 = 1_000_000;
 /// Depth of a bucket as a divisor of the cap.
 const DEPTH_DIVISOR: u64 = 20;
 /// Share of a cap that a new shift starts with, in parts.
-const RAMP_START: u64 = WHOLE / 5;
+const RAMP_START: u64 = PARTS_PER_WHOLE / 5;
 /// Units are counted in millionths, so that small parts still add up.
 const MICRO: u64 = 1_000_000;
 
 /// A token bucket whose rate is given anew with each use.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Tokens, in millionths.
     level: u64,
     /// When the level was last brought up to date.
@@ -28,13 +28,13 @@
     started: Option<Time>,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A bucket that was empty at `since`.
     ///
     /// Its part of the cap may have come from another owner, which may have
     /// spent it up to then.
-    pub fn new(since: Time) -> Bucket {
-        Bucket { level: 0, updated: since, started: None }
+    pub fn new(since: Time) -> TokenBucket {
+        TokenBucket { level: 0, updated: since, started: None }
     }
 
     /// Takes `units` if the part of the cap allows it.
@@ -42,7 +42,7 @@
     /// `per_second` is the whole cap, `part` this owner's part of it in
     /// [`WHOLE`]ths, `ramp` the time to full size in microseconds.
     pub fn take(&mut self, now: Time, units: u64, per_second: u64, part: u64, ramp: u64) -> bool {
-        let share = part * self.ramped(now, ramp) / WHOLE;
+        let share = part * self.ramped(now, ramp) / PARTS_PER_WHOLE;
         let cap = micro_units(per_second, share);
         let depth = (cap / DEPTH_DIVISOR).max(MICRO);
         if cap < depth {
@@ -58,7 +58,7 @@
     }
 
     /// Takes as many of `units` as there are, whole ones, and tells how many.
-    pub fn take_some(&mut self, now: Time, units: u64, per_second: u64, part: u64) -> u64 {
+    pub fn take_up_to(&mut self, now: Time, units: u64, per_second: u64, part: u64) -> u64 {
         let cap = micro_units(per_second, part);
         let depth = (cap / DEPTH_DIVISOR).max(MICRO);
         if cap < depth {
@@ -71,7 +71,7 @@
     }
 
     /// Microseconds until one unit may be there, for "retry after".
-    pub fn wait(&self, per_second: u64, part: u64) -> u64 {
+    pub fn retry_after(&self, per_second: u64, part: u64) -> u64 {
         let cap = micro_units(per_second, part);
         let rate = cap - (cap / DEPTH_DIVISOR).max(MICRO).min(cap);
         let missing = MICRO.saturating_sub(self.level);
@@ -91,7 +91,7 @@
     /// A shift that rested for a whole ramp starts cold again.
     fn ramped(&mut self, now: Time, ramp: u64) -> u64 {
         if ramp == 0 {
-            return WHOLE;
+            return PARTS_PER_WHOLE;
         }
         let rested = now.since(self.updated) >= ramp;
         let started = match self.started {
@@ -99,12 +99,12 @@
             _ => *self.started.insert(now),
         };
         let grown = now.since(started).min(ramp);
-        RAMP_START + (WHOLE - RAMP_START) * grown / ramp
+        RAMP_START + (PARTS_PER_WHOLE - RAMP_START) * grown / ramp
     }
 }
 
 /// A part of a rate, in millionths of a unit per second.
 fn micro_units(per_second: u64, part: u64) -> u64 {
-    let micro = u128::from(per_second) * u128::from(part.min(WHOLE));
+    let micro = u128::from(per_second) * u128::from(part.min(PARTS_PER_WHOLE));
     u64::try_from(micro).unwrap_or(u64::MAX)
 }
--- a/elmstream/src/limit.rs
+++ b/elmstream/src/traffic_limits.rs
@@ -1,13 +1,13 @@
 //! Limits where the load lands: shift caps and links, in an owner's part.
 
 use crate::{
-    cap::{Bucket, WHOLE},
     catalog::ShiftCap,
     code::Code,
     id::{Name, RegionId, ServiceId},
     node::Node,
-    serve::Refusal,
+    request_handling::Refusal,
     time::{SECOND, Time},
+    token_bucket::{PARTS_PER_WHOLE, TokenBucket},
 };
 
 impl Node {
@@ -29,7 +29,7 @@
     }
 
     /// Spends one request of the shift cap and of the link.
-    pub(crate) fn spend(
+    pub(crate) fn charge_shift(
         &mut self,
         now: Time,
         id: ServiceId,
@@ -42,9 +42,9 @@
         let ShiftCap { per_second, ramp } = cap;
         let from = self.catalog.regions[home.index()].name.clone();
         let key = (self.service(id).name.clone(), from.clone());
-        let bucket = self.shift_buckets.entry(key).or_insert_with(|| Bucket::new(settled_at));
+        let bucket = self.shift_buckets.entry(key).or_insert_with(|| TokenBucket::new(settled_at));
         if !bucket.take(now, 1, u64::from(per_second), part, ramp) {
-            let wait = bucket.wait(u64::from(per_second), part);
+            let wait = bucket.retry_after(u64::from(per_second), part);
             return Err(Refusal::new(Code::ShiftCapped, wait));
         }
         let Some(link) = self.catalog.links.get(&(home, here)).copied() else {
@@ -54,10 +54,11 @@
             return Ok(());
         }
         let part = self.part_of(None);
-        let bucket = self.link_buckets.entry(from).or_insert_with(|| Bucket::new(settled_at));
+        let bucket =
+            self.link_request_buckets.entry(from).or_insert_with(|| TokenBucket::new(settled_at));
         let rate = u64::from(link.requests_per_second);
         if !bucket.take(now, 1, rate, part, 0) {
-            return Err(Refusal::new(Code::LinkLimited, bucket.wait(rate, part)));
+            return Err(Refusal::new(Code::LinkLimited, bucket.retry_after(rate, part)));
         }
         Ok(())
     }
@@ -81,9 +82,9 @@
             return bytes;
         }
         let settled_at = self.settled_at;
-        let bucket = self.byte_buckets.entry(home.into());
-        let bucket = bucket.or_insert_with(|| Bucket::new(settled_at));
-        bucket.take_some(now, bytes, limit, part)
+        let bucket = self.link_byte_buckets.entry(home.into());
+        let bucket = bucket.or_insert_with(|| TokenBucket::new(settled_at));
+        bucket.take_up_to(now, bytes, limit, part)
     }
 
     /// This host's part of its region's caps: for one service, or over all
@@ -94,11 +95,11 @@
             service.is_none_or(|id| backend.is_some_and(|b| b.service == id))
         };
         let owned = self.row.owned_by(&self.settings.me).filter(|(name, _)| of_service(name));
-        let sum: u64 = owned.map(|(_, grant)| self.row.part(grant)).sum();
+        let sum: u64 = owned.map(|(_, grant)| self.row.effective_part(grant)).sum();
         let services = self.services_in_row().max(1);
         match service {
-            Some(_) => sum.min(WHOLE),
-            None => (sum / services).min(WHOLE),
+            Some(_) => sum.min(PARTS_PER_WHOLE),
+            None => (sum / services).min(PARTS_PER_WHOLE),
         }
     }
 
--- a/elmstream/src/group.rs
+++ b/elmstream/src/witness_groups.rs
@@ -13,7 +13,7 @@
 use crate::id::{HostRef, Name};
 
 /// Witnesses in a group at most.
-pub const WITNESSES_MAX: usize = 5;
+pub const GROUP_WITNESSES_MAX: usize = 5;
 /// Hosts that one group serves when the groups are planned.
 pub const GROUP_HOSTS: usize = 16;
 /// Hosts of a region from which on there is more than one group, and hosts
@@ -53,26 +53,26 @@
     }
 
     /// Whether a host is a witness, in whatever incarnation.
-    pub fn names(&self, host: &str) -> bool {
+    pub fn has_witness(&self, host: &str) -> bool {
         self.witnesses.iter().any(|w| *w.host == *host)
     }
 }
 
 impl Groups {
     /// The group that serves a host.
-    pub fn of(&self, host: &str) -> Option<&Group> {
-        self.0.get(self.index_of(host)?)
+    pub fn group_of(&self, host: &str) -> Option<&Group> {
+        self.0.get(self.group_index_of(host)?)
     }
 
     /// The index of the group that serves a host.
-    pub fn index_of(&self, host: &str) -> Option<usize> {
+    pub fn group_index_of(&self, host: &str) -> Option<usize> {
         let count = self.0.len() as u64;
         (count > 0).then(|| (xxh3_64(host.as_bytes()) % count) as usize)
     }
 
     /// The index of the group that a host is a witness of.
-    pub fn witnessed_by(&self, host: &str) -> Option<usize> {
-        self.0.iter().position(|group| group.names(host))
+    pub fn witnessed_group_index(&self, host: &str) -> Option<usize> {
+        self.0.iter().position(|group| group.has_witness(host))
     }
 
     /// The first group with a witness that is live.
@@ -101,10 +101,10 @@
     }
 
     /// Keeps live witnesses and fills up from the live hosts of the region.
-    pub fn plan(&self, hosts: &[Candidate]) -> Groups {
+    pub fn plan_next(&self, hosts: &[Candidate]) -> Groups {
         let count = self.wanted(hosts.len());
         let share = hosts.len().checked_div(count).unwrap_or(0);
-        let size = odd_at_most(share.min(WITNESSES_MAX));
+        let size = odd_at_most(share.min(GROUP_WITNESSES_MAX));
         let mut planned: Vec<Group> = (0..count)
             .map(|index| self.0.get(index).cloned().unwrap_or_default())
             .map(|group| group.keep_live(hosts, size))
--- a/elmstream/tests/admission.rs
+++ b/elmstream/tests/admission.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeSet;
 
 use elmstream::{
-    admission::{Admission, Admissions, Ask, RunResult, Slot},
+    admission::{Admission, Admissions, RunResult, Slot, SlotRequest},
     code::Code,
     id::{Name, ServiceId},
-    retry::RetryBudget,
+    retry_budget::RetryBudget,
     time::{MILLI, SECOND, Time},
 };
 use support::{SLOTS, catalog, service};
@@ -21,18 +21,18 @@
 fn owner(servers: &[&str]) -> Admissions {
     let mut admissions = Admissions::default();
     let owned: BTreeSet<Name> = servers.iter().map(|&name| name.into()).collect();
-    admissions.own(NOW, &catalog(1, &[]), &owned);
-    servers.iter().for_each(|name| admissions.reserve(name, 0));
+    admissions.set_owned(NOW, &catalog(1, &[]), &owned);
+    servers.iter().for_each(|name| admissions.set_reserved(name, 0));
     admissions
 }
 
-fn ask(shifted: bool, patience: u64) -> Ask {
-    Ask { service: ServiceId(0), shifted, patience, deadline: u64::MAX / 2 }
+fn ask(shifted: bool, patience: u64) -> SlotRequest {
+    SlotRequest { service: ServiceId(0), shifted, max_wait: patience, deadline: u64::MAX / 2 }
 }
 
 fn fill(admissions: &mut Admissions, shifted: bool) -> Vec<Slot> {
     let mut slots = Vec::new();
-    while let Admission::Run(slot) = admissions.ask(NOW, &service(), &ask(shifted, 0)) {
+    while let Admission::Run(slot) = admissions.request_slot(NOW, &service(), &ask(shifted, 0)) {
         slots.push(slot);
     }
     slots
@@ -44,7 +44,7 @@
     policy.headroom_percent = 50;
     let mut admissions = owner(&["na-0", "na-1"]);
     let run = |admissions: &mut Admissions, shifted| {
-        matches!(admissions.ask(NOW, &policy, &ask(shifted, 0)), Admission::Run(_))
+        matches!(admissions.request_slot(NOW, &policy, &ask(shifted, 0)), Admission::Run(_))
     };
     assert!(run(&mut admissions, true) && run(&mut admissions, true));
     assert!(!run(&mut admissions, true), "half of four slots is kept back");
@@ -58,18 +58,18 @@
     let slots = fill(&mut admissions, false);
     assert_eq!(slots.len(), SLOTS as usize);
     let waiting: Vec<Admission> =
-        (0..9).map(|_| admissions.ask(NOW, &service(), &ask(false, SECOND))).collect();
+        (0..9).map(|_| admissions.request_slot(NOW, &service(), &ask(false, SECOND))).collect();
     let numbers: Vec<u64> = waiting
         .iter()
         .filter_map(|a| if let Admission::Wait(n) = a { Some(*n) } else { None })
         .collect();
     assert_eq!(numbers.len(), 8, "four for each slot");
     assert!(matches!(waiting[8], Admission::Refuse(Code::NoCapacity, after) if after > 0));
-    let woken = admissions.release(NOW, &catalog(1, &[]), &slots[0], RunResult::Good, MILLI);
+    let woken = admissions.release(NOW, &catalog(1, &[]), &slots[0], RunResult::Succeeded, MILLI);
     assert_eq!(woken, numbers[..1]);
-    assert!(admissions.granted(woken[0]).is_some());
-    assert!(admissions.give_up(numbers[1]).is_none(), "it had no slot yet");
-    let woken = admissions.release(NOW, &catalog(1, &[]), &slots[1], RunResult::Good, MILLI);
+    assert!(admissions.take_granted(woken[0]).is_some());
+    assert!(admissions.cancel_wait(numbers[1]).is_none(), "it had no slot yet");
+    let woken = admissions.release(NOW, &catalog(1, &[]), &slots[1], RunResult::Succeeded, MILLI);
     assert_eq!(woken, numbers[2..3]);
 }
 
@@ -77,7 +77,7 @@
 fn a_request_without_patience_is_refused_at_once() {
     let mut admissions = owner(&["na-0"]);
     fill(&mut admissions, false);
-    let answer = admissions.ask(NOW, &service(), &ask(false, 100));
+    let answer = admissions.request_slot(NOW, &service(), &ask(false, 100));
     assert!(matches!(answer, Admission::Refuse(Code::NoCapacity, _)), "{answer:?}");
 }
 
@@ -87,7 +87,7 @@
     policy.slow_start = 10 * SECOND;
     let mut admissions = owner(&["na-0"]);
     let run = |admissions: &mut Admissions, now| {
-        matches!(admissions.ask(now, &policy, &ask(false, 0)), Admission::Run(_))
+        matches!(admissions.request_slot(now, &policy, &ask(false, 0)), Admission::Run(_))
     };
     assert!(run(&mut admissions, NOW));
     assert!(!run(&mut admissions, NOW), "one of two slots at first");
@@ -100,7 +100,7 @@
     let mut admissions = owner(&servers);
     for _ in 0..60 {
         for slot in fill(&mut admissions, false) {
-            admissions.release(NOW, &catalog(1, &[]), &slot, RunResult::Bad, MILLI);
+            admissions.release(NOW, &catalog(1, &[]), &slot, RunResult::Failed, MILLI);
         }
     }
     let (_, slots) = admissions.usage(NOW, ServiceId(0));
@@ -112,11 +112,11 @@
 #[test]
 fn retries_are_a_small_share_of_first_tries() {
     let mut budget = RetryBudget::default();
-    while budget.retry() {}
+    while budget.withdraw() {}
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.first_try(10);
-        retries += u32::from(budget.retry());
+        budget.deposit(10);
+        retries += u32::from(budget.withdraw());
     }
     assert_eq!(retries, 100);
 }
--- a/elmstream/tests/allocations.rs
+++ b/elmstream/tests/allocations.rs
@@ -54,9 +54,9 @@
         peers: "127.0.0.1:1".parse().unwrap(),
         leaving: false,
     };
-    node.take_list(NOW, (0..hosts).map(listed).collect(), Vec::new());
+    node.apply_host_list(NOW, (0..hosts).map(listed).collect(), Vec::new());
     for index in 1..13 {
-        node.heartbeat(NOW, &heartbeat(index));
+        node.on_heartbeat(NOW, &heartbeat(index));
     }
     node.tick(NOW);
     node
@@ -87,7 +87,7 @@
 fn a_heartbeat_allocates_little_at_the_planned_size() {
     let mut node = node(HOSTS);
     let beat = heartbeat(5);
-    allocations("a heartbeat", 0, || drop(node.heartbeat(NOW, &beat)));
+    allocations("a heartbeat", 0, || drop(node.on_heartbeat(NOW, &beat)));
 }
 
 #[test]
--- a/elmstream/tests/bounds.rs
+++ b/elmstream/tests/bounds.rs
@@ -7,7 +7,7 @@
 use elmstream::{
     catalog::Catalog,
     id::{HostRef, Incarnation, Name},
-    member::{DIRECT_MAX, ListedHost},
+    member::{FULL_MESH_PEERS_MAX, ListedHost},
     message::{Command, Heartbeat},
     node::{Node, NodeSettings},
     time::{MILLI, SECOND, Time},
@@ -52,7 +52,7 @@
         peers: address,
         leaving: false,
     };
-    node.take_list(now, (0..HOSTS).map(listed).collect(), Vec::new());
+    node.apply_host_list(now, (0..HOSTS).map(listed).collect(), Vec::new());
     for index in 1..HOSTS {
         let from = HostRef { host: name(index), incarnation: Incarnation(1) };
         let region = ["north", "north", "south"][index % 3].into();
@@ -69,7 +69,7 @@
             lingering: Vec::new(),
             sightings: Vec::new(),
         };
-        node.heartbeat(now, &beat);
+        node.on_heartbeat(now, &beat);
     }
     node
 }
@@ -78,9 +78,9 @@
 fn a_host_of_a_large_fleet_talks_to_few() {
     let mut node = node_of_the_planned_size(catalog(1, &[]));
     for round in 1..20 {
-        node.beat_soon();
+        node.request_early_heartbeat();
         let commands = node.tick(Time(SECOND) + round * 50 * MILLI);
         let beats = commands.iter().filter(|c| matches!(c, Command::Heartbeat(..)));
-        assert!(beats.count() <= DIRECT_MAX);
+        assert!(beats.count() <= FULL_MESH_PEERS_MAX);
     }
 }
--- a/elmstream/tests/large.rs
+++ b/elmstream/tests/large.rs
@@ -102,7 +102,7 @@
     let row = world.hosts[0].node.row().clone();
     let first = row.groups.iter().next().unwrap().clone();
     let victims: Vec<usize> =
-        (0..HOSTS).filter(|&h| first.names(&world.hosts[h].node.me().host)).collect();
+        (0..HOSTS).filter(|&h| first.has_witness(&world.hosts[h].node.me().host)).collect();
     assert_eq!(victims.len(), 5);
     for &victim in &victims {
         world.kill(victim);
--- a/elmstream/tests/parts.rs
+++ b/elmstream/tests/parts.rs
@@ -4,11 +4,11 @@
 
 use elmstream::{
     block::{Block, BlockTable},
-    cap::{Bucket, WHOLE},
     code::{Code, Outcome},
     id::{HostRef, Incarnation, SiteId},
-    once::{Decision, TicketTable},
+    tickets::{TicketDecision, TicketTable},
     time::{MILLI, SECOND, Time},
+    token_bucket::{PARTS_PER_WHOLE, TokenBucket},
 };
 use quickcheck::{Gen, QuickCheck, Testable};
 
@@ -28,13 +28,13 @@
 fn parts_of_a_cap_never_pass_the_whole_in_any_second() {
     fn property(cap: u16, shares: Vec<u8>, gaps: Vec<u16>) -> bool {
         let total: u64 = shares.iter().map(|&s| u64::from(s)).sum::<u64>().max(1);
-        let mut buckets = vec![Bucket::new(Time(0)); shares.len()];
+        let mut buckets = vec![TokenBucket::new(Time(0)); shares.len()];
         let mut now = Time(10 * SECOND);
         let mut passed = Vec::new();
         for gap in gaps {
             now = now + u64::from(gap) % (200 * MILLI);
             for (bucket, &share) in buckets.iter_mut().zip(&shares) {
-                let part = WHOLE * u64::from(share) / total;
+                let part = PARTS_PER_WHOLE * u64::from(share) / total;
                 while bucket.take(now, 1, u64::from(cap), part, 0) {
                     passed.push(now);
                 }
@@ -52,14 +52,14 @@
     fn property(shares: Vec<u8>, pieces: Vec<(u16, u16)>) -> bool {
         const LIMIT: u64 = 100_000;
         let total: u64 = shares.iter().map(|&s| u64::from(s)).sum::<u64>().max(1);
-        let mut buckets = vec![Bucket::new(Time(0)); shares.len()];
+        let mut buckets = vec![TokenBucket::new(Time(0)); shares.len()];
         let mut now = Time(10 * SECOND);
         let mut passed: Vec<(Time, u64)> = Vec::new();
         for (gap, bytes) in pieces {
             now = now + u64::from(gap) % (200 * MILLI);
             for (bucket, &share) in buckets.iter_mut().zip(&shares) {
-                let part = WHOLE * u64::from(share) / total;
-                passed.push((now, bucket.take_some(now, u64::from(bytes), LIMIT, part)));
+                let part = PARTS_PER_WHOLE * u64::from(share) / total;
+                passed.push((now, bucket.take_up_to(now, u64::from(bytes), LIMIT, part)));
             }
         }
         let sum = |(i, (from, _)): (usize, &(Time, u64))| {
@@ -73,10 +73,10 @@
 
 #[test]
 fn a_new_shift_ramps_up() {
-    let mut bucket = Bucket::new(Time(0));
+    let mut bucket = TokenBucket::new(Time(0));
     let mut count = |from: u64, to: u64| {
         let times = (from..to).step_by(MILLI as usize).map(Time);
-        times.filter(|&now| bucket.take(now, 1, 1_000, WHOLE, 10 * SECOND)).count()
+        times.filter(|&now| bucket.take(now, 1, 1_000, PARTS_PER_WHOLE, 10 * SECOND)).count()
     };
     let first = count(SECOND, 2 * SECOND);
     let later = count(11 * SECOND, 12 * SECOND);
@@ -114,17 +114,17 @@
     let ticket = table.issue(issuer, "release".into(), Time(10 * SECOND));
     let now = Time(SECOND);
     let begin = |table: &mut TicketTable, now| table.begin(now, &ticket, "release");
-    assert_eq!(table.begin(now, &ticket, "other"), Decision::Answer(Code::TicketBad));
-    assert_eq!(begin(&mut table, now), Decision::Run);
-    assert_eq!(begin(&mut table, now), Decision::Answer(Code::TicketRunning));
+    assert_eq!(table.begin(now, &ticket, "other"), TicketDecision::Answer(Code::TicketBad));
+    assert_eq!(begin(&mut table, now), TicketDecision::Run);
+    assert_eq!(begin(&mut table, now), TicketDecision::Answer(Code::TicketRunning));
     table.end(ticket.id, true);
-    assert_eq!(begin(&mut table, now), Decision::Run, "it was not run");
+    assert_eq!(begin(&mut table, now), TicketDecision::Run, "it was not run");
     table.end(ticket.id, false);
-    assert_eq!(begin(&mut table, now), Decision::Answer(Code::TicketUsed));
+    assert_eq!(begin(&mut table, now), TicketDecision::Answer(Code::TicketUsed));
     let late = Time(11 * SECOND);
     table.expire(late);
     assert!(table.is_empty());
-    assert_eq!(begin(&mut table, late), Decision::Answer(Code::TicketBad), "and never again");
+    assert_eq!(begin(&mut table, late), TicketDecision::Answer(Code::TicketBad), "and never again");
 }
 
 #[test]
--- a/elmstream/tests/support/mod.rs
+++ b/elmstream/tests/support/mod.rs
@@ -19,8 +19,8 @@
     member::ListedHost,
     message::{Command, Fence, FenceReply, Heartbeat, HeartbeatReply},
     node::{Node, NodeSettings},
-    serve::{OwnerAnswer, OwnerAsk},
-    steward::{Stored, WriteOutcome},
+    request_handling::{OwnerAnswer, OwnerRequest},
+    steward::{StoredRow, WriteOutcome},
     time::{MILLI, SECOND, Time},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -48,7 +48,7 @@
     BeatReply(HeartbeatReply),
     Fence(Fence),
     FenceReply(FenceReply),
-    Read(Option<Stored>),
+    Read(Option<StoredRow>),
     ReadFailed,
     Written(WriteOutcome),
 }
@@ -96,7 +96,7 @@
     pub calls: u64,
     /// Messages between hosts.
     pub messages: u64,
-    rows: BTreeMap<Name, Stored>,
+    rows: BTreeMap<Name, StoredRow>,
     flights: VecDeque<Flight>,
     running: Vec<Running>,
     shifted: BTreeMap<(u32, u32), VecDeque<Time>>,
@@ -274,7 +274,7 @@
 
     /// Begins a planned stop.
     pub fn stop(&mut self, host: usize) {
-        self.hosts[host].node.stop();
+        self.hosts[host].node.begin_stop();
     }
 
     /// Cuts two hosts from each other.
@@ -342,7 +342,7 @@
         };
         let list: Vec<_> = self.shape.iter().enumerate().filter_map(listed).collect();
         for host in &mut self.hosts {
-            host.node.take_list(self.now, list.clone(), Vec::new());
+            host.node.apply_host_list(self.now, list.clone(), Vec::new());
         }
     }
 
@@ -369,7 +369,7 @@
                 continue;
             }
             self.hosts[index].ticked = self.now;
-            self.hosts[index].node.seen_fresh(self.now);
+            self.hosts[index].node.confirm_revision(self.now);
             let commands = self.hosts[index].node.tick(self.now);
             self.carry_out(index, commands);
         }
@@ -425,7 +425,7 @@
             self.versions += 1;
             self.writes += 1;
             let version = self.versions;
-            self.rows.insert(row.region.clone(), Stored { row, version });
+            self.rows.insert(row.region.clone(), StoredRow { row, version });
             outcome = WriteOutcome::Written(version);
         }
         if self.lose_answers > 0 {
@@ -452,26 +452,26 @@
         let node = &mut self.hosts[to].node;
         let commands = match flight.packet {
             Packet::Beat(beat) => {
-                let reply = node.heartbeat(now, &beat);
+                let reply = node.on_heartbeat(now, &beat);
                 self.post(to, flight.from, Packet::BeatReply(reply), 0);
                 return;
             }
             Packet::Fence(fence) => {
-                let reply = node.fence(&fence);
+                let reply = node.on_fence(&fence);
                 self.post(to, flight.from, Packet::FenceReply(reply), 0);
                 return;
             }
-            Packet::BeatReply(reply) => node.heartbeat_reply(now, &reply),
+            Packet::BeatReply(reply) => node.on_heartbeat_reply(now, &reply),
             Packet::FenceReply(reply) => {
-                node.fence_reply(reply);
+                node.on_fence_reply(reply);
                 return;
             }
-            Packet::Read(stored) => node.row_read(now, stored),
+            Packet::Read(stored) => node.on_row_read(now, stored),
             Packet::ReadFailed => {
-                node.row_read_failed();
+                node.on_row_read_failed();
                 return;
             }
-            Packet::Written(outcome) => node.row_written(now, outcome),
+            Packet::Written(outcome) => node.on_row_written(now, outcome),
         };
         self.carry_out(to, commands);
     }
@@ -485,11 +485,11 @@
             let home = self.rng.random_range(0..2u32);
             let home_name = ["north", "south"][home as usize];
             let ask =
-                OwnerAsk { service: "orders", home: home_name, deadline: SECOND, patience: 0 };
+                OwnerRequest { service: "orders", home: home_name, deadline: SECOND, max_wait: 0 };
             let node = &mut self.hosts[index].node;
-            let OwnerAnswer::Run(slot) = node.ask(self.now, &ask) else { continue };
+            let OwnerAnswer::Run(slot) = node.request_slot(self.now, &ask) else { continue };
             let Ok(span) = node.dispatch(self.now, &slot, self.now + SECOND) else {
-                node.finish(self.now, &slot, RunResult::Cancelled, 0);
+                node.finish_run(self.now, &slot, RunResult::Cancelled, 0);
                 continue;
             };
             let here = self.region_of(index);
@@ -501,8 +501,8 @@
                 host: index,
                 incarnation: self.hosts[index].incarnation,
                 slot,
-                done: self.now + took.min(span.end),
-                deadline: self.now + span.end,
+                done: self.now + took.min(span.end_within),
+                deadline: self.now + span.end_within,
                 released: false,
             });
         }
@@ -520,7 +520,7 @@
             }
             if running.incarnation == self.hosts[host].incarnation {
                 let slot = running.slot.clone();
-                self.hosts[host].node.finish(now, &slot, RunResult::Good, 10 * MILLI);
+                self.hosts[host].node.finish_run(now, &slot, RunResult::Succeeded, 10 * MILLI);
             }
             self.running[index].released = true;
         }
@@ -548,7 +548,7 @@
             let held = (0..self.hosts.len()).filter(in_region).filter(|&i| !self.gone[i]);
             let held = held.filter(|&i| self.hosts[i].node.lease().is_held(self.now));
             let sum: u64 = held.map(|i| self.part(i)).sum();
-            if sum > elmstream::cap::WHOLE {
+            if sum > elmstream::token_bucket::PARTS_PER_WHOLE {
                 return Err(format!("{:?}: parts of region {region} sum to {sum}", self.now));
             }
         }
@@ -558,7 +558,7 @@
     fn part(&self, index: usize) -> u64 {
         let node = &self.hosts[index].node;
         let row = node.row();
-        row.owned_by(node.me()).map(|(_, grant)| row.part(grant)).sum()
+        row.owned_by(node.me()).map(|(_, grant)| row.effective_part(grant)).sum()
     }
 
     /// No backend server runs more requests than it has slots.
--- a/elmstream_bench/src/slope.rs
+++ b/elmstream_bench/src/slope.rs
@@ -10,12 +10,12 @@
 use elmstream::{
     allotment::{self, Row},
     catalog::Catalog,
-    group::Candidate,
     id::{HostRef, Incarnation, Name, RegionId},
     member::ListedHost,
     message::{Heartbeat, ServiceLoad},
     node::{Node, NodeSettings},
     time::{MILLI, Time},
+    witness_groups::Candidate,
 };
 use elmstream_config::{
     Configuration,
@@ -173,9 +173,9 @@
     let me = HostRef { host: host_name(0), incarnation: Incarnation(1) };
     let mut node = Node::new(NodeSettings { me, domain: "domain-0".into(), seed: 1 });
     node.set_catalog(NOW, catalog);
-    node.take_list(NOW, (0..hosts).map(listed).collect(), Vec::new());
+    node.apply_host_list(NOW, (0..hosts).map(listed).collect(), Vec::new());
     for index in 1..hosts {
-        node.heartbeat(NOW, &heartbeat(index));
+        node.on_heartbeat(NOW, &heartbeat(index));
     }
     node.tick(NOW);
     node
@@ -192,7 +192,7 @@
         let rounds = 200_000;
         let begin = Instant::now();
         for _ in 0..rounds {
-            black_box(node.heartbeat(NOW, &beat));
+            black_box(node.on_heartbeat(NOW, &beat));
         }
         let cost = begin.elapsed().as_nanos() as f64 / f64::from(rounds);
         Point { size: hosts as f64, cost }
@@ -209,7 +209,7 @@
         let begin = Instant::now();
         for round in 1..=rounds {
             // Hosts must not fall silent, so time passes by the least step.
-            node.beat_soon();
+            node.request_early_heartbeat();
             black_box(node.tick(NOW + u64::from(round) * TICK));
         }
         let cost = begin.elapsed().as_micros() as f64 / f64::from(rounds);
@@ -242,7 +242,7 @@
         let hosts: Vec<Candidate> = (0..(servers / 10).min(220)).map(candidate).collect();
         let empty = Row { region: "region-0".into(), ..Row::default() };
         let begin = Instant::now();
-        let row = allotment::plan(&catalog, RegionId(0), &empty, &hosts);
+        let row = allotment::plan_next_row(&catalog, RegionId(0), &empty, &hosts);
         times.push(Point { size: servers as f64, cost: begin.elapsed().as_micros() as f64 });
         let bytes = row.map_or(0, |row| serde_json::to_vec(&row).map_or(0, |text| text.len()));
         sizes.push(Point { size: servers as f64, cost: bytes as f64 });
--- a/elmstream_proto/src/peer.rs
+++ b/elmstream_proto/src/peer.rs
@@ -9,7 +9,7 @@
 use elmstream::{
     id::Name,
     message::{Fence, FenceReply, Heartbeat, HeartbeatReply, ServiceLoad},
-    once::Ticket,
+    tickets::Ticket,
 };
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use snafu::{ResultExt, Snafu};
--- a/elmstreamd/src/answer.rs
+++ b/elmstreamd/src/answer.rs
@@ -2,7 +2,7 @@
 
 use elmstream::{
     code::{Code, Outcome},
-    serve::Refusal,
+    request_handling::Refusal,
     time::SECOND,
 };
 use elmstream_http::{LocalBody, body};
--- a/elmstreamd/src/callers.rs
+++ b/elmstreamd/src/callers.rs
@@ -6,9 +6,9 @@
     catalog::OncePolicy,
     code::{Code, Outcome},
     id::ServiceId,
-    once::{Decision, Ticket, TicketId},
-    serve::Refusal,
+    request_handling::Refusal,
     steward::WriteOutcome,
+    tickets::{Ticket, TicketDecision, TicketId},
     time::{MILLI, SECOND},
 };
 use elmstream_http::{LocalBody, body, server::Cut};
@@ -85,7 +85,7 @@
     let choices = node.lookup(now, client.ip(), service)?;
     let name = service.into();
     let tickets = node.issue_tickets(now, &name, wanted.min(TICKETS_MAX), TICKET_LIFE);
-    let host = |c: &elmstream::lookup::Choice| LookupHost {
+    let host = |c: &elmstream::lookup::RankedHost| LookupHost {
         name: c.host.to_string(),
         callers: c.callers,
         weight: c.weight,
@@ -214,7 +214,7 @@
         let mut node = daemon.node.borrow_mut();
         node.begin_ticket(clock::now(), &ticket, &job.head.service)
     };
-    if let Decision::Answer(code) = decision {
+    if let TicketDecision::Answer(code) = decision {
         return end_with(code);
     }
     let mut guard = TicketGuard { daemon: daemon.clone(), id: ticket.id, not_run: false };
@@ -230,8 +230,9 @@
         let member = node.members().get(&ticket.issuer.host);
         // Of a host that is no partner the incarnation may not be known; it
         // will tell itself that the ticket is not its own.
-        member
-            .is_some_and(|m| m.may_be_live(now) && (!m.is_known() || m.host_ref() == ticket.issuer))
+        member.is_some_and(|m| {
+            m.may_be_live(now) && (!m.has_known_incarnation() || m.host_ref() == ticket.issuer)
+        })
     };
     if !is_there {
         return end_with(Code::TicketHostGone);
--- a/elmstreamd/src/configuration.rs
+++ b/elmstreamd/src/configuration.rs
@@ -288,7 +288,7 @@
         return false;
     };
     if head.revision <= daemon.current.borrow().revision {
-        daemon.node.borrow_mut().seen_fresh(clock::now());
+        daemon.node.borrow_mut().confirm_revision(clock::now());
         return true;
     }
     let Ok(Some(bytes)) = daemon.objects.get(&head.object).await else { return false };
--- a/elmstreamd/src/daemon.rs
+++ b/elmstreamd/src/daemon.rs
@@ -13,7 +13,7 @@
     code::Code,
     id::{HostRef, Incarnation, Name},
     node::{Node, NodeSettings},
-    serve::Refusal,
+    request_handling::Refusal,
     time::SECOND,
 };
 use elmstream_config::Settings;
--- a/elmstreamd/src/forward.rs
+++ b/elmstreamd/src/forward.rs
@@ -8,8 +8,8 @@
     code::{Code, Outcome},
     id::{Name, ServiceId},
     message::ServiceLoad,
+    request_handling::Refusal,
     route::Attempt,
-    serve::Refusal,
     time::{MILLI, SECOND, Time},
 };
 use elmstream_http::{LocalBody, body};
@@ -145,7 +145,7 @@
             break;
         }
         job.head.deadline = left;
-        job.head.patience = attempt.patience;
+        job.head.patience = attempt.max_wait;
         let mut tried = try_one(daemon, job, &attempt).await;
         if let Some(pause) = short_wait(daemon, job, &tried) {
             compio::time::sleep(pause).await;
@@ -162,7 +162,7 @@
             }
             Tried::NotRun(refusal) => {
                 let mut node = daemon.node.borrow_mut();
-                node.refused(clock::now(), &attempt, &job.head.service, &refusal);
+                node.record_refusal(clock::now(), &attempt, &job.head.service, &refusal);
                 last = refusal;
             }
             Tried::Failed(code) => {
@@ -185,7 +185,7 @@
     let Tried::NotRun(refusal) = tried else { return None };
     let is_cap = matches!(refusal.code, Code::ShiftCapped | Code::LinkLimited);
     let is_soon = refusal.retry_after <= CAP_PAUSE_MAX;
-    let may = is_cap && is_soon && daemon.node.borrow_mut().may_retry(job.service);
+    let may = is_cap && is_soon && daemon.node.borrow_mut().withdraw_retry(job.service);
     may.then(|| Duration::from_micros(refusal.retry_after))
 }
 
@@ -216,18 +216,18 @@
 
 /// Whether a request that may have run may be tried again.
 fn may_repeat(daemon: &Daemon, job: &Job) -> bool {
-    job.repeatable && !job.is_spent() && daemon.node.borrow_mut().may_retry(job.service)
+    job.repeatable && !job.is_spent() && daemon.node.borrow_mut().withdraw_retry(job.service)
 }
 
 async fn try_one(daemon: &Rc<Daemon>, job: &mut Job, attempt: &Attempt) -> Tried {
     let is_here = attempt.owner == *daemon.node.borrow().me();
     let owner = &attempt.owner.host;
-    daemon.node.borrow_mut().sent(owner, &job.head.service);
+    daemon.node.borrow_mut().record_sent(owner, &job.head.service);
     let tried = match is_here {
         true => try_here(daemon, job).await,
         false => try_there(daemon, job, owner).await,
     };
-    daemon.node.borrow_mut().answered(owner, &job.head.service);
+    daemon.node.borrow_mut().record_answer(owner, &job.head.service);
     tried
 }
 
@@ -270,7 +270,7 @@
         None => Err(Code::PeerUnreachable),
     };
     let Ok((send, recv)) = streams else {
-        daemon.node.borrow_mut().unreachable(clock::now(), host);
+        daemon.node.borrow_mut().record_unreachable(clock::now(), host);
         return Tried::NotRun(Refusal { code: Code::PeerUnreachable, retry_after: SECOND });
     };
     let within = Duration::from_micros(job.deadline.since(clock::now()));
@@ -325,7 +325,7 @@
 /// Notes what an owner says of its load with an answer.
 fn take_load(daemon: &Daemon, host: &Name, load: &Option<ServiceLoad>) {
     if let Some(load) = load {
-        daemon.node.borrow_mut().take_load(host, load.clone());
+        daemon.node.borrow_mut().update_owner_load(host, load.clone());
     }
 }
 
--- a/elmstreamd/src/lifecycle.rs
+++ b/elmstreamd/src/lifecycle.rs
@@ -147,8 +147,8 @@
     serving: compio::runtime::JoinHandle<io::Result<()>>,
 ) {
     log::info!("a planned stop begins");
-    daemon.node.borrow_mut().stop();
-    daemon.node.borrow_mut().beat_soon();
+    daemon.node.borrow_mut().begin_stop();
+    daemon.node.borrow_mut().request_early_heartbeat();
     // Clients may use an answer of a look-up until its time to live is over,
     // and other hosts may give one until they hear of the stop.
     let ttl = Duration::from_millis(daemon.settings.callers.lookup_ttl_ms);
@@ -159,7 +159,7 @@
         if compio::time::timeout(HAND_OVER_MAX, handed_over(daemon)).await.is_err() {
             // The table is out, so nobody can take over yet.
             log::warn!("ownership was not handed over in {HAND_OVER_MAX:?}");
-            daemon.node.borrow_mut().abandon();
+            daemon.node.borrow_mut().abandon_ownership();
         }
         while !daemon.is_idle() {
             compio::time::sleep(STOP_PAUSE).await;
@@ -169,7 +169,7 @@
         log::warn!("the stop did not finish in {STOP_MAX:?}");
     }
     // The others learn that nothing is owned here before the host is gone.
-    daemon.node.borrow_mut().beat_soon();
+    daemon.node.borrow_mut().request_early_heartbeat();
     compio::time::sleep(STOP_LINGER).await;
 }
 
--- a/elmstreamd/src/operators.rs
+++ b/elmstreamd/src/operators.rs
@@ -183,7 +183,7 @@
         region: region_of(&m.domain),
         // In a large fleet the platform's list speaks for hosts that send nothing here.
         live: m.is_live(now) || !node.is_small_fleet() && m.may_be_live(now),
-        leaving: !m.is_staying(),
+        leaving: !m.takes_new_work(),
         revision: revision(m),
         weight: m.weight,
     };
--- a/elmstreamd/src/owner.rs
+++ b/elmstreamd/src/owner.rs
@@ -9,7 +9,7 @@
 use elmstream::{
     admission::{RunResult, Slot},
     code::Code,
-    serve::{OwnerAnswer, OwnerAsk, Refusal, Span},
+    request_handling::{OwnerAnswer, OwnerRequest, Refusal, RunWindow},
     time::{MILLI, SECOND, Time},
 };
 use elmstream_http::{BoxError, LocalBody, body};
@@ -65,7 +65,7 @@
 }
 
 fn give_back(daemon: &Daemon, slot: &Slot, result: RunResult, took: u64) {
-    let woken = daemon.node.borrow_mut().finish(clock::now(), slot, result, took);
+    let woken = daemon.node.borrow_mut().finish_run(clock::now(), slot, result, took);
     daemon.wake(&woken);
 }
 
@@ -78,7 +78,7 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         self.daemon.wakers.borrow_mut().remove(&self.number);
-        let woken = self.daemon.node.borrow_mut().give_up(clock::now(), self.number);
+        let woken = self.daemon.node.borrow_mut().cancel_wait(clock::now(), self.number);
         self.daemon.wake(&woken);
     }
 }
@@ -86,13 +86,13 @@
 /// Gets a slot for a request, or waits for one within its patience.
 pub async fn admit(daemon: &Rc<Daemon>, head: &RequestHead) -> Result<SlotGuard, Refusal> {
     let deadline = clock::now() + head.deadline;
-    let ask = OwnerAsk {
+    let ask = OwnerRequest {
         service: &head.service,
         home: &head.home,
         deadline: head.deadline,
-        patience: head.patience,
+        max_wait: head.patience,
     };
-    let answer = daemon.node.borrow_mut().ask(clock::now(), &ask);
+    let answer = daemon.node.borrow_mut().request_slot(clock::now(), &ask);
     let slot = match answer {
         OwnerAnswer::Run(slot) => slot,
         OwnerAnswer::Wait(number) => wait(daemon, number, head).await?,
@@ -109,7 +109,7 @@
     let waiting = Waiting { daemon: daemon.clone(), number };
     let patience = Duration::from_micros(head.patience.min(head.deadline));
     let _ = compio::time::timeout(patience, woken).await;
-    let granted = daemon.node.borrow_mut().granted(number);
+    let granted = daemon.node.borrow_mut().take_granted_slot(number);
     drop(waiting);
     granted.ok_or(Refusal { code: Code::NoCapacity, retry_after: head.patience })
 }
@@ -121,7 +121,7 @@
         return not_run(Code::NoOwner);
     };
     let Ok(mut connection) = daemon.pool.take(address).await else {
-        guard.result = RunResult::Bad;
+        guard.result = RunResult::Failed;
         return not_run(Code::BackendConnect);
     };
     // The wall's time is read first: a pause after it makes the deadline that
@@ -131,7 +131,7 @@
         Ok(span) => span,
         Err(refusal) => return Run::NotRun(refusal),
     };
-    let until = Instant::now() + Duration::from_micros(span.end);
+    let until = Instant::now() + Duration::from_micros(span.end_within);
     let Some(request) = request(head, body, wall, span) else {
         return not_run(Code::BadRequest);
     };
@@ -139,13 +139,13 @@
     guard.running = true;
     match compio::time::timeout_at(until, sending).await {
         Ok(Ok(response)) if response.headers().contains_key(header::SHED) => {
-            guard.result = RunResult::Bad;
+            guard.result = RunResult::Failed;
             guard.running = false;
             not_run(Code::BackendShed)
         }
         Ok(Ok(response)) => answered(guard, connection, response, until),
         Ok(Err(error)) => {
-            guard.result = RunResult::Bad;
+            guard.result = RunResult::Failed;
             // The request comes back if not a byte of it was written.
             match error.message().is_some() {
                 true => {
@@ -156,7 +156,7 @@
             }
         }
         Err(_) => {
-            guard.result = RunResult::Bad;
+            guard.result = RunResult::Failed;
             Run::Failed(Code::DeadlinePassed)
         }
     }
@@ -171,7 +171,7 @@
     head: &RequestHead,
     body: LocalBody,
     wall: u64,
-    span: Span,
+    span: RunWindow,
 ) -> Option<Request<LocalBody>> {
     let mut request = Request::builder().method(head.method.as_str()).uri(head.target.as_str());
     let headers = request.headers_mut()?;
@@ -179,8 +179,8 @@
         let name = HeaderName::try_from(field.name.as_str()).ok()?;
         headers.append(name, HeaderValue::from_bytes(&field.value).ok()?);
     }
-    headers.insert(header::BEGIN_BY, HeaderValue::from(wall + span.begin / MILLI));
-    headers.insert(header::DEADLINE, HeaderValue::from(wall + span.end / MILLI));
+    headers.insert(header::BEGIN_BY, HeaderValue::from(wall + span.begin_within / MILLI));
+    headers.insert(header::DEADLINE, HeaderValue::from(wall + span.end_within / MILLI));
     request.body(body).ok()
 }
 
@@ -230,11 +230,11 @@
             None
         }
         Ok(Some(Err(error))) => {
-            reading.guard.result = RunResult::Bad;
+            reading.guard.result = RunResult::Failed;
             Some((Err(error.into()), None))
         }
         Err(elapsed) => {
-            reading.guard.result = RunResult::Bad;
+            reading.guard.result = RunResult::Failed;
             Some((Err(elapsed.into()), None))
         }
     }
@@ -243,7 +243,7 @@
 impl Reading {
     /// The body is whole: the connection may carry another request.
     fn finish(&mut self) {
-        self.guard.result = RunResult::Good;
+        self.guard.result = RunResult::Succeeded;
         self.guard.running = false;
         let daemon = &self.guard.daemon;
         if let (Some(connection), Some(address)) =
--- a/elmstreamd/src/peer_server.rs
+++ b/elmstreamd/src/peer_server.rs
@@ -4,7 +4,8 @@
 
 use compio::quic::{Connection, RecvStream, SendStream};
 use elmstream::{
-    code::Code, id::Name, message::ServiceLoad, once::Ticket, serve::Refusal, time::SECOND,
+    code::Code, id::Name, message::ServiceLoad, request_handling::Refusal, tickets::Ticket,
+    time::SECOND,
 };
 use elmstream_http::{LocalBody, body};
 use elmstream_proto::{
@@ -69,12 +70,12 @@
             if beat.revision > daemon.current.borrow().revision {
                 daemon.want_revision();
             }
-            let reply = daemon.node.borrow_mut().heartbeat(clock::now(), &beat);
+            let reply = daemon.node.borrow_mut().on_heartbeat(clock::now(), &beat);
             // An epoch that was just taken or settled there moves ours forward.
             ticker::tick(daemon);
             Reply::Heartbeat(reply)
         }
-        Open::Fence(fence) => Reply::Fence(daemon.node.borrow_mut().fence(&fence)),
+        Open::Fence(fence) => Reply::Fence(daemon.node.borrow_mut().on_fence(&fence)),
         Open::Fetch => Reply::Configuration(in_force(daemon)),
         Open::Push(_) | Open::Request(_) | Open::Ticketed(..) => malformed(),
     }
--- a/elmstreamd/src/ticker.rs
+++ b/elmstreamd/src/ticker.rs
@@ -7,7 +7,7 @@
     allotment::Row,
     id::Name,
     message::{Command, Event, Fence, Heartbeat},
-    steward::{Stored, WriteOutcome},
+    steward::{StoredRow, WriteOutcome},
 };
 use elmstream_http::{Stop, body};
 use elmstream_proto::peer::{Open, Reply};
@@ -50,7 +50,7 @@
         match daemon.hosts.hosts().await {
             Ok(hosts) => {
                 let now = clock::now();
-                daemon.node.borrow_mut().take_list(now, hosts.entry_hosts, hosts.leaving);
+                daemon.node.borrow_mut().apply_host_list(now, hosts.entry_hosts, hosts.leaving);
             }
             Err(error) => log::warn!(error:% = error; "the host list was not read"),
         }
@@ -105,7 +105,7 @@
             daemon.want_revision();
         }
         let brings_row = reply.row.is_some();
-        let commands = daemon.node.borrow_mut().heartbeat_reply(clock::now(), &reply);
+        let commands = daemon.node.borrow_mut().on_heartbeat_reply(clock::now(), &reply);
         carry_out(&daemon, commands);
         if brings_row {
             tick(&daemon);
@@ -117,7 +117,7 @@
     let Some(address) = daemon.peer_address(&to) else { return };
     let reply = daemon.peers.exchange(&to, address, &Open::Fence(fence), EXCHANGE).await;
     if let Ok(Reply::Fence(reply)) = reply {
-        daemon.node.borrow_mut().fence_reply(reply);
+        daemon.node.borrow_mut().on_fence_reply(reply);
     }
 }
 
@@ -140,7 +140,7 @@
         serde_json::from_slice::<Load>(&bytes).ok()
     };
     if let Ok(Some(load)) = compio::time::timeout(EXCHANGE, asking).await {
-        daemon.node.borrow_mut().probed(&slot.backend, load.in_flight);
+        daemon.node.borrow_mut().on_probe_reply(&slot.backend, load.in_flight);
     }
 }
 
@@ -153,21 +153,21 @@
     let read = daemon.table.read(&row_key(&region)).await;
     let now = clock::now();
     let commands = match read {
-        Ok(None) => daemon.node.borrow_mut().row_read(now, None),
+        Ok(None) => daemon.node.borrow_mut().on_row_read(now, None),
         Ok(Some(stored)) => match serde_json::from_value::<Row>(stored.value) {
             Ok(row) => {
-                let stored = Stored { row, version: stored.version };
-                daemon.node.borrow_mut().row_read(now, Some(stored))
+                let stored = StoredRow { row, version: stored.version };
+                daemon.node.borrow_mut().on_row_read(now, Some(stored))
             }
             Err(error) => {
                 log::error!(region:% = region, error:% = error; "an allotment row is malformed");
-                daemon.node.borrow_mut().row_read_failed();
+                daemon.node.borrow_mut().on_row_read_failed();
                 return;
             }
         },
         Err(error) => {
             log::warn!(region:% = region, error:% = error; "the allotment row was not read");
-            daemon.node.borrow_mut().row_read_failed();
+            daemon.node.borrow_mut().on_row_read_failed();
             return;
         }
     };
@@ -180,7 +180,7 @@
     if !matches!(outcome, WriteOutcome::Written(_)) {
         log::info!(region:% = row.region, epoch = row.epoch; "a write of the allotment row: {outcome:?}");
     }
-    let commands = daemon.node.borrow_mut().row_written(clock::now(), outcome);
+    let commands = daemon.node.borrow_mut().on_row_written(clock::now(), outcome);
     carry_out(&daemon, commands);
 }
 
--- a/elmstreamd/src/tickets.rs
+++ b/elmstreamd/src/tickets.rs
@@ -1,6 +1,6 @@
 //! Tickets as callers see them: text with a signature by the cluster's key.
 
-use elmstream::once::Ticket;
+use elmstream::tickets::Ticket;
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
