--- a/elmstream/src/block.rs
+++ b/elmstream/src/block.rs
@@ -1,73 +1,76 @@
-//! Blocks of clients: longest-prefix match from an address to a site.
+//! Address blocks of clients: longest-prefix match from an address to a site.
 
 use std::net::IpAddr;
 
 use crate::id::SiteId;
 
-/// A block of clients: an address prefix, in IPv6 form.
+/// Address prefix whose clients belong to one site.
 ///
-/// IPv4 prefixes are mapped into `::ffff:0:0/96`.
+/// Prefixes are kept in IPv6 form; IPv4 prefixes are mapped into `::ffff:0:0/96`.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Block {
-    /// The first address.
+    /// First address of the block.
     pub first: u128,
-    /// The length of the prefix, 0 to 128.
+    /// Length of the IPv6 prefix in bits, 0 to 128.
     pub bits: u8,
-    /// The site that the block belongs to.
+    /// Site that the block belongs to.
     pub site: SiteId,
 }
 
 impl Block {
-    /// A block from an address and the prefix length of its own family.
+    /// Creates a block from an address and a prefix length in bits, counted in
+    /// the address's own family.
     pub fn new(address: IpAddr, prefix: u8, site: SiteId) -> Block {
         let bits = match address {
             IpAddr::V4(_) => prefix + 96,
             IpAddr::V6(_) => prefix,
         };
-        let first = key(address) & mask(bits);
+        let first = address_bits(address) & prefix_mask(bits);
         Block { first, bits, site }
     }
 
-    /// The last address of the block.
+    /// Last address of the block.
     pub fn last(&self) -> u128 {
-        self.first | !mask(self.bits)
+        self.first | !prefix_mask(self.bits)
     }
 }
 
-/// The address as a number, IPv4 mapped into IPv6.
-fn key(address: IpAddr) -> u128 {
+/// Converts an address to its IPv6 bits; IPv4 addresses are mapped into IPv6.
+fn address_bits(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(v4) => v4.to_ipv6_mapped().to_bits(),
         IpAddr::V6(v6) => v6.to_bits(),
     }
 }
 
-/// The mask that keeps the first `bits` bits.
-fn mask(bits: u8) -> u128 {
+/// Bit mask that keeps the first `bits` bits.
+fn prefix_mask(bits: u8) -> u128 {
     match bits {
         0 => 0,
         bits => u128::MAX << (128 - bits),
     }
 }
 
-/// The value of an interval that belongs to no site.
+/// Marks an interval that belongs to no site.
 const NO_SITE: u32 = u32::MAX;
 
-/// Nested blocks flattened into disjoint intervals, for one binary search.
+/// Table of nested blocks, flattened into disjoint intervals so that a look-up
+/// needs a single binary search.
 #[derive(Clone, Debug, Default)]
 pub struct BlockTable {
-    /// Interval starts, ascending.
+    /// Starts of the intervals, in ascending order.
     starts: Vec<u128>,
-    /// The site of the interval at the same index.
+    /// Site of the interval with the same index, or [`NO_SITE`].
     sites: Vec<u32>,
 }
 
 impl BlockTable {
-    /// Flattens the blocks; of two equal blocks the later one counts.
+    /// Builds the table. Of two identical blocks, the one with the higher site
+    /// index wins.
     pub fn new(mut blocks: Vec<Block>) -> BlockTable {
         blocks.sort_unstable_by_key(|b| (b.first, b.bits, b.site));
         let mut table = BlockTable::default();
-        // Each block begins one interval and may end in another one.
+        // Each block starts one interval and may start another one after its end.
         table.starts.reserve(2 * blocks.len());
         table.sites.reserve(2 * blocks.len());
         let mut open: Vec<Block> = Vec::new();
@@ -82,20 +85,22 @@
         table
     }
 
-    /// The site whose longest prefix covers the address.
+    /// Site of the longest prefix that contains the address, or `None` if no
+    /// block does.
     pub fn site(&self, address: IpAddr) -> Option<SiteId> {
-        let key = key(address);
-        let after = self.starts.partition_point(|&start| start <= key);
+        let bits = address_bits(address);
+        let after = self.starts.partition_point(|&start| start <= bits);
         let site = *self.sites.get(after.checked_sub(1)?)?;
         (site != NO_SITE).then_some(SiteId(site))
     }
 
-    /// Bytes that the table holds on the heap.
+    /// Heap memory of the table, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.starts.capacity() * size_of::<u128>() + self.sites.capacity() * size_of::<u32>()
     }
 
-    /// Ends the open blocks that lie before `next`, or all of them.
+    /// Closes the open blocks that end before `next`, or all of them if `next` is
+    /// `None`.
     fn close_before(&mut self, open: &mut Vec<Block>, next: Option<u128>) {
         while let Some(block) = open.last().copied() {
             if next.is_some_and(|first| first <= block.last()) {
@@ -110,7 +115,8 @@
         }
     }
 
-    /// Appends an interval, replacing an empty one at the same start.
+    /// Appends an interval. Replaces the last one if both start at the same
+    /// address, because that one is empty.
     fn push(&mut self, start: u128, site: u32) {
         if self.starts.last() == Some(&start) {
             self.starts.pop();
--- a/elmstream/src/code.rs
+++ b/elmstream/src/code.rs
@@ -1,6 +1,6 @@
-//! The numbered result codes, one table for every program.
+//! Numbered result codes, shared by all programs of the workspace.
 
-/// What a caller may conclude about its request.
+/// What a caller may conclude about whether its request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The backend server answered.
@@ -12,7 +12,7 @@
 }
 
 impl Outcome {
-    /// The value of the `elmstream-outcome` header.
+    /// Value of the `elmstream-outcome` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Ran => "ran",
@@ -22,10 +22,11 @@
     }
 }
 
-/// Declares the codes, their numbers, HTTP statuses and texts.
+/// Declares the codes with their numbers, HTTP statuses and texts.
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $status:literal, $text:literal;)*) => {
-        /// A result code; its number is stable over versions.
+        /// Result code of a request or an operator command. Numbers are stable
+        /// across versions.
         #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
         #[repr(u16)]
         pub enum Code {
@@ -33,20 +34,20 @@
         }
 
         impl Code {
-            /// All codes in the order of their numbers.
+            /// All codes in ascending order of their numbers.
             pub const ALL: &[Code] = &[$(Code::$name,)*];
 
-            /// The HTTP status that carries the code to a caller.
+            /// HTTP status that is sent to a caller with the code.
             pub fn http_status(self) -> u16 {
                 match self { $(Code::$name => $status,)* }
             }
 
-            /// A short text in plain English.
+            /// One-line description in plain English.
             pub fn text(self) -> &'static str {
                 match self { $(Code::$name => $text,)* }
             }
 
-            /// The code with this number.
+            /// Returns the code with this number, or `None` if there is none.
             pub fn from_number(number: u16) -> Option<Code> {
                 match number { $($number => Some(Code::$name),)* _ => None }
             }
@@ -119,15 +120,15 @@
 }
 
 impl Code {
-    /// The stable number.
+    /// Stable number of the code.
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// What the caller may conclude when the system answers with this code.
+    /// What a caller may conclude when it receives this code.
     ///
-    /// Codes below 1200 are refusals made before a byte of the request was
-    /// sent to a backend server, or a backend server's own refusal.
+    /// Codes below 1200 are refusals: either no byte of the request was sent to a
+    /// backend server, or the backend server itself refused the request.
     pub fn outcome(self) -> Outcome {
         match self {
             Code::Ok => Outcome::Ran,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Whether waiting and asking again can help.
+    /// Whether the caller may succeed by waiting and sending the request again.
     pub fn waiting_helps(self) -> bool {
         matches!(self.http_status(), 429 | 503) && self != Code::TicketHostGone
             || self == Code::TicketRunning
--- a/elmstream/src/id.rs
+++ b/elmstream/src/id.rs
@@ -1,24 +1,26 @@
-//! Identifiers: names that travel between hosts, and indexes into tables.
+//! Identifiers: names that are exchanged between hosts, and typed indexes into
+//! the tables of a catalog.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The name of an entity, as operators write it. Cheap to clone.
+/// Name of an entity as written in the configuration. Cloning is cheap.
 pub type Name = Arc<str>;
 
-/// One run of the daemon on an entry host; a restart makes another one.
+/// Identifies one run of the daemon on an entry host. Every restart gets a new
+/// value.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// An entry host and the incarnation of its daemon.
+/// An entry host together with the incarnation of its daemon.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct HostRef {
-    /// The entry host's name.
+    /// Name of the entry host.
     pub host: Name,
-    /// The run of its daemon.
+    /// Incarnation of its daemon.
     pub incarnation: Incarnation,
 }
 
@@ -28,7 +30,7 @@
     }
 }
 
-/// Declares an index into one of the catalog's tables.
+/// Declares a typed index into one of the catalog's tables.
 macro_rules! index {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -36,7 +38,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The index as a `usize`.
+            /// Converts the index for use with a slice.
             pub fn index(self) -> usize {
                 self.0 as usize
             }
@@ -45,22 +47,22 @@
 }
 
 index!(
-    /// Index of a region.
+    /// Index into [`crate::catalog::Catalog::regions`].
     RegionId
 );
 index!(
-    /// Index of a failure domain.
+    /// Index into [`crate::catalog::Catalog::domains`].
     DomainId
 );
 index!(
-    /// Index of a site (a group of blocks of clients).
+    /// Index into [`crate::catalog::Catalog::sites`].
     SiteId
 );
 index!(
-    /// Index of a service.
+    /// Index into [`crate::catalog::Catalog::services`].
     ServiceId
 );
 index!(
-    /// Index of a backend server.
+    /// Index into [`crate::catalog::Catalog::backends`].
     BackendId
 );
--- a/elmstream/src/lib.rs
+++ b/elmstream/src/lib.rs
@@ -1,10 +1,16 @@
-//! The decisions of elmstream.
+//! Decisions of entry hosts that own backend servers by leases.
 //!
-//! Entities live in tables ([`catalog`], [`member`], [`allotment`]); systems
-//! run over them on each tick and on each message. The crate is pure: it does
-//! no I/O, reads no clock and starts no thread. Time, messages and table rows
-//! come in as arguments, commands go out as values, so the same code runs in
-//! the daemon, under property tests with a virtual clock, and in benchmarks.
+//! Each backend server of a region has one owner: the entry host that admits its
+//! requests. Entry hosts hold their servers under leases ([`lease`]), a region's
+//! allotment row names the owners ([`allotment`]), and a steward changes that row
+//! ([`steward`]). Requests are routed to owners ([`route`]), which queue and
+//! admit them ([`admission`]).
+//!
+//! All state of one entry host is in [`node::Node`]. The crate does no I/O, reads
+//! no clock and starts no thread: time, messages and table rows come in as
+//! arguments, and commands go out as values ([`message::Command`]). The daemon,
+//! the property tests with a virtual clock and the benchmarks therefore run
+//! identical code.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstream/src/time.rs
+++ b/elmstream/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and spans, as the core sees them.
+//! Time as used by the decisions: values of a monotonic clock in microseconds.
 
 use std::ops::{Add, Sub};
 
@@ -9,14 +9,15 @@
 /// Microseconds in a second.
 pub const SECOND: u64 = 1_000_000;
 
-/// A point in time, in microseconds of a clock that counts suspension.
+/// Point in time, in microseconds of a monotonic clock that goes on while the
+/// machine is suspended.
 ///
-/// Values of two hosts are never compared with each other.
+/// Each host has its own clock, so times of two hosts must not be compared.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Microseconds from `earlier` to `self`; zero if `earlier` is later.
+    /// Microseconds from `earlier` to `self`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
