--- a/elmstream/src/retry_budget.rs
+++ b/elmstream/src/retry_budget.rs
@@ -1,34 +1,36 @@
-//! The retry budget: retries are a small share of first tries.
+//! Retry budget: limits retries to a small percentage of the first attempts.
 
-/// Hundredths of a retry that may be saved up.
-const SAVED_MAX: u32 = 1_000;
-/// Hundredths that one retry costs.
-const COST: u32 = 100;
+/// Highest balance of a budget, in hundredths of a retry.
+const BALANCE_MAX: u32 = 1_000;
+/// Cost of one retry, in hundredths of a retry.
+const RETRY_COST: u32 = 100;
 
-/// Budget of one service on one entry host.
+/// Retry budget of one service on one entry host. Starts with a full balance.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Hundredths of a retry that are saved up.
-    saved: u32,
+    /// Balance in hundredths of a retry.
+    balance: u32,
 }
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { saved: SAVED_MAX }
+        RetryBudget { balance: BALANCE_MAX }
     }
 }
 
 impl RetryBudget {
-    /// A first try earns a share of a retry.
+    /// Deposits the share of a retry that one first attempt earns, in percent of
+    /// a retry.
     pub fn deposit(&mut self, percent: u32) {
-        self.saved = (self.saved + percent).min(SAVED_MAX);
+        self.balance = (self.balance + percent).min(BALANCE_MAX);
     }
 
-    /// Spends one retry, if the budget has it.
+    /// Withdraws one retry. Returns `false` and leaves the balance unchanged if
+    /// it is too low.
     pub fn withdraw(&mut self) -> bool {
-        let enough = self.saved >= COST;
+        let enough = self.balance >= RETRY_COST;
         if enough {
-            self.saved -= COST;
+            self.balance -= RETRY_COST;
         }
         enough
     }
--- a/elmstream/src/tickets.rs
+++ b/elmstream/src/tickets.rs
@@ -1,9 +1,9 @@
-//! Tickets: a caller's second try never runs a request again.
+//! Tickets: a caller that retries with its ticket never runs a request twice.
 //!
-//! A ticket is bound to one incarnation of one entry host and to a service,
-//! and it expires. Only that incarnation runs a request with it, and it
-//! remembers used tickets until they expire. The signature is made and checked
-//! by the daemon; this table decides what may run.
+//! A ticket is bound to one incarnation of one entry host and to one service, and
+//! it expires. Only the issuing incarnation runs a request with it, and it
+//! remembers used tickets until they expire. The daemon signs tickets and checks
+//! the signatures; this table only decides whether a request may run.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,93 +15,98 @@
     time::Time,
 };
 
-/// Number of a ticket; unique within one incarnation.
+/// Number of a ticket, unique within one incarnation.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TicketId(pub u64);
 
-/// What a ticket says.
+/// Permission to run one request once.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ticket {
-    /// The incarnation that may run the request.
+    /// Entry host and incarnation that issued the ticket and alone may run the
+    /// request.
     pub issuer: HostRef,
-    /// Its number at the issuer.
+    /// Number of the ticket at its issuer.
     pub id: TicketId,
-    /// The service that it is good for.
+    /// Service that the ticket is valid for.
     pub service: Name,
-    /// When it expires, in microseconds of the *issuer's* clock.
+    /// Expiry, on the clock of the *issuer*.
     pub expires: Time,
 }
 
-/// State of a ticket that has been used.
+/// State of a used ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum State {
+enum TicketState {
     Running,
     Ended,
 }
 
-/// What the issuer does with a ticketed request.
+/// Whether the issuer may run a request that carries a ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TicketDecision {
-    /// It is the first try: run it.
+    /// This is the first attempt, or the earlier one did not run: run the
+    /// request.
     Run,
-    /// It must not run; the code says why.
+    /// The request must not run; answer with this code.
     Answer(Code),
 }
 
-/// The used tickets of this incarnation.
+/// Used tickets of this incarnation.
 #[derive(Debug, Default)]
 pub struct TicketTable {
-    next: u64,
-    used: HashMap<TicketId, State>,
-    expiry: BTreeMap<(Time, TicketId), ()>,
+    last_id: u64,
+    used: HashMap<TicketId, TicketState>,
+    by_expiry: BTreeMap<(Time, TicketId), ()>,
 }
 
 impl TicketTable {
-    /// Issues a ticket.
+    /// Issues a ticket that is valid until `expires`.
     pub fn issue(&mut self, issuer: HostRef, service: Name, expires: Time) -> Ticket {
-        self.next += 1;
-        let id = TicketId(self.next);
+        self.last_id += 1;
+        let id = TicketId(self.last_id);
         Ticket { issuer, id, service, expires }
     }
 
-    /// Decides on a try with a ticket whose signature was checked and whose
-    /// issuer is this incarnation.
+    /// Decides whether a request with this ticket may run, and marks the ticket
+    /// as running if so. The caller must have checked the signature and that this
+    /// incarnation is the issuer.
     pub fn begin(&mut self, now: Time, ticket: &Ticket, service: &str) -> TicketDecision {
         if ticket.expires <= now || &*ticket.service != service {
             return TicketDecision::Answer(Code::TicketBad);
         }
         match self.used.get(&ticket.id) {
-            Some(State::Running) => TicketDecision::Answer(Code::TicketRunning),
-            Some(State::Ended) => TicketDecision::Answer(Code::TicketUsed),
+            Some(TicketState::Running) => TicketDecision::Answer(Code::TicketRunning),
+            Some(TicketState::Ended) => TicketDecision::Answer(Code::TicketUsed),
             None => {
-                self.used.insert(ticket.id, State::Running);
-                self.expiry.insert((ticket.expires, ticket.id), ());
+                self.used.insert(ticket.id, TicketState::Running);
+                self.by_expiry.insert((ticket.expires, ticket.id), ());
                 TicketDecision::Run
             }
         }
     }
 
-    /// The try has ended. A try that was not run frees its ticket.
+    /// Records that the attempt ended. If it did not run, the ticket can be used
+    /// again.
     pub fn end(&mut self, id: TicketId, not_run: bool) {
         if not_run {
             self.used.remove(&id);
         } else if let Some(state) = self.used.get_mut(&id) {
-            *state = State::Ended;
+            *state = TicketState::Ended;
         }
     }
 
-    /// Forgets tickets that have expired and are not running.
+    /// Forgets expired tickets; [`TicketTable::begin`] refuses these by their
+    /// expiry.
     pub fn expire(&mut self, now: Time) {
-        while let Some((&(expires, id), ())) = self.expiry.first_key_value() {
+        while let Some((&(expires, id), ())) = self.by_expiry.first_key_value() {
             if expires > now {
                 return;
             }
-            self.expiry.pop_first();
+            self.by_expiry.pop_first();
             self.used.remove(&id);
         }
     }
 
-    /// Used tickets that are remembered.
+    /// Number of used tickets that are remembered.
     pub fn len(&self) -> usize {
         self.used.len()
     }
