--- a/elmstream/src/lease.rs
+++ b/elmstream/src/lease.rs
@@ -1,10 +1,11 @@
 //! Leases: the holder's side and the witness's side.
 //!
-//! An owner acts under a lease of length [`LENGTH`], counted from *before* it
-//! asked for the renewal. A majority of the witnesses that its row names must
-//! promise. A witness that was fenced at an epoch never promises at it again;
-//! it keeps this in memory only, which is safe because a restarted witness is
-//! another incarnation and no row names it.
+//! An owner acts under a lease of [`LEASE_LENGTH`], counted from *before* it sent
+//! the renewal request, so that it never assumes a later end than its witnesses.
+//! A majority of the witnesses named in the region's row must promise each
+//! renewal. A witness that was fenced at an epoch never promises at that epoch
+//! again. It keeps the fence in memory only: after a restart the witness is
+//! another incarnation, and no row names that one.
 
 use std::collections::{HashMap, HashSet};
 
@@ -15,71 +16,73 @@
     witness_groups::Group,
 };
 
-/// Length of a lease in microseconds.
+/// Length of a lease, in microseconds.
 pub const LEASE_LENGTH: u64 = 3_000 * MILLI;
 
-/// The holder's side: the lease on everything that a region's row gives it.
+/// The holder's side: the lease on everything that the region's row grants to the
+/// host.
 #[derive(Debug, Default)]
 pub struct Lease {
-    /// The epoch that the present round asks at.
+    /// Epoch at which the open rounds ask for a renewal.
     epoch: u64,
-    /// Rounds under way: sequence, when it was asked, who has promised.
+    /// Renewal rounds that may still be answered, oldest first.
     rounds: Vec<Round>,
-    /// The lease runs to this time.
+    /// End of the lease.
     until: Time,
 }
 
-/// One round of asking the witnesses.
+/// One renewal request to all witnesses.
 #[derive(Debug)]
 struct Round {
     sequence: u64,
-    asked: Time,
-    promised: HashSet<HostRef>,
+    asked_at: Time,
+    promised_by: HashSet<HostRef>,
 }
 
-/// Rounds that are kept open at a time; older ones are given up.
-const ROUNDS_OPEN: usize = 4;
+/// Rounds that are open at a time; the oldest one is dropped first.
+const OPEN_ROUNDS_MAX: usize = 4;
 
 impl Lease {
-    /// Starts a round; `now` must be read before the request is sent.
+    /// Starts a renewal round. `now` must be read before the request is sent.
     pub fn begin_round(&mut self, now: Time, epoch: u64, sequence: u64) {
         if self.epoch != epoch {
             self.rounds.clear();
             self.epoch = epoch;
         }
-        if self.rounds.len() >= ROUNDS_OPEN {
+        if self.rounds.len() >= OPEN_ROUNDS_MAX {
             self.rounds.remove(0);
         }
-        let promised = HashSet::new();
-        self.rounds.push(Round { sequence, asked: now, promised });
+        let promised_by = HashSet::new();
+        self.rounds.push(Round { sequence, asked_at: now, promised_by });
     }
 
-    /// A witness of the holder's group promised at `epoch` for round `sequence`.
-    pub fn on_promise(&mut self, group: &Group, by: &HostRef, epoch: u64, sequence: u64) {
-        if epoch != self.epoch || !group.witnesses.contains(by) {
+    /// Records that a witness of the holder's group promised a renewal at `epoch`
+    /// in round `sequence`. A majority extends the lease.
+    pub fn on_promise(&mut self, group: &Group, witness: &HostRef, epoch: u64, sequence: u64) {
+        if epoch != self.epoch || !group.witnesses.contains(witness) {
             return;
         }
         let Some(round) = self.rounds.iter_mut().find(|r| r.sequence == sequence) else {
             return;
         };
-        round.promised.insert(by.clone());
-        if group.has_majority(|w| round.promised.contains(w)) {
-            self.until = self.until.max(round.asked + LEASE_LENGTH);
+        round.promised_by.insert(witness.clone());
+        if group.has_majority(|w| round.promised_by.contains(w)) {
+            self.until = self.until.max(round.asked_at + LEASE_LENGTH);
         }
     }
 
-    /// The table took a renewal of what was asked in round `sequence`.
+    /// Extends the lease by a renewal that was written to the table.
     pub fn on_table_renewal(&mut self, renewal: TableRenewal) {
         if renewal.epoch != self.epoch {
             return;
         }
         let round = self.rounds.iter().find(|r| r.sequence == renewal.sequence);
         if let Some(round) = round {
-            self.until = self.until.max(round.asked + LEASE_LENGTH);
+            self.until = self.until.max(round.asked_at + LEASE_LENGTH);
         }
     }
 
-    /// The time to which the lease runs.
+    /// End of the lease.
     pub fn until(&self) -> Time {
         self.until
     }
@@ -90,19 +93,19 @@
     }
 }
 
-/// The witness's side: the highest epoch fenced, per region.
+/// The witness's side: the highest fenced epoch of each region.
 #[derive(Debug, Default)]
 pub struct Witness {
     fenced: HashMap<Name, u64>,
 }
 
 impl Witness {
-    /// Whether the witness promises a renewal at `epoch`.
+    /// Whether the witness may promise a renewal at `epoch`.
     pub fn promises(&self, region: &str, epoch: u64) -> bool {
         self.fenced.get(region).is_none_or(|&fenced| epoch > fenced)
     }
 
-    /// Never promises at `epoch` or below again.
+    /// Stops promises at `epoch` and below for good.
     pub fn fence(&mut self, region: &Name, epoch: u64) {
         let fenced = self.fenced.entry(region.clone()).or_default();
         *fenced = epoch.max(*fenced);
--- a/elmstream/src/witness_groups.rs
+++ b/elmstream/src/witness_groups.rs
@@ -1,113 +1,118 @@
 //! Groups of witnesses.
 //!
 //! A region's row names one group of witnesses for about [`GROUP_HOSTS`] hosts.
-//! A host's lease is promised by a majority of its own group, so a witness
-//! answers a bounded number of hosts in a region of any size. A takeover
-//! fences a majority of every group. The first group in which a host is live
-//! is the *steward's group*: its witnesses are told of all hosts of the region,
-//! and the first live one of them is the steward.
+//! The lease of a host is promised by a majority of its own group, so the load of
+//! a witness stays bounded however many hosts the region has. A takeover fences a
+//! majority of every group.
+//!
+//! The first group with a live witness is the *steward group*: its witnesses
+//! receive the state of all hosts of the region, and its first live witness is
+//! the steward.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::id::{HostRef, Name};
 
-/// Witnesses in a group at most.
+/// Most witnesses in a group.
 pub const GROUP_WITNESSES_MAX: usize = 5;
-/// Hosts that one group serves when the groups are planned.
+/// Hosts per group when groups are planned.
 pub const GROUP_HOSTS: usize = 16;
-/// Hosts of a region from which on there is more than one group, and hosts
-/// that a group may come to serve before the groups are planned anew.
+/// Most hosts that one group may serve. With more hosts than that per group, the
+/// groups are planned again.
 pub const GROUP_HOSTS_MAX: usize = 29;
-/// Hosts below which a group is one too many.
+/// Fewest hosts per group; with fewer, the number of groups is planned again. A
+/// single group always stays.
 const GROUP_HOSTS_MIN: usize = 8;
 
-/// A host that may own or witness.
+/// Live host that may own backend servers or be a witness.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The host.
+    /// Host and incarnation.
     pub host: HostRef,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: Name,
-    /// Whether it may own; a host that leaves or drains may not.
+    /// Whether it may own backend servers; a host that is leaving or draining may
+    /// not.
     pub may_own: bool,
 }
 
-/// Witnesses that promise to a part of a region's hosts.
+/// Witnesses that promise the leases of one group of hosts.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Group {
-    /// The witnesses; an odd number, each in one group only.
+    /// The witnesses. Their number is odd, and each is in one group only.
     pub witnesses: Vec<HostRef>,
 }
 
-/// All groups of a region.
+/// All witness groups of a region.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Groups(Vec<Group>);
 
 impl Group {
-    /// Whether a majority of the witnesses is such.
-    pub fn has_majority(&self, is_such: impl Fn(&HostRef) -> bool) -> bool {
-        let count = self.witnesses.iter().filter(|w| is_such(w)).count();
+    /// Whether `counts` holds for a majority of the witnesses.
+    pub fn has_majority(&self, counts: impl Fn(&HostRef) -> bool) -> bool {
+        let count = self.witnesses.iter().filter(|w| counts(w)).count();
         count > self.witnesses.len() / 2
     }
 
-    /// Whether a host is a witness, in whatever incarnation.
+    /// Whether any incarnation of `host` is a witness of the group.
     pub fn has_witness(&self, host: &str) -> bool {
         self.witnesses.iter().any(|w| *w.host == *host)
     }
 }
 
 impl Groups {
-    /// The group that serves a host.
+    /// Group that promises the lease of `host`.
     pub fn group_of(&self, host: &str) -> Option<&Group> {
         self.0.get(self.group_index_of(host)?)
     }
 
-    /// The index of the group that serves a host.
+    /// Index of the group that promises the lease of `host`.
     pub fn group_index_of(&self, host: &str) -> Option<usize> {
         let count = self.0.len() as u64;
         (count > 0).then(|| (xxh3_64(host.as_bytes()) % count) as usize)
     }
 
-    /// The index of the group that a host is a witness of.
+    /// Index of the group that `host` is a witness of.
     pub fn witnessed_group_index(&self, host: &str) -> Option<usize> {
         self.0.iter().position(|group| group.has_witness(host))
     }
 
-    /// The first group with a witness that is live.
+    /// First group with a live witness.
     pub fn steward_group(&self, is_live: impl Fn(&Name) -> bool) -> Option<&Group> {
         self.0.iter().find(|group| group.witnesses.iter().any(|w| is_live(&w.host)))
     }
 
-    /// The groups.
+    /// Iterates over the groups.
     pub fn iter(&self) -> impl Iterator<Item = &Group> {
         self.0.iter()
     }
 
-    /// All witnesses.
+    /// Iterates over the witnesses of all groups.
     pub fn witnesses(&self) -> impl Iterator<Item = &HostRef> {
         self.0.iter().flat_map(|group| &group.witnesses)
     }
 
-    /// Whether there is none.
+    /// Whether no group has a witness.
     pub fn is_empty(&self) -> bool {
         self.0.iter().all(|group| group.witnesses.is_empty())
     }
 
-    /// Whether each group has a majority of such witnesses.
-    pub fn each_has_majority(&self, is_such: impl Fn(&HostRef) -> bool) -> bool {
-        self.0.iter().all(|group| group.has_majority(&is_such))
+    /// Whether `counts` holds for a majority of the witnesses of every group.
+    pub fn each_has_majority(&self, counts: impl Fn(&HostRef) -> bool) -> bool {
+        self.0.iter().all(|group| group.has_majority(&counts))
     }
 
-    /// Keeps live witnesses and fills up from the live hosts of the region.
+    /// Plans the next groups: keeps live witnesses and fills vacancies with live
+    /// hosts of the region.
     pub fn plan_next(&self, hosts: &[Candidate]) -> Groups {
-        let count = self.wanted(hosts.len());
+        let count = self.group_count(hosts.len());
         let share = hosts.len().checked_div(count).unwrap_or(0);
         let size = odd_at_most(share.min(GROUP_WITNESSES_MAX));
         let mut planned: Vec<Group> = (0..count)
             .map(|index| self.0.get(index).cloned().unwrap_or_default())
-            .map(|group| group.keep_live(hosts, size))
+            .map(|group| group.retain_live(hosts, size))
             .collect();
         for index in 0..count {
             while planned[index].witnesses.len() < size {
@@ -118,12 +123,13 @@
         Groups(planned)
     }
 
-    /// The number of groups for so many hosts; the present one if it will do.
-    fn wanted(&self, hosts: usize) -> usize {
+    /// Number of groups for this number of hosts. Keeps the present number while
+    /// it fits.
+    fn group_count(&self, hosts: usize) -> usize {
         let present = self.0.len();
         let fits = present > 0 && hosts <= present * GROUP_HOSTS_MAX;
-        let is_full = present == 1 || hosts >= present * GROUP_HOSTS_MIN;
-        match (hosts, fits && is_full) {
+        let is_large_enough = present == 1 || hosts >= present * GROUP_HOSTS_MIN;
+        match (hosts, fits && is_large_enough) {
             (0, _) => 0,
             (_, true) => present,
             (..=GROUP_HOSTS_MAX, false) => 1,
@@ -133,7 +139,7 @@
 }
 
 impl Group {
-    fn keep_live(mut self, hosts: &[Candidate], size: usize) -> Group {
+    fn retain_live(mut self, hosts: &[Candidate], size: usize) -> Group {
         let is_live = |w: &HostRef| hosts.iter().any(|c| c.host == *w && c.may_own);
         self.witnesses.retain(is_live);
         self.witnesses.truncate(size);
@@ -141,8 +147,8 @@
     }
 }
 
-/// The next witness of a group: one that no group has, that stays, and whose
-/// failure domain has the fewest witnesses of the group.
+/// Next witness for a group: a host that is in no group yet. Prefers hosts that
+/// may own servers, then failure domains with the fewest witnesses of the group.
 fn next_witness(groups: &[Group], index: usize, hosts: &[Candidate]) -> Option<HostRef> {
     let domain = |w: &HostRef| hosts.iter().find(|c| c.host == *w).map(|c| &c.domain);
     let is_free = |c: &&Candidate| !groups.iter().any(|g| g.witnesses.contains(&c.host));
@@ -154,7 +160,7 @@
     free.min_by_key(|c| (!c.may_own, same_domain(c))).map(|c| c.host.clone())
 }
 
-/// The largest odd number that is not above `count`.
+/// Largest odd number up to `count`, or zero.
 fn odd_at_most(count: usize) -> usize {
     if count.is_multiple_of(2) { count.saturating_sub(1) } else { count }
 }
