--- a/elmstream/src/catalog.rs
+++ b/elmstream/src/catalog.rs
@@ -1,4 +1,5 @@
-//! The operators' configuration, compiled into tables of entities.
+//! The operators' configuration, compiled into tables that are addressed by
+//! index.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -7,85 +8,88 @@
     id::{BackendId, DomainId, Name, RegionId, ServiceId},
 };
 
-/// A region: a group of failure domains with short delays between them.
+/// Group of failure domains with short delays between them.
 #[derive(Clone, Debug)]
 pub struct Region {
-    /// Its name.
+    /// Name of the region.
     pub name: Name,
-    /// Whether it takes no new work.
+    /// Whether operators drain the region, so that it gets no new requests.
     pub draining: bool,
 }
 
-/// A failure domain: hosts that may fail together.
+/// Hosts and backend servers that may fail together.
 #[derive(Clone, Debug)]
 pub struct Domain {
-    /// Its name.
+    /// Name of the failure domain.
     pub name: Name,
-    /// The region that it lies in.
+    /// Region that the domain belongs to.
     pub region: RegionId,
-    /// Whether it takes no new work.
+    /// Whether operators drain the domain, so that it gets no new requests.
     pub draining: bool,
 }
 
-/// A site: blocks of clients that share a home region.
+/// Blocks of client addresses that share a home region.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Its name.
+    /// Name of the site.
     pub name: Name,
-    /// The region that serves its clients first.
+    /// Home region of its clients.
     pub home: RegionId,
 }
 
-/// What a host that may be behind does with a service's requests.
+/// What an entry host does with a service's requests while its configuration may
+/// be outdated.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Isolation {
-    /// Goes on, in its own region only.
+    /// Serves them, but only in its own region.
     #[default]
     OwnRegion,
-    /// Answers "not run".
+    /// Refuses them with the outcome "not run".
     Stop,
 }
 
-/// How a request that may not be repeated is kept from running twice.
+/// How a request that must not be repeated is kept from running twice.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum OncePolicy {
-    /// By a ticket where the caller brings one.
+    /// With a ticket, if the caller sends one.
     #[default]
     TicketOptional,
-    /// By a ticket, which the caller must bring.
+    /// With a ticket, which the caller has to send.
     TicketRequired,
-    /// By a claim row in the table service, keyed by the caller's request id.
+    /// With a claim row in the table service, keyed by the caller's request id.
     Claim,
 }
 
 /// A service and its policy.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Name,
-    /// Values of `Host` that name it.
+    /// Values of the `Host` header that select the service.
     pub hosts: Vec<Name>,
-    /// Priority under overload; 0 goes first.
+    /// Priority under overload; 0 is the highest.
     pub priority: u8,
-    /// Share of live slots that all requests together may use, in percent.
+    /// Share of the live slots that all requests together may use, in percent.
     pub load_limit_percent: u32,
-    /// Share of live slots kept back from other regions' requests, in percent.
+    /// Share of the live slots that only requests of the own region may use, in
+    /// percent.
     pub headroom_percent: u32,
-    /// Time that a request may take at most, in microseconds.
+    /// Longest time that a request may take, in microseconds.
     pub deadline: u64,
-    /// Retries allowed, in percent of first tries.
+    /// Retries allowed, in percent of the first attempts.
     pub retry_percent: u32,
-    /// Requests that may wait for a slot, for each slot that an owner has.
+    /// Requests that may be queued for each slot of an owner.
     pub queue_per_slot: u32,
     /// Methods whose requests may be repeated.
     pub repeatable_methods: Vec<Name>,
-    /// Path prefixes whose requests may be repeated by any method.
+    /// Path prefixes whose requests may be repeated whatever their method.
     pub repeatable_paths: Vec<Name>,
-    /// How requests that may not be repeated run at most once.
+    /// How requests that must not be repeated run at most once.
     pub once: OncePolicy,
-    /// What a host that may be behind does.
+    /// What a host with a possibly outdated configuration does with requests.
     pub isolation: Isolation,
-    /// Time in which a cold backend server reaches its full share, in microseconds.
+    /// Time in which a cold backend server reaches its full share, in
+    /// microseconds.
     pub slow_start: u64,
 }
 
@@ -97,125 +101,133 @@
     }
 }
 
-/// A backend server: one instance of a service.
+/// Backend server: one instance of a service.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its name.
+    /// Name of the backend server.
     pub name: Name,
-    /// The service that it runs.
+    /// Service that it runs.
     pub service: ServiceId,
-    /// The failure domain that it stands in.
+    /// Failure domain that it belongs to.
     pub domain: DomainId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Requests that it runs at a time.
+    /// Requests that it may run at a time.
     pub slots: u32,
-    /// Whether the operators drain it.
+    /// Whether operators drain this server.
     pub draining: bool,
 }
 
-/// The bound on a shift of one service's traffic from one region to another.
+/// Limit on the requests of one service that are shifted from one region to
+/// another.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ShiftCap {
     /// Requests in any second.
     pub per_second: u32,
-    /// Time over which a new shift grows to the cap, in microseconds.
+    /// Time over which a new shift grows to the limit, in microseconds.
     pub ramp: u64,
 }
 
-/// The bound on a link from one region to another.
+/// Limit on a link from one region to another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LinkLimit {
-    /// Requests in any second; 0 is no bound.
+    /// Requests in any second; 0 means no limit.
     pub requests_per_second: u32,
-    /// Bytes of bodies, both ways, in any second; 0 is no bound.
+    /// Bytes of request and response bodies together in any second; 0 means no
+    /// limit.
     pub bytes_per_second: u64,
 }
 
-/// All tables of one revision.
+/// All tables of one revision of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// The revision; 0 is none.
+    /// Revision number; 0 if there is no configuration yet.
     pub revision: u64,
-    /// Regions by [`RegionId`].
+    /// Regions, indexed by [`RegionId`].
     pub regions: Vec<Region>,
-    /// Failure domains by [`DomainId`].
+    /// Failure domains, indexed by [`DomainId`].
     pub domains: Vec<Domain>,
-    /// Sites by [`crate::id::SiteId`].
+    /// Sites, indexed by [`crate::id::SiteId`].
     pub sites: Vec<Site>,
-    /// Services by [`ServiceId`].
+    /// Services, indexed by [`ServiceId`].
     pub services: Vec<Service>,
-    /// Backend servers by [`BackendId`].
+    /// Backend servers, indexed by [`BackendId`].
     pub backends: Vec<Backend>,
-    /// Blocks of clients.
+    /// Address blocks of the sites.
     pub blocks: BlockTable,
-    /// Delay between regions, one way, in microseconds.
+    /// One-way delay between two regions, in microseconds. One direction of a
+    /// pair is enough.
     pub delays: HashMap<(RegionId, RegionId), u64>,
-    /// Bounds on shifts; a pair without an entry may not shift.
+    /// Limits on shifts by service, home region and serving region. Without an
+    /// entry a shift is not allowed.
     pub shift_caps: HashMap<(ServiceId, RegionId, RegionId), ShiftCap>,
-    /// Bounds on links; a pair without an entry is not bounded.
+    /// Limits on links by home region and serving region. Without an entry a link
+    /// has no limit.
     pub links: HashMap<(RegionId, RegionId), LinkLimit>,
-    /// Entry hosts that the operators drain.
+    /// Entry hosts that operators drain.
     pub draining_hosts: Vec<Name>,
 }
 
 impl Catalog {
-    /// The region with this name.
+    /// Looks up a region by name.
     pub fn region(&self, name: &str) -> Option<RegionId> {
-        position(&self.regions, |r| &*r.name == name).map(RegionId)
+        index_of(&self.regions, |r| &*r.name == name).map(RegionId)
     }
 
-    /// The failure domain with this name.
+    /// Looks up a failure domain by name.
     pub fn domain(&self, name: &str) -> Option<DomainId> {
-        position(&self.domains, |d| &*d.name == name).map(DomainId)
+        index_of(&self.domains, |d| &*d.name == name).map(DomainId)
     }
 
-    /// The service with this name.
+    /// Looks up a service by name.
     pub fn service(&self, name: &str) -> Option<ServiceId> {
-        position(&self.services, |s| &*s.name == name).map(ServiceId)
+        index_of(&self.services, |s| &*s.name == name).map(ServiceId)
     }
 
-    /// The service that answers to this value of `Host`.
+    /// Looks up the service selected by a value of the `Host` header; a port is
+    /// ignored.
     pub fn service_by_host(&self, host: &str) -> Option<ServiceId> {
         let host = host.split(':').next().unwrap_or(host);
-        position(&self.services, |s| s.hosts.iter().any(|h| &**h == host)).map(ServiceId)
+        index_of(&self.services, |s| s.hosts.iter().any(|h| &**h == host)).map(ServiceId)
     }
 
-    /// The backend server with this name.
+    /// Looks up a backend server by name.
     pub fn backend(&self, name: &str) -> Option<BackendId> {
-        position(&self.backends, |b| &*b.name == name).map(BackendId)
+        index_of(&self.backends, |b| &*b.name == name).map(BackendId)
     }
 
-    /// The region that a backend server stands in.
+    /// Region of a backend server.
     pub fn region_of(&self, backend: &Backend) -> RegionId {
         self.domains[backend.domain.index()].region
     }
 
-    /// The region that a failure domain lies in.
+    /// Region of the failure domain with this name.
     pub fn region_of_domain(&self, name: &str) -> Option<RegionId> {
         self.domain(name).map(|id| self.domains[id.index()].region)
     }
 
-    /// Whether a backend server takes no new work, by any drain over it.
+    /// Whether a backend server, its failure domain or its region is being
+    /// drained.
     pub fn is_draining(&self, backend: &Backend) -> bool {
         let domain = &self.domains[backend.domain.index()];
         backend.draining || domain.draining || self.regions[domain.region.index()].draining
     }
 
-    /// The one-way delay between two regions, in microseconds.
+    /// One-way delay between two regions in microseconds; 0 if it is not
+    /// configured.
     pub fn delay(&self, from: RegionId, to: RegionId) -> u64 {
-        let known = self.delays.get(&(from, to)).or_else(|| self.delays.get(&(to, from)));
-        known.copied().unwrap_or(0)
+        let delay = self.delays.get(&(from, to)).or_else(|| self.delays.get(&(to, from)));
+        delay.copied().unwrap_or(0)
     }
 
-    /// Backend servers of a region, with their indexes.
+    /// Backend servers of a region with their indexes.
     pub fn backends_in(&self, region: RegionId) -> impl Iterator<Item = (BackendId, &Backend)> {
         let all = self.backends.iter().enumerate();
         all.filter(move |(_, b)| self.region_of(b) == region).map(|(i, b)| (BackendId(i as u32), b))
     }
 }
 
-/// The index of the first entity that matches.
-fn position<T>(table: &[T], matches: impl FnMut(&T) -> bool) -> Option<u32> {
+/// Index of the first element that matches.
+fn index_of<T>(table: &[T], matches: impl FnMut(&T) -> bool) -> Option<u32> {
     table.iter().position(matches).map(|index| index as u32)
 }
--- a/elmstream/src/lookup.rs
+++ b/elmstream/src/lookup.rs
@@ -1,9 +1,9 @@
-//! Look-ups: which entry hosts a caller should use.
+//! Look-ups: the entry hosts that a caller should use.
 //!
-//! Weighted rendezvous hashing over the live entry hosts of the client's home
-//! region, so that every host gives a site the same answer as long as it sees
-//! the same hosts. A host's weight moves by bounded steps, because answers that
-//! clients have cached still bring load.
+//! Ranks the live entry hosts by weighted rendezvous hashing, those of the
+//! client's home region first. All hosts that know the same members therefore
+//! give a site the same answer. A host's weight changes in bounded steps, because
+//! clients keep sending requests according to cached answers.
 
 use std::net::SocketAddr;
 
@@ -17,30 +17,33 @@
     time::Time,
 };
 
-/// Entry hosts in an answer at most.
+/// Most entry hosts of the nearest region in an answer.
 pub const ANSWER_HOSTS_MAX: usize = 3;
 /// Weight of a host that takes its full share, in thousandths.
 pub const WEIGHT_FULL: u32 = 1_000;
-/// Change of a weight per heartbeat interval at most.
+/// Largest change of a weight per heartbeat interval, in thousandths.
 pub const WEIGHT_STEP_MAX: u32 = 100;
-/// Weight of the host of another region that ends an answer: it is to be used
-/// only if none of the others can be reached, as when their region has failed.
+/// Weight of the standby host at the end of an answer, which is in another
+/// region. Clients use it only if they can reach none of the other hosts, for
+/// example because the whole region failed.
 pub const WEIGHT_STANDBY: u32 = 0;
-/// Weight that a host begins with when it is first heard.
+/// Weight that a host starts with when it becomes live, in thousandths.
 pub const WEIGHT_INITIAL: u32 = 100;
 
 /// An entry host in an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RankedHost {
-    /// Its name.
+    /// Name of the host.
     pub host: Name,
-    /// Where it takes callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Its weight, in thousandths.
+    /// Weight in thousandths; [`WEIGHT_STANDBY`] marks the standby host.
     pub weight: u32,
 }
 
-/// Ranks the entry hosts for a key (site and service); best first.
+/// Ranks the entry hosts for a key (site and service), best first. Returns up to
+/// [`ANSWER_HOSTS_MAX`] hosts of the nearest region, then one standby host of
+/// another region.
 pub fn rank_hosts(
     catalog: &Catalog,
     members: &Members,
@@ -54,7 +57,7 @@
         }
         let region = catalog.region_of_domain(&m.domain)?;
         let distance = if region == home { 0 } else { 1 + catalog.delay(home, region) };
-        Some((distance, weighted(rendezvous_weight(&m.name, key), m.weight)))
+        Some((distance, weighted_score(rendezvous_weight(&m.name, key), m.weight)))
     };
     let mut ranked: Vec<_> = members.iter().filter_map(|m| Some((score(m)?, m))).collect();
     ranked.sort_by(|((d1, s1), _), ((d2, s2), _)| d1.cmp(d2).then(s2.total_cmp(s1)));
@@ -62,14 +65,15 @@
     let nearest = ranked.first().and_then(|(_, m)| region(m));
     let standby = ranked.iter().position(|(_, m)| region(m) != nearest);
     let (near, far) = ranked.split_at(standby.unwrap_or(ranked.len()));
-    let choice =
+    let entry =
         |m: &Member, weight| RankedHost { host: m.name.clone(), callers: m.callers, weight };
-    let near = near.iter().take(ANSWER_HOSTS_MAX).map(|(_, m)| choice(m, m.weight));
-    let far = far.first().map(|(_, m)| choice(m, WEIGHT_STANDBY));
+    let near = near.iter().take(ANSWER_HOSTS_MAX).map(|(_, m)| entry(m, m.weight));
+    let far = far.first().map(|(_, m)| entry(m, WEIGHT_STANDBY));
     near.chain(far).collect()
 }
 
-/// Moves each host's weight a step towards what its state allows.
+/// Moves the weight of each host one step towards its target: full if it is live
+/// and takes new work, else zero.
 pub fn step_weights(members: &mut Members, now: Time) {
     for member in members.iter_mut() {
         let live = member.is_live(now) && member.takes_new_work();
@@ -82,7 +86,8 @@
     }
 }
 
-/// A digest of all that decides how hosts are ranked, besides the catalog.
+/// Digest of everything that affects the ranking besides the catalog. Cached
+/// answers are valid while it is unchanged.
 pub fn ranking_digest(catalog: &Catalog, members: &Members, now: Time) -> u64 {
     let mut digest = Xxh3Default::new();
     for member in members.iter().filter(|m| is_usable(catalog, m, now)) {
@@ -94,14 +99,14 @@
     digest.digest()
 }
 
-/// Whether a host may be named in an answer at all.
+/// Whether a host may appear in an answer.
 fn is_usable(catalog: &Catalog, member: &Member, now: Time) -> bool {
     let drained = catalog.draining_hosts.contains(&member.name);
     member.is_live(now) && member.takes_new_work() && member.weight > 0 && !drained
 }
 
-/// The score of weighted rendezvous hashing: `-w / ln(h)`, `h` in (0, 1).
-fn weighted(hash: u64, weight: u32) -> f64 {
+/// Score of weighted rendezvous hashing: `-w / ln(h)` with `h` in (0, 1).
+fn weighted_score(hash: u64, weight: u32) -> f64 {
     let unit = (hash >> 11) as f64 + 0.5;
     let fraction = unit / (1u64 << 53) as f64;
     f64::from(weight) / -fraction.ln()
--- a/elmstream/src/traffic_limits.rs
+++ b/elmstream/src/traffic_limits.rs
@@ -1,4 +1,5 @@
-//! Limits where the load lands: shift caps and links, in an owner's part.
+//! Limits at the receiving region: an owner enforces its part of the shift caps
+//! and link limits.
 
 use crate::{
     catalog::ShiftCap,
@@ -11,7 +12,8 @@
 };
 
 impl Node {
-    /// Whether a shift is allowed at all.
+    /// Checks whether the configuration allows a shift of this service from
+    /// `home` to `here`.
     pub(crate) fn check_shift(
         &self,
         now: Time,
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Spends one request of the shift cap and of the link.
+    /// Charges one request to the shift cap and to the link limit.
     pub(crate) fn charge_shift(
         &mut self,
         now: Time,
@@ -37,7 +39,7 @@
         here: RegionId,
     ) -> Result<(), Refusal> {
         let cap = self.catalog.shift_caps.get(&(id, home, here)).copied().unwrap_or_default();
-        let part = self.part_of(Some(id));
+        let part = self.cap_part(Some(id));
         let settled_at = self.settled_at;
         let ShiftCap { per_second, ramp } = cap;
         let from = self.catalog.regions[home.index()].name.clone();
@@ -53,7 +55,7 @@
         if link.requests_per_second == 0 {
             return Ok(());
         }
-        let part = self.part_of(None);
+        let part = self.cap_part(None);
         let bucket =
             self.link_request_buckets.entry(from).or_insert_with(|| TokenBucket::new(settled_at));
         let rate = u64::from(link.requests_per_second);
@@ -63,11 +65,12 @@
         Ok(())
     }
 
-    /// Takes as many of `bytes` as the link from another region has room for
-    /// now, and tells how many.
+    /// Takes up to `bytes` of the byte limit of the link from region `home` and
+    /// returns the number taken.
     ///
-    /// A host that has released its part of the limit lets the bodies that are
-    /// still on their way pass: they are few, and must not be held for ever.
+    /// A host that has released its part of the limit passes all bytes: only the
+    /// remaining bodies of earlier requests are affected, and these would
+    /// otherwise be stuck forever.
     pub fn take_link_bytes(&mut self, now: Time, home: &str, bytes: u64) -> u64 {
         let regions = self.catalog.region(home).zip(self.region());
         let Some((from, here)) = regions.filter(|(from, here)| from != here) else {
@@ -77,7 +80,7 @@
         if limit == 0 {
             return bytes;
         }
-        let part = self.part_of(None);
+        let part = self.cap_part(None);
         if part == 0 {
             return bytes;
         }
@@ -87,14 +90,14 @@
         bucket.take_up_to(now, bytes, limit, part)
     }
 
-    /// This host's part of its region's caps: for one service, or over all
-    /// services for limits that they share.
-    fn part_of(&self, service: Option<ServiceId>) -> u64 {
-        let of_service = |name: &Name| {
+    /// This host's part of its region's caps in [`PARTS_PER_WHOLE`]ths: for one
+    /// service, or averaged over all services for a limit that they share.
+    fn cap_part(&self, service: Option<ServiceId>) -> u64 {
+        let is_of_service = |name: &Name| {
             let backend = self.catalog.backend(name).map(|id| &self.catalog.backends[id.index()]);
             service.is_none_or(|id| backend.is_some_and(|b| b.service == id))
         };
-        let owned = self.row.owned_by(&self.settings.me).filter(|(name, _)| of_service(name));
+        let owned = self.row.owned_by(&self.settings.me).filter(|(name, _)| is_of_service(name));
         let sum: u64 = owned.map(|(_, grant)| self.row.effective_part(grant)).sum();
         let services = self.services_in_row().max(1);
         match service {
@@ -103,13 +106,13 @@
         }
     }
 
-    /// Services that have a backend server in the row.
+    /// Number of services with a backend server in the row.
     fn services_in_row(&self) -> u64 {
-        let of = |name: &Name| {
+        let service_of = |name: &Name| {
             let id = self.catalog.backend(name)?;
             Some(self.catalog.backends[id.index()].service)
         };
-        let mut services: Vec<ServiceId> = self.row.grants.keys().filter_map(of).collect();
+        let mut services: Vec<ServiceId> = self.row.grants.keys().filter_map(service_of).collect();
         services.sort();
         services.dedup();
         services.len() as u64
