--- a/elmstream/src/allotment.rs
+++ b/elmstream/src/allotment.rs
@@ -1,8 +1,9 @@
 //! The allotment row of a region, and the plan for its next epoch.
 //!
-//! A row says who owns each backend server, and with it which part of every
-//! cap of the region its owner holds. As a part goes with its backend server,
-//! parts never sum above the whole while servers move.
+//! A row names the owner of each backend server and the part of every cap of the
+//! region that goes with the server. Because a part moves together with its
+//! server, the parts in use never sum to more than the whole while servers change
+//! owners.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,68 +17,74 @@
     witness_groups::{Candidate, Groups},
 };
 
-/// Moves per epoch that only serve balance, at least.
+/// Moves that one epoch may make for balance alone, in any region.
 pub const BALANCE_MOVES_MIN: usize = 4;
-/// Share of the backend servers that may move for balance, as a divisor.
-const BALANCE_DIVISOR: usize = 16;
+/// Backend servers of a region divided by the moves that one epoch may make for
+/// balance alone, if that is more than [`BALANCE_MOVES_MIN`].
+const BALANCE_MOVES_DIVISOR: usize = 16;
 
-/// Who owns a backend server.
+/// Ownership of one backend server.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Grant {
-    /// The owner at this epoch.
+    /// Owner at this epoch.
     pub owner: Option<HostRef>,
-    /// The owner at the epoch before.
+    /// Owner at the previous epoch.
     pub from: Option<HostRef>,
-    /// Part of the region's caps, in [`WHOLE`]ths.
+    /// Part of the region's caps at this epoch, in [`PARTS_PER_WHOLE`]ths.
     pub part: u32,
-    /// The part at the epoch before.
+    /// Part of the region's caps at the previous epoch, in
+    /// [`PARTS_PER_WHOLE`]ths.
     pub part_from: u32,
 }
 
-/// A lease renewal that the table took.
+/// Lease renewal that was written to the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Renewal {
-    /// The owner.
+    /// Owner whose lease was renewed.
     pub owner: HostRef,
-    /// The round of heartbeats in which it asked.
+    /// Heartbeat round in which the owner asked for the renewal.
     pub sequence: u64,
 }
 
-/// The allotment row of a region.
+/// Allotment row of a region. Stored in the table as JSON.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// The region.
+    /// Name of the region.
     pub region: Name,
-    /// Counts the changes of owners and witnesses.
+    /// Number of the row's version; rises with each change of owners or
+    /// witnesses.
     pub epoch: u64,
-    /// Whether nobody acts by an older epoch any more.
+    /// Whether no host acts under an earlier epoch any more.
     pub settled: bool,
-    /// Whether it was settled because the former owners released what moved,
-    /// rather than by waiting until their leases were over.
+    /// Whether the epoch was settled because the former owners released the moved
+    /// servers, rather than because their leases expired.
     #[serde(default)]
     pub released: bool,
-    /// Names the write, so that a lost answer can be resolved.
+    /// Identifies the write, so that the writer can tell after a lost answer
+    /// whether it took effect.
     pub nonce: u64,
-    /// Who may promise renewals at this epoch.
+    /// Witnesses that may promise renewals at this epoch.
     pub groups: Groups,
-    /// The witnesses of the epoch before, to be fenced.
+    /// Witnesses of the previous epoch, which have to be fenced.
     pub groups_from: Groups,
-    /// Renewals through the table, while witnesses are missing.
+    /// Renewals through the table, used while witnesses are missing.
     #[serde(default)]
     pub renewals: Vec<Renewal>,
-    /// Grants by backend server.
+    /// Ownership by name of the backend server.
     pub grants: BTreeMap<Name, Grant>,
 }
 
 impl Row {
-    /// Whether `host` may act on the backend server under its lease.
+    /// Whether `host` may act on the backend server while it holds its lease.
     ///
-    /// Before the epoch is settled only what a host had already may be used.
+    /// Until the epoch is settled, a host may act only on servers that it owned
+    /// at the previous epoch as well.
     pub fn may_act(&self, host: &HostRef, backend: &str) -> bool {
         self.grants.get(backend).is_some_and(|grant| self.allows(host, grant))
     }
 
-    /// The part of the caps that the grant carries now.
+    /// Part of the caps that may be used now, in [`PARTS_PER_WHOLE`]ths. Until
+    /// the epoch is settled this is the smaller of the old and the new part.
     pub fn effective_part(&self, grant: &Grant) -> u64 {
         match self.settled {
             true => u64::from(grant.part),
@@ -85,7 +92,7 @@
         }
     }
 
-    /// Grants that `host` may act on.
+    /// Servers that `host` may act on, with their grants.
     pub fn owned_by<'a>(
         &'a self,
         host: &'a HostRef,
@@ -98,12 +105,12 @@
         (self.epoch, self.settled) > (other.epoch, other.settled)
     }
 
-    /// The owners.
+    /// Owners at this epoch.
     pub fn owners(&self) -> BTreeSet<HostRef> {
         self.grants.values().filter_map(|g| g.owner.clone()).collect()
     }
 
-    /// Owners at the epoch before, each once.
+    /// Owners at the previous epoch, sorted and without duplicates.
     pub fn former_owners(&self) -> Vec<&HostRef> {
         let mut owners: Vec<_> = self.grants.values().filter_map(|g| g.from.as_ref()).collect();
         owners.sort();
@@ -111,7 +118,7 @@
         owners
     }
 
-    /// Backend servers whose owner changes with this epoch.
+    /// Number of backend servers whose owner changes with this epoch.
     pub fn move_count(&self) -> usize {
         self.grants.values().filter(|g| g.owner != g.from).count()
     }
@@ -122,9 +129,10 @@
     }
 }
 
-/// Works out the next row, or `None` if the present one will do.
+/// Plans the row of the next epoch, or returns `None` if the present row needs no
+/// change.
 ///
-/// `hosts` are the live hosts of the region, in the order of their names.
+/// `hosts` are the live hosts of the region, sorted by name.
 pub fn plan_next_row(
     catalog: &Catalog,
     region: RegionId,
@@ -132,11 +140,11 @@
     hosts: &[Candidate],
 ) -> Option<Row> {
     let mut planner = Planner::new(catalog, region, hosts);
-    let grants = planner.grants(row);
+    let grants = planner.plan_grants(row);
     let groups = row.groups.plan_next(hosts);
     let unchanged = groups == row.groups
         && grants.len() == row.grants.len()
-        && grants.iter().all(|(name, grant)| is_same(row.grants.get(name), grant));
+        && grants.iter().all(|(name, grant)| keeps_owner_and_part(row.grants.get(name), grant));
     if unchanged {
         return None;
     }
@@ -153,12 +161,12 @@
     })
 }
 
-/// Whether a planned grant leaves owner and part as they are.
-fn is_same(old: Option<&Grant>, new: &Grant) -> bool {
+/// Whether a planned grant changes neither owner nor part.
+fn keeps_owner_and_part(old: Option<&Grant>, new: &Grant) -> bool {
     old.is_some_and(|old| old.owner == new.owner && old.part == new.part)
 }
 
-/// Weight of a host for a key, for rendezvous hashing.
+/// Weight of a host for a key in rendezvous hashing.
 pub fn rendezvous_weight(host: &str, key: &str) -> u64 {
     let mut bytes = Vec::with_capacity(host.len() + key.len() + 1);
     bytes.extend_from_slice(host.as_bytes());
@@ -172,7 +180,7 @@
     catalog: &'a Catalog,
     region: RegionId,
     hosts: &'a [Candidate],
-    /// Slots given to each host so far.
+    /// Slots assigned to each host so far.
     slots: HashMap<&'a HostRef, u32>,
     balance_moves: usize,
 }
@@ -182,18 +190,19 @@
         Planner { catalog, region, hosts, slots: HashMap::new(), balance_moves: 0 }
     }
 
-    /// Grants for each backend server of the region.
-    fn grants(&mut self, row: &Row) -> BTreeMap<Name, Grant> {
+    /// Plans the grants of all backend servers of the region.
+    fn plan_grants(&mut self, row: &Row) -> BTreeMap<Name, Grant> {
         let catalog = self.catalog;
         let backends: Vec<_> = catalog.backends_in(self.region).map(|(_, b)| b).collect();
-        let mut owners: Vec<Option<HostRef>> = backends.iter().map(|b| self.keep(row, b)).collect();
+        let mut owners: Vec<Option<HostRef>> =
+            backends.iter().map(|b| self.keep_owner(row, b)).collect();
         for (backend, owner) in backends.iter().zip(&mut owners) {
             if owner.is_none() {
-                *owner = self.place(backend);
+                *owner = self.choose_owner(backend);
             }
         }
         self.balance(&backends, &mut owners);
-        let parts = self.parts(&backends);
+        let parts = self.cap_parts(&backends);
         let entries = backends.iter().zip(owners).map(|(backend, owner)| {
             let old = row.grants.get(&backend.name).cloned().unwrap_or_default();
             let part = parts[&backend.name];
@@ -201,13 +210,14 @@
             (backend.name.clone(), grant)
         });
         let mut grants: BTreeMap<Name, Grant> = entries.collect();
-        self.release_removed(row, &mut grants);
+        self.release_removed_servers(row, &mut grants);
         grants
     }
 
-    /// Keeps a server that is no longer configured for one epoch without an
-    /// owner, so that its former owner counts among those who must release.
-    fn release_removed(&self, row: &Row, grants: &mut BTreeMap<Name, Grant>) {
+    /// Keeps a server that was removed from the configuration for one more epoch
+    /// without an owner, so that its former owner must release it before the
+    /// epoch is settled.
+    fn release_removed_servers(&self, row: &Row, grants: &mut BTreeMap<Name, Grant>) {
         for (name, old) in &row.grants {
             if old.owner.is_none() || grants.contains_key(name) {
                 continue;
@@ -218,48 +228,51 @@
         }
     }
 
-    /// The present owner, if it is still a good one.
-    fn keep(&mut self, row: &Row, backend: &Backend) -> Option<HostRef> {
+    /// Keeps the present owner if it is still eligible.
+    fn keep_owner(&mut self, row: &Row, backend: &Backend) -> Option<HostRef> {
         let owner = row.grants.get(&backend.name)?.owner.as_ref()?;
         let index = self.eligible(backend).into_iter().find(|&i| self.hosts[i].host == *owner)?;
-        self.add(index, backend.slots);
+        self.add_slots(index, backend.slots);
         Some(owner.clone())
     }
 
-    /// The eligible host with the fewest slots, ties by rendezvous hashing.
-    fn place(&mut self, backend: &Backend) -> Option<HostRef> {
+    /// Chooses the eligible host with the fewest slots; rendezvous hashing breaks
+    /// ties.
+    fn choose_owner(&mut self, backend: &Backend) -> Option<HostRef> {
         let rank = |&i: &usize| {
             let host = &self.hosts[i].host;
-            (self.load(i), u64::MAX - rendezvous_weight(&host.host, &backend.name))
+            (self.planned_slots(i), u64::MAX - rendezvous_weight(&host.host, &backend.name))
         };
         let index = self.eligible(backend).into_iter().min_by_key(rank)?;
-        self.add(index, backend.slots);
+        self.add_slots(index, backend.slots);
         Some(self.hosts[index].host.clone())
     }
 
-    /// Moves a few backend servers from the fullest hosts to the emptiest.
+    /// Moves a limited number of backend servers from the hosts with most slots
+    /// to those with the fewest.
     fn balance(&mut self, backends: &[&Backend], owners: &mut [Option<HostRef>]) {
         for (backend, owner) in backends.iter().zip(owners.iter_mut()) {
-            if self.balance_moves >= BALANCE_MOVES_MIN.max(backends.len() / BALANCE_DIVISOR) {
+            if self.balance_moves >= BALANCE_MOVES_MIN.max(backends.len() / BALANCE_MOVES_DIVISOR) {
                 return;
             }
             let Some(present) = owner.as_ref().and_then(|o| self.index_of(o)) else {
                 continue;
             };
-            let lightest = self.eligible(backend).into_iter().min_by_key(|&i| self.load(i));
+            let lightest =
+                self.eligible(backend).into_iter().min_by_key(|&i| self.planned_slots(i));
             let Some(target) = lightest else { continue };
-            if self.load(target) + 2 * backend.slots > self.load(present) {
+            if self.planned_slots(target) + 2 * backend.slots > self.planned_slots(present) {
                 continue;
             }
             *self.slots.entry(&self.hosts[present].host).or_default() -= backend.slots;
-            self.add(target, backend.slots);
+            self.add_slots(target, backend.slots);
             *owner = Some(self.hosts[target].host.clone());
             self.balance_moves += 1;
         }
     }
 
-    /// Hosts that may own the backend server: those of its failure domain, or
-    /// of the region if the domain has none left.
+    /// Indexes of the hosts that may own the backend server: those of its failure
+    /// domain, or of the whole region if the domain has none.
     fn eligible(&self, backend: &Backend) -> Vec<usize> {
         let domain = &self.catalog.domains[backend.domain.index()].name;
         let able = |i: &usize| self.hosts[*i].may_own;
@@ -270,8 +283,9 @@
         if near.is_empty() { (0..self.hosts.len()).filter(able).collect() } else { near }
     }
 
-    /// Parts of the caps: each backend server's share of its service's slots.
-    fn parts(&self, backends: &[&Backend]) -> HashMap<Name, u32> {
+    /// Part of the caps for each backend server: its share of the slots of its
+    /// service.
+    fn cap_parts(&self, backends: &[&Backend]) -> HashMap<Name, u32> {
         let mut totals: HashMap<_, u64> = HashMap::new();
         for backend in backends {
             *totals.entry(backend.service).or_default() += u64::from(backend.slots);
@@ -287,11 +301,11 @@
         self.hosts.iter().position(|c| c.host == *host)
     }
 
-    fn load(&self, index: usize) -> u32 {
+    fn planned_slots(&self, index: usize) -> u32 {
         self.slots.get(&self.hosts[index].host).copied().unwrap_or(0)
     }
 
-    fn add(&mut self, index: usize, slots: u32) {
+    fn add_slots(&mut self, index: usize, slots: u32) {
         *self.slots.entry(&self.hosts[index].host).or_default() += slots;
     }
 }
