--- a/elmstream/src/admission.rs
+++ b/elmstream/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission at the owner: slots, the bounded queue, slow start, ejection.
+//! Admission at the owner: slots, a bounded queue, slow start and outlier
+//! ejection.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -10,31 +11,32 @@
     time::{MILLI, SECOND, Time},
 };
 
-/// Failures in a row after which a backend server is ejected.
-const EJECT_AFTER: u32 = 5;
-/// How long an ejected backend server gets nothing, in microseconds.
-const EJECT_TIME: u64 = 5 * SECOND;
-/// Of an owner's backend servers of a service at most this share is ejected.
-const EJECT_DIVISOR: usize = 3;
-/// A request is queued only if it may expect to wait for this share of its
-/// deadline at most, as a divisor. A longer queue would serve as many, each
-/// later, and give up on more of them after they have waited.
-const QUEUE_DIVISOR: u64 = 3;
-/// Weight of a new sample in the mean run time, as a divisor.
-const MEAN_DIVISOR: u64 = 8;
-/// Mean run time that is assumed before the first sample, in microseconds.
-const MEAN_FIRST: u64 = 5 * MILLI;
-
-/// A backend server as its owner sees it.
+/// Consecutive failures after which a backend server is ejected.
+const EJECTION_FAILURES: u32 = 5;
+/// How long an ejected backend server gets no requests, in microseconds.
+const EJECTION_TIME: u64 = 5 * SECOND;
+/// An owner's backend servers of a service divided by the number of them that may
+/// be ejected at once.
+const EJECTED_SERVERS_DIVISOR: usize = 3;
+/// Deadline of a request divided by the longest wait at which it is still queued.
+/// A longer queue would not raise throughput: it would delay every request and
+/// let more of them time out after they had waited.
+const QUEUE_WAIT_DIVISOR: u64 = 3;
+/// Inverse weight of a new sample in the mean run time.
+const RUN_TIME_SAMPLE_DIVISOR: u64 = 8;
+/// Mean run time assumed before the first sample, in microseconds.
+const INITIAL_RUN_TIME: u64 = 5 * MILLI;
+
+/// A backend server as seen by its owner.
 #[derive(Clone, Debug)]
 struct Server {
     service: ServiceId,
     slots: u32,
     in_flight: u32,
-    /// Slots that its former owner may still have in use.
+    /// Slots that the former owner may still use.
     reserved: u32,
-    /// When it began to take work, for slow start.
-    since: Time,
+    /// Start of its slow start.
+    serving_since: Time,
     draining: bool,
     owned: bool,
     failures: u32,
@@ -42,15 +44,15 @@
 }
 
 impl Server {
-    /// Slots that may be in use now: all, or fewer in slow start.
-    fn limit(&self, now: Time, slow_start: u64) -> u32 {
+    /// Slots that may be in use now; fewer than all during slow start.
+    fn usable_slots(&self, now: Time, slow_start: u64) -> u32 {
         let usable = self.slots.saturating_sub(self.reserved);
-        let age = now.since(self.since);
+        let age = now.since(self.serving_since);
         if age >= slow_start {
             return usable;
         }
-        let grown = 1 + u64::from(self.slots) * age / slow_start.max(1);
-        usable.min(grown as u32)
+        let ramped_slots = 1 + u64::from(self.slots) * age / slow_start.max(1);
+        usable.min(ramped_slots as u32)
     }
 
     fn takes_work(&self, now: Time) -> bool {
@@ -58,67 +60,69 @@
     }
 }
 
-/// A request that asks for a slot.
+/// Request for a slot of a service.
 #[derive(Clone, Debug)]
 pub struct SlotRequest {
-    /// The service.
+    /// Service that the request is for.
     pub service: ServiceId,
-    /// Whether the request comes from another home region.
+    /// Whether the home region of the request is another one.
     pub shifted: bool,
-    /// How long it may wait for a slot, in microseconds.
+    /// Longest time that it may wait for a slot, in microseconds.
     pub max_wait: u64,
-    /// Time left for the request, in microseconds.
+    /// Time left until its deadline, in microseconds.
     pub deadline: u64,
 }
 
-/// A slot that was given.
+/// Slot that was taken for a request. Return it with [`Admissions::release`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Slot {
-    /// The backend server.
+    /// Backend server that runs the request.
     pub backend: Name,
 }
 
-/// The answer to an [`Ask`].
+/// Answer to a [`SlotRequest`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Run it there.
+    /// Run the request in this slot.
     Run(Slot),
-    /// Wait; [`Admissions::granted`] gives the slot once the number is woken.
+    /// The request is queued under this number. Once the number is returned as
+    /// woken, [`Admissions::take_granted`] returns the slot.
     Wait(u64),
-    /// It is not run.
+    /// The request is refused with this code; a retry may help after this time in
+    /// microseconds.
     Refuse(Code, u64),
 }
 
-/// How a run ended, as seen from the owner.
+/// How a run ended, as seen by the owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunResult {
     /// The backend server answered.
     Succeeded,
-    /// It shed the request, failed or could not be reached.
+    /// The backend server shed the request, failed or could not be reached.
     Failed,
-    /// The caller or the deadline ended it.
+    /// The caller aborted it, or it hit its deadline.
     Cancelled,
 }
 
-/// Requests of one service that wait, and its mean run time.
+/// Waiting requests and mean run time of one service.
 #[derive(Debug, Default)]
 struct Queue {
     waiting: VecDeque<u64>,
-    mean: u64,
+    mean_run_time: u64,
 }
 
-/// All backend servers that this host owns, and the queues before them.
+/// All backend servers that this host owns, with the queues of their services.
 #[derive(Debug, Default)]
 pub struct Admissions {
     servers: BTreeMap<Name, Server>,
     queues: HashMap<ServiceId, Queue>,
     granted: HashMap<u64, Slot>,
-    next: u64,
+    last_number: u64,
 }
 
 impl Admissions {
-    /// Takes over what this host owns now. A server that is new here has all
-    /// its slots reserved until [`Admissions::reserve`] tells otherwise.
+    /// Sets the servers that this host owns. All slots of a newly owned server
+    /// are reserved until [`Admissions::set_reserved`] is called.
     pub fn set_owned(&mut self, now: Time, catalog: &Catalog, owned: &BTreeSet<Name>) {
         let was_owned = self.owned();
         for server in self.servers.values_mut() {
@@ -134,7 +138,7 @@
                 slots: backend.slots,
                 in_flight: 0,
                 reserved: backend.slots,
-                since: now,
+                serving_since: now,
                 draining: false,
                 owned: true,
                 failures: 0,
@@ -151,8 +155,8 @@
         self.servers.retain(|_, s| s.owned || s.in_flight > 0);
     }
 
-    /// Carries everything over to the services' new indexes. What belonged to a
-    /// service that is gone waits until its callers give up.
+    /// Moves all state to the new indexes of the services. The queue of a removed
+    /// service is dropped; its requests wait until their callers give up.
     pub fn remap_services(&mut self, new_id: impl Fn(ServiceId) -> Option<ServiceId>) {
         let queues = std::mem::take(&mut self.queues);
         let moved = queues.into_iter().filter_map(|(id, queue)| Some((new_id(id)?, queue)));
@@ -162,20 +166,20 @@
         }
     }
 
-    /// The servers that this host owns.
+    /// Names of the owned servers.
     pub fn owned(&self) -> BTreeSet<Name> {
         let owned = self.servers.iter().filter(|(_, s)| s.owned);
         owned.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Sets how many slots the former owner of a server may still use.
+    /// Sets the number of slots that the former owner of a server may still use.
     pub fn set_reserved(&mut self, name: &str, count: u32) {
         if let Some(server) = self.servers.get_mut(name) {
             server.reserved = count.min(server.slots);
         }
     }
 
-    /// Requests in flight at servers that this host has released.
+    /// Requests in flight at servers that this host no longer owns.
     pub fn lingering(&self) -> Vec<Lingering> {
         let released = self.servers.iter().filter(|(_, s)| !s.owned && s.in_flight > 0);
         let lingering =
@@ -183,7 +187,7 @@
         released.map(lingering).collect()
     }
 
-    /// Marks backend servers that the host list calls leaving.
+    /// Marks backend servers that are leaving according to the host list.
     pub fn mark_draining(&mut self, leaving: &[Name]) {
         for name in leaving {
             if let Some(server) = self.servers.get_mut(name) {
@@ -192,27 +196,33 @@
         }
     }
 
-    /// Asks for a slot.
-    pub fn request_slot(&mut self, now: Time, service: &Service, ask: &SlotRequest) -> Admission {
-        let (in_use, slots) = self.usage(now, ask.service);
+    /// Takes a slot for a request, queues the request or refuses it.
+    pub fn request_slot(
+        &mut self,
+        now: Time,
+        service: &Service,
+        request: &SlotRequest,
+    ) -> Admission {
+        let (in_use, slots) = self.usage(now, request.service);
         if slots == 0 {
             return Admission::Refuse(Code::NoOwner, SECOND);
         }
-        let limit = limit(service, slots, ask.shifted);
-        let must_queue = self.queued(ask.service) > 0;
+        let limit = slot_limit(service, slots, request.shifted);
+        let must_queue = self.queued(request.service) > 0;
         let may_run = in_use < limit && !must_queue;
-        if may_run && let Some(slot) = self.pick(now, ask.service, service.slow_start) {
+        if may_run && let Some(slot) = self.take_slot(now, request.service, service.slow_start) {
             return Admission::Run(slot);
         }
-        self.enqueue(service, ask, slots)
+        self.enqueue(service, request, slots)
     }
 
-    /// The slot of a waiting request that was woken.
+    /// Slot of a queued request that was woken, returned once.
     pub fn take_granted(&mut self, number: u64) -> Option<Slot> {
         self.granted.remove(&number)
     }
 
-    /// A waiting request gives up. Its slot, if it was woken meanwhile, goes on.
+    /// Removes a request from its queue. Returns its slot if it was woken in the
+    /// meantime; the caller has to release it.
     pub fn cancel_wait(&mut self, number: u64) -> Option<Slot> {
         for queue in self.queues.values_mut() {
             queue.waiting.retain(|&n| n != number);
@@ -220,14 +230,15 @@
         self.granted.remove(&number)
     }
 
-    /// A run has ended. Returns the waiting requests to wake.
+    /// Releases a slot after a run. Returns the numbers of the queued requests to
+    /// wake.
     pub fn release(
         &mut self,
         now: Time,
         catalog: &Catalog,
         slot: &Slot,
         result: RunResult,
-        took: u64,
+        run_time: u64,
     ) -> Vec<u64> {
         let Some(server) = self.servers.get_mut(&slot.backend) else {
             return Vec::new();
@@ -238,16 +249,17 @@
             RunResult::Succeeded => {
                 server.failures = 0;
                 let queue = self.queues.entry(service).or_default();
-                queue.sample(took);
+                queue.record_run_time(run_time);
             }
-            RunResult::Failed => self.failed(now, &slot.backend),
+            RunResult::Failed => self.record_failure(now, &slot.backend),
             RunResult::Cancelled => {}
         }
         self.servers.retain(|_, s| s.owned || s.in_flight > 0);
         self.wake_waiting(now, catalog, service)
     }
 
-    /// Hands free slots to waiting requests, first come first served.
+    /// Grants free slots to queued requests in order of arrival. Returns the
+    /// numbers of the requests to wake.
     pub fn wake_waiting(&mut self, now: Time, catalog: &Catalog, id: ServiceId) -> Vec<u64> {
         let Some(service) = catalog.services.get(id.index()) else {
             return Vec::new();
@@ -255,10 +267,10 @@
         let mut woken = Vec::new();
         loop {
             let (in_use, slots) = self.usage(now, id);
-            if self.queued(id) == 0 || in_use >= limit(service, slots, false) {
+            if self.queued(id) == 0 || in_use >= slot_limit(service, slots, false) {
                 return woken;
             }
-            let Some(slot) = self.pick(now, id, service.slow_start) else {
+            let Some(slot) = self.take_slot(now, id, service.slow_start) else {
                 return woken;
             };
             let queue = self.queues.entry(id).or_default();
@@ -268,7 +280,7 @@
         }
     }
 
-    /// Slots in use, and slots that may be used, of a service.
+    /// Slots in use and slots that may be used, over all servers of a service.
     pub fn usage(&self, now: Time, service: ServiceId) -> (u32, u32) {
         let of_service = self.servers.values().filter(|s| s.service == service);
         of_service.fold((0, 0), |(in_use, slots), server| {
@@ -277,14 +289,14 @@
         })
     }
 
-    /// Requests of a service that wait.
+    /// Number of queued requests of a service.
     pub fn queued(&self, service: ServiceId) -> u32 {
         self.queues.get(&service).map_or(0, |q| q.waiting.len() as u32)
     }
 
-    /// Mean run time of a service's requests, in microseconds.
+    /// Mean run time of the requests of a service, in microseconds.
     pub fn mean_run_time(&self, service: ServiceId) -> u64 {
-        self.queues.get(&service).map_or(MEAN_FIRST, Queue::mean)
+        self.queues.get(&service).map_or(INITIAL_RUN_TIME, Queue::mean_run_time)
     }
 
     /// Requests in flight at a backend server.
@@ -297,76 +309,80 @@
         self.servers.values().map(|s| s.in_flight).sum()
     }
 
-    /// Whether some backend server has more in flight than it has slots.
+    /// Whether an owned backend server has more requests in flight than slots.
     pub fn is_over_slots(&self) -> bool {
         self.servers.values().any(|s| s.owned && s.in_flight > s.slots)
     }
 
-    /// Takes a slot at the server with the largest free share.
-    fn pick(&mut self, now: Time, service: ServiceId, slow_start: u64) -> Option<Slot> {
+    /// Takes a slot at the server with the smallest share of its slots in use.
+    fn take_slot(&mut self, now: Time, service: ServiceId, slow_start: u64) -> Option<Slot> {
         let able =
             self.servers.iter_mut().filter(|(_, s)| s.service == service && s.takes_work(now));
-        let free = able.filter(|(_, s)| s.in_flight < s.limit(now, slow_start));
+        let free = able.filter(|(_, s)| s.in_flight < s.usable_slots(now, slow_start));
         let (name, server) = free.min_by_key(|(_, s)| {
-            (s.in_flight * 100 / s.limit(now, slow_start).max(1), s.failures)
+            (s.in_flight * 100 / s.usable_slots(now, slow_start).max(1), s.failures)
         })?;
         server.in_flight += 1;
         Some(Slot { backend: name.clone() })
     }
 
-    /// Queues the request if it may expect a slot within its patience.
-    fn enqueue(&mut self, service: &Service, ask: &SlotRequest, slots: u32) -> Admission {
-        let queue = self.queues.entry(ask.service).or_default();
+    /// Queues the request if its expected wait is short enough, else refuses it.
+    fn enqueue(&mut self, service: &Service, request: &SlotRequest, slots: u32) -> Admission {
+        let queue = self.queues.entry(request.service).or_default();
         let queued = queue.waiting.len() as u64;
-        let mean = queue.mean();
-        let expected = (queued + 1) * mean / u64::from(slots.max(1));
+        let mean_run_time = queue.mean_run_time();
+        let expected = (queued + 1) * mean_run_time / u64::from(slots.max(1));
         let is_full = queued >= u64::from(service.queue_per_slot * slots);
-        let is_late = expected > ask.max_wait.min(ask.deadline / QUEUE_DIVISOR);
-        if ask.shifted || is_full || is_late {
-            return Admission::Refuse(Code::NoCapacity, expected.max(mean));
+        let is_late = expected > request.max_wait.min(request.deadline / QUEUE_WAIT_DIVISOR);
+        if request.shifted || is_full || is_late {
+            return Admission::Refuse(Code::NoCapacity, expected.max(mean_run_time));
         }
-        self.next += 1;
-        queue.waiting.push_back(self.next);
-        Admission::Wait(self.next)
+        self.last_number += 1;
+        queue.waiting.push_back(self.last_number);
+        Admission::Wait(self.last_number)
     }
 
-    /// Counts a failure and ejects the server, unless too many are out already.
-    fn failed(&mut self, now: Time, name: &str) {
+    /// Counts a failure. Ejects the server after [`EJECTION_FAILURES`] unless too
+    /// many servers of the service are ejected already.
+    fn record_failure(&mut self, now: Time, name: &str) {
         let Some(service) = self.servers.get(name).map(|s| s.service) else {
             return;
         };
         let of_service = || self.servers.values().filter(|s| s.service == service && s.owned);
         let ejected = of_service().filter(|s| now < s.ejected_until).count();
-        let may_eject = ejected < of_service().count() / EJECT_DIVISOR;
+        let may_eject = ejected < of_service().count() / EJECTED_SERVERS_DIVISOR;
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
         server.failures += 1;
-        if server.failures >= EJECT_AFTER && may_eject {
+        if server.failures >= EJECTION_FAILURES && may_eject {
             server.failures = 0;
-            server.ejected_until = now + EJECT_TIME;
-            server.since = now + EJECT_TIME;
+            server.ejected_until = now + EJECTION_TIME;
+            server.serving_since = now + EJECTION_TIME;
         }
     }
 }
 
 impl Queue {
-    fn mean(&self) -> u64 {
-        if self.mean == 0 { MEAN_FIRST } else { self.mean }
+    fn mean_run_time(&self) -> u64 {
+        if self.mean_run_time == 0 { INITIAL_RUN_TIME } else { self.mean_run_time }
     }
 
-    fn sample(&mut self, took: u64) {
-        let mean = self.mean();
-        self.mean = (mean - mean / MEAN_DIVISOR + took / MEAN_DIVISOR).max(1);
+    fn record_run_time(&mut self, run_time: u64) {
+        let mean_run_time = self.mean_run_time();
+        self.mean_run_time = (mean_run_time - mean_run_time / RUN_TIME_SAMPLE_DIVISOR
+            + run_time / RUN_TIME_SAMPLE_DIVISOR)
+            .max(1);
     }
 }
 
-/// Slots that requests of this kind may use together.
+/// Slots that home or shifted requests may use together.
+///
+/// Rounded down for each owner, so that the sum over all owners of a region stays
+/// within the policy's share.
 ///
-/// Rounded down for each owner, so that the sum over a region's owners is
-/// never above the policy's share.
-fn limit(service: &Service, slots: u32, shifted: bool) -> u32 {
-    let kept_back = if shifted { service.headroom_percent } else { 0 };
-    let percent = service.load_limit_percent.saturating_sub(kept_back);
+fn slot_limit(service: &Service, slots: u32, shifted: bool) -> u32 {
+    let headroom_percent = if shifted { service.headroom_percent } else { 0 };
+    let percent = service.load_limit_percent.saturating_sub(headroom_percent);
     slots * percent / 100
 }
