--- a/elmstream/src/message.rs
+++ b/elmstream/src/message.rs
@@ -1,4 +1,8 @@
-//! Messages between entry hosts, and the commands that systems give.
+//! Messages between entry hosts, and the commands that a host's decisions result
+//! in.
+//!
+//! Messages are encoded by the order of their fields: fields must not be
+//! reordered, added or removed.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,170 +11,179 @@
     id::{HostRef, Name},
 };
 
-/// What an owner reports of one service.
+/// Load of one service at one owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// Slots that the owner may fill now.
+    /// Slots that the owner may use now.
     pub slots: u32,
-    /// Slots that are filled.
+    /// Slots in use.
     pub in_flight: u32,
-    /// Requests that wait for a slot.
+    /// Requests that are queued for a slot.
     pub queued: u32,
 }
 
-/// Requests still in flight at a backend server that their sender has released.
+/// Requests still in flight at a backend server that the sender no longer owns.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Lingering {
-    /// The backend server.
+    /// Name of the backend server.
     pub backend: Name,
-    /// How many.
+    /// Number of requests.
     pub count: u32,
 }
 
-/// A heartbeat: it tells that the host is alive and what it owns, and asks a
-/// witness of the same region to renew the sender's lease.
+/// Heartbeat: shows that the sender is live, reports what it owns, and asks
+/// witnesses of its region to renew its lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// Sender of the heartbeat.
     pub from: HostRef,
-    /// The sender's failure domain.
+    /// Failure domain of the sender.
     pub domain: Name,
-    /// The sender's region, whose row `epoch` is of.
+    /// Region of the sender, whose allotment row `epoch` refers to.
     pub region: Name,
-    /// Counts the sender's rounds.
+    /// Heartbeat round of the sender; rises by one with each round.
     pub sequence: u64,
-    /// The epoch that the sender has taken; it keeps nothing of an older one.
+    /// Epoch of the row that the sender acts on. It has dropped all ownership
+    /// under earlier epochs.
     pub epoch: u64,
     /// Whether the sender knows that the epoch is settled.
     pub settled: bool,
-    /// The revision of the configuration in force at the sender.
+    /// Revision of the configuration in force at the sender.
     pub revision: u64,
     /// Whether the sender is stopping.
     pub leaving: bool,
-    /// What the sender owns, by service.
+    /// Load of the services that the sender owns servers of.
     pub loads: Vec<ServiceLoad>,
-    /// What the sender has released and still has in flight.
+    /// Requests in flight at servers that the sender no longer owns.
     pub lingering: Vec<Lingering>,
-    /// Hosts of the group that the sender is a witness of, for the steward's
-    /// group; empty in a fleet where each host hears each other one.
+    /// Hosts whose leases the sender promises as a witness. Sent to the steward
+    /// group only; empty in a fleet in which every host sends heartbeats to every
+    /// other.
     pub sightings: Vec<Sighting>,
 }
 
-/// What a witness has heard of a host of its group.
+/// What a witness knows of a live host of its group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sighting {
-    /// The host and the incarnation that was heard.
+    /// The host and its last known incarnation.
     pub host: HostRef,
-    /// Milliseconds since it was heard.
+    /// Milliseconds since its last heartbeat.
     pub age_ms: u32,
-    /// The epoch that it has taken.
+    /// Epoch of the row that the host acts on.
     pub epoch: u64,
-    /// The round of its heartbeat.
+    /// Round of its last heartbeat.
     pub sequence: u64,
-    /// The revision in force there.
+    /// Revision of the configuration in force there.
     pub revision: u64,
-    /// Whether it says that it is stopping.
+    /// Whether the host is stopping.
     pub leaving: bool,
 }
 
-/// What the steward's group knows of the hosts of its region: all that the
-/// platform lists are live, but these.
+/// Liveness of a region's hosts as known to the steward group: every host in the
+/// platform's list is live, except those named here.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LivenessDigest {
-    /// Milliseconds since this was so.
+    /// Milliseconds since this information was current.
     pub age_ms: u32,
-    /// Hosts that are silent or leave.
+    /// Hosts that are silent or leaving.
     pub unavailable: Vec<Name>,
 }
 
-/// A renewal that took effect in the table.
+/// Lease renewal that was written to the table.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TableRenewal {
-    /// The row's epoch.
+    /// Epoch of the row.
     pub epoch: u64,
-    /// The round in which the owner asked.
+    /// Heartbeat round in which the owner asked for the renewal.
     pub sequence: u64,
 }
 
-/// The answer to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HeartbeatReply {
-    /// The sender of the answer.
+    /// Sender of the reply.
     pub from: HostRef,
-    /// Which round is answered.
+    /// Heartbeat round that is answered.
     pub sequence: u64,
-    /// The epoch at which a witness promises the renewal.
+    /// Epoch at which the sender promises the renewal as a witness, or `None` if
+    /// it doesn't.
     pub promised_epoch: Option<u64>,
-    /// The last round of the asker that the table renewed.
+    /// Last renewal of the receiver's lease through the table, as far as the
+    /// sender knows.
     pub table_renewal: Option<TableRenewal>,
-    /// The revision in force at the sender of the answer.
+    /// Revision of the configuration in force at the sender of the reply.
     pub revision: u64,
-    /// The region's row, where the asker's is older.
+    /// The region's allotment row, if the receiver's row is older.
     pub row: Option<Row>,
-    /// The region's hosts, in a fleet where no host hears each other one.
+    /// Liveness of the region's hosts, in a fleet in which not every host sends
+    /// heartbeats to every other.
     pub digest: Option<LivenessDigest>,
 }
 
-/// A steward's demand that a witness promises no more at `epoch`.
+/// Sent by a steward: the witness must not promise renewals at `epoch` or earlier
+/// any more.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Fence {
-    /// The region whose row the epoch is of.
+    /// Region whose row `epoch` refers to.
     pub region: Name,
-    /// The epoch.
+    /// Highest epoch that is fenced.
     pub epoch: u64,
 }
 
-/// The answer of a witness that is fenced.
+/// Confirmation of a fence.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FenceReply {
-    /// The witness.
+    /// Witness that is fenced.
     pub from: HostRef,
-    /// The region.
+    /// Region of the fence.
     pub region: Name,
-    /// The epoch.
+    /// Epoch of the fence.
     pub epoch: u64,
 }
 
-/// What a system wants done outside the core.
+/// Action that the caller of [`crate::node::Node`] has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send a heartbeat to the named host.
+    /// Send this heartbeat to the named host.
     Heartbeat(Name, Heartbeat),
-    /// Send a fence to the named host.
+    /// Send this fence to the named host.
     Fence(Name, Fence),
-    /// Read the region's allotment row.
+    /// Read the allotment row of the named region.
     ReadRow(Name),
     /// Write the row if its version in the table is still `expect`.
     WriteRow {
-        /// The row.
+        /// Row to write.
         row: Row,
-        /// The version that the write is conditional on; 0 is "no row yet".
+        /// Version that the write is conditional on; 0 if the row must not exist
+        /// yet.
         expect: u64,
     },
-    /// A queued request may go on.
+    /// Continue the queued request with this number.
     Wake(u64),
-    /// Ask a backend server how many requests it runs; the answer goes to
-    /// [`crate::node::Node::probed`].
+    /// Ask the named backend server how many requests it runs, and pass the
+    /// answer to [`crate::node::Node::on_probe_reply`].
     Probe(Name),
-    /// Something an operator may ask about later.
+    /// Log and count this event.
     Event(Event),
 }
 
-/// Changes that are logged and counted.
+/// State changes that are logged and counted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// A row was taken: region, epoch, settled, backend servers owned here.
+    /// An allotment row was adopted: region, epoch, whether it is settled, number
+    /// of backend servers that this host may act on.
     RowTaken(Name, u64, bool, usize),
-    /// This host's lease lapsed.
+    /// This host's lease expired.
     LeaseLapsed,
     /// This host holds its lease again.
     LeaseHeld,
-    /// A host fell silent.
+    /// A host was live and no longer is.
     HostSilent(HostRef),
-    /// A host was heard for the first time, or again.
+    /// A host became live.
     HostHeard(HostRef),
-    /// As steward, this host proposes a row: region, epoch, moves.
+    /// This host proposes a row as steward: region, epoch, number of servers that
+    /// change owners.
     RowProposed(Name, u64, usize),
 }
