--- a/elmstream/src/member.rs
+++ b/elmstream/src/member.rs
@@ -1,4 +1,5 @@
-//! Entry hosts: what the host list says of them and when they were heard.
+//! Entry hosts of the fleet: their entry in the host list, when they were last
+//! seen, and their load.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -8,214 +9,228 @@
     time::{MILLI, Time},
 };
 
-/// Time between a host's heartbeats, in microseconds.
+/// Time between the heartbeats of a host, in microseconds.
 pub const HEARTBEAT_INTERVAL: u64 = 500 * MILLI;
-/// Silence after which a host counts as dead, in microseconds.
+/// Time without a heartbeat after which a host is no longer live, in
+/// microseconds.
 pub const LIVENESS_TIMEOUT: u64 = 1_500 * MILLI;
-/// Silence after which a host gets no new requests, in microseconds: one
-/// heartbeat is missing.
+/// Time without a heartbeat after which a host gets no new requests, in
+/// microseconds. One missing heartbeat is enough.
 pub const ROUTING_TIMEOUT: u64 = 900 * MILLI;
-/// Time for which a host that could not be reached gets no requests.
+/// Time for which a host that could not be reached gets no requests, in
+/// microseconds.
 pub const UNREACHABLE_PAUSE: u64 = 500 * MILLI;
-/// Time for which another host's word holds that a host is live.
+/// Time for which a host counts as live because another host reported it, in
+/// microseconds.
 pub const REPORTED_LIVENESS_TIMEOUT: u64 = 3_000 * MILLI;
-/// Other hosts up to which each host sends heartbeats to each other one.
+/// Number of other hosts up to which every host sends heartbeats to every other.
 ///
-/// At about 450 bytes a second for each, more would exceed 13 KB a second. In a
-/// larger fleet a host has [`crate::beat`]'s partners, and is told of others.
+/// A heartbeat exchange takes about 450 bytes a second for each other host, so
+/// that more of them would exceed 13 KB a second. In a larger fleet, a host
+/// exchanges heartbeats with the partners described in [`crate::heartbeat`] and
+/// receives reports about the other hosts.
 pub const FULL_MESH_PEERS_MAX: usize = 28;
 
-/// Longest time for which an owner's refusal is taken to hold, in microseconds.
-const REFUSAL_MAX: u64 = 100 * MILLI;
-/// Least such time.
-const REFUSAL_MIN: u64 = 5 * MILLI;
-/// Share of the time after which asking again may help, as a divisor.
-const REFUSAL_DIVISOR: u64 = 8;
+/// Longest time for which a refusal of an owner is respected, in microseconds.
+const REFUSAL_HOLD_MAX: u64 = 100 * MILLI;
+/// Shortest time for which a refusal of an owner is respected, in microseconds.
+const REFUSAL_HOLD_MIN: u64 = 5 * MILLI;
+/// Retry time named in a refusal divided by the time for which the refusal is
+/// respected.
+const REFUSAL_HOLD_DIVISOR: u64 = 8;
 
-/// What a request wants of an owner.
+/// Kind of admission that a request asks an owner for.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum SlotDemand {
-    /// A slot now, or within a time that is short against a shift.
+    /// A slot at once, or after a wait that is short compared with a shift to
+    /// another region.
     Immediate,
     /// A slot or a place in the queue.
     Queueable,
-    /// A slot for a request of another home region.
+    /// A slot for a request whose home region is another one.
     Shifted,
 }
 
-/// What the platform's host list says.
+/// State of a host in the platform's host list.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum ListStatus {
-    /// It does not name the host.
+    /// The list does not contain the host.
     #[default]
     Absent,
-    /// It names the host as live.
+    /// The list contains the host as live.
     Live,
-    /// It names the host as leaving.
+    /// The list contains the host as leaving.
     Leaving,
 }
 
-/// An entry of the host list that names an entry host.
+/// Entry host in the platform's host list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedHost {
-    /// The host's name.
+    /// Name of the host.
     pub name: Name,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: Name,
-    /// Where it takes callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Where it takes other entry hosts' connections.
+    /// Address for connections of other entry hosts.
     pub peers: SocketAddr,
-    /// Whether the list calls it leaving.
+    /// Whether the list marks the host as leaving.
     pub leaving: bool,
 }
 
-/// An entry host.
+/// Everything that is known of one entry host.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
+    /// Name of the host.
     pub name: Name,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: Name,
-    /// Where it takes callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Where it takes other entry hosts' connections.
+    /// Address for connections of other entry hosts.
     pub peers: SocketAddr,
-    /// What the host list says.
+    /// State in the host list.
     pub list_status: ListStatus,
-    /// The incarnation that was heard last.
+    /// Incarnation of the last heartbeat.
     pub incarnation: Incarnation,
-    /// When it was heard last.
+    /// When the last heartbeat or reply was received.
     pub last_heard: Option<Time>,
-    /// What a witness has told of it.
+    /// Last report of a witness about the host.
     pub reported: Option<ReportedSighting>,
-    /// When the steward's group knew it as live.
+    /// When the steward group last confirmed that the host is live.
     pub confirmed_live_at: Option<Time>,
-    /// Whether the steward's group said last that it is out.
-    pub reported_out: bool,
-    /// Whether it counted as live at the last tick.
+    /// Whether the steward group's latest digest lists the host as unavailable.
+    pub reported_unavailable: bool,
+    /// Whether the host was live at the last tick.
     pub was_live: bool,
-    /// Whether it says that it is stopping.
+    /// Whether the host says that it is stopping.
     pub leaving: bool,
-    /// The epoch that it has taken.
+    /// Epoch of the row that the host acts on, by its last heartbeat.
     pub epoch: u64,
-    /// The round of its last heartbeat.
+    /// Round of its last heartbeat.
     pub sequence: u64,
-    /// The revision in force there.
+    /// Highest known revision of the configuration in force there.
     pub revision: u64,
-    /// What it owns, as last reported.
+    /// Last reported load, by service.
     pub loads: Vec<ServiceLoad>,
-    /// What it has released and still has in flight.
+    /// Requests in flight at servers that the host no longer owns.
     pub lingering: Vec<Lingering>,
-    /// Requests sent there since that report and not yet answered.
+    /// Requests sent to the host since its last load report and not yet answered,
+    /// by service.
     pub unanswered: BTreeMap<Name, u32>,
-    /// Until when it has nothing to give, by service and want.
+    /// When a refusal of the host stops being respected, by service and demand.
     pub refused_until: BTreeMap<(Name, SlotDemand), Time>,
     /// Weight in look-ups, in thousandths.
     pub weight: u32,
-    /// No request is sent there until then, since it could not be reached.
+    /// No request is sent to the host before this time, because it could not be
+    /// reached.
     pub avoid_until: Time,
 }
 
-/// What a witness has told of a host.
+/// Report of a witness about a host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReportedSighting {
-    /// When the witness heard it.
+    /// When the witness received the host's last heartbeat.
     pub heard_at: Time,
-    /// The incarnation that it heard.
+    /// Incarnation of the host.
     pub incarnation: Incarnation,
-    /// The epoch that the host had taken.
+    /// Epoch of the row that the host acts on.
     pub epoch: u64,
-    /// The round of the host's heartbeat.
+    /// Round of the host's last heartbeat.
     pub sequence: u64,
-    /// Whether the host said that it is stopping.
+    /// Whether the host says that it is stopping.
     pub leaving: bool,
 }
 
 impl Member {
-    /// Whether it was heard within [`SILENCE`], or others say within [`TOLD`]
-    /// that it is live.
+    /// Whether the host was heard within [`LIVENESS_TIMEOUT`], or was reported or
+    /// confirmed as live within [`REPORTED_LIVENESS_TIMEOUT`].
     pub fn is_live(&self, now: Time) -> bool {
-        let is_vouched =
-            self.confirmed_live_at.is_some_and(|at| now.since(at) < REPORTED_LIVENESS_TIMEOUT);
-        self.is_heard_or_reported(now) || is_vouched
+        let is_confirmed = self
+            .confirmed_live_at
+            .is_some_and(|heard_at| now.since(heard_at) < REPORTED_LIVENESS_TIMEOUT);
+        self.is_heard_or_reported(now) || is_confirmed
     }
 
-    /// Whether this host or a witness that told it has heard it of late. What
-    /// the steward's group says must rest on this alone: its hosts would else
-    /// go on vouching to each other for a host that is dead.
+    /// Whether this host, or a witness that reported it, recently received a
+    /// heartbeat of the host. The steward group must build its digests on this
+    /// alone. If it also used confirmations, its hosts would keep confirming a
+    /// dead host to each other.
     pub fn is_heard_or_reported(&self, now: Time) -> bool {
-        let is_told = self
+        let is_reported = self
             .reported
             .as_ref()
-            .is_some_and(|told| now.since(told.heard_at) < REPORTED_LIVENESS_TIMEOUT);
-        self.is_heard(now) || is_told
+            .is_some_and(|report| now.since(report.heard_at) < REPORTED_LIVENESS_TIMEOUT);
+        self.is_heard(now) || is_reported
     }
 
-    /// Whether a message for all hosts is worth sending there: it is live, or
-    /// listed and nothing is known of it, as of hosts of other regions.
+    /// Whether a message for all hosts should be sent to the host: it is live, or
+    /// it is listed as live and nothing else is known of it, which is usual for
+    /// hosts of other regions.
     pub fn may_be_live(&self, now: Time) -> bool {
-        let is_unknown =
-            !self.has_known_incarnation() && self.confirmed_live_at.is_none() && !self.reported_out;
+        let is_unknown = !self.has_known_incarnation()
+            && self.confirmed_live_at.is_none()
+            && !self.reported_unavailable;
         self.is_live(now) || self.list_status == ListStatus::Live && is_unknown
     }
 
-    /// Whether it was heard within [`SILENCE`], by this host itself.
+    /// Whether this host itself heard the host within [`LIVENESS_TIMEOUT`].
     pub fn is_heard(&self, now: Time) -> bool {
-        self.last_heard.is_some_and(|heard| now.since(heard) < LIVENESS_TIMEOUT)
+        self.last_heard.is_some_and(|heard_at| now.since(heard_at) < LIVENESS_TIMEOUT)
     }
 
-    /// What was told of it, if that is newer than what was heard.
-    fn news(&self) -> Option<&ReportedSighting> {
+    /// The witness's report, if it is newer than the last heartbeat.
+    fn newer_report(&self) -> Option<&ReportedSighting> {
         self.reported
             .as_ref()
-            .filter(|told| self.last_heard.is_none_or(|heard| heard < told.heard_at))
+            .filter(|report| self.last_heard.is_none_or(|heard_at| heard_at < report.heard_at))
     }
 
-    /// The epoch that it is known to have taken.
+    /// Latest known epoch of the row that the host acts on.
     pub fn latest_epoch(&self) -> u64 {
-        self.news().map_or(self.epoch, |told| told.epoch)
+        self.newer_report().map_or(self.epoch, |report| report.epoch)
     }
 
-    /// Its last round of heartbeats that is known.
+    /// Latest known heartbeat round.
     pub fn latest_sequence(&self) -> u64 {
-        self.news().map_or(self.sequence, |told| told.sequence)
+        self.newer_report().map_or(self.sequence, |report| report.sequence)
     }
 
-    /// Whether its incarnation is known.
+    /// Whether the incarnation is known from a heartbeat or a report.
     pub fn has_known_incarnation(&self) -> bool {
         self.last_heard.is_some() || self.reported.is_some()
     }
 
-    /// Whether it was heard within [`FRESH`].
+    /// Whether the host was heard within [`ROUTING_TIMEOUT`], so that requests
+    /// may be routed to it.
     pub fn is_routable(&self, now: Time) -> bool {
-        self.last_heard.is_some_and(|heard| now.since(heard) < ROUTING_TIMEOUT)
+        self.last_heard.is_some_and(|heard_at| now.since(heard_at) < ROUTING_TIMEOUT)
     }
 
-    /// Whether new work may go there.
+    /// Whether the host is neither stopping nor listed as leaving.
     pub fn takes_new_work(&self) -> bool {
-        let leaving = self.news().map_or(self.leaving, |told| told.leaving);
+        let leaving = self.newer_report().map_or(self.leaving, |report| report.leaving);
         !leaving && self.list_status != ListStatus::Leaving
     }
 
-    /// The host and its incarnation, as last heard or told.
+    /// The host with its latest known incarnation.
     pub fn host_ref(&self) -> HostRef {
-        let incarnation = self.news().map_or(self.incarnation, |told| told.incarnation);
+        let incarnation = self.newer_report().map_or(self.incarnation, |report| report.incarnation);
         HostRef { host: self.name.clone(), incarnation }
     }
 
-    /// The last report on a service.
+    /// Last reported load of a service.
     pub fn load(&self, service: &str) -> Option<&ServiceLoad> {
         self.loads.iter().find(|load| &*load.service == service)
     }
 
-    /// Requests that it still has in flight at a server that it has released.
+    /// Requests that the host has in flight at a server that it no longer owns.
     pub fn lingering_at(&self, backend: &str) -> u32 {
         let found = self.lingering.iter().find(|l| &*l.backend == backend);
         found.map_or(0, |l| l.count)
     }
 
-    /// Takes a report on one service that came with an answer.
+    /// Updates the load of one service from a report that came with an answer.
     pub fn update_load(&mut self, load: ServiceLoad) {
         self.unanswered.remove(&load.service);
         match self.loads.iter_mut().find(|l| l.service == load.service) {
@@ -224,24 +239,27 @@
         }
     }
 
-    /// Notes a refusal, and when asking again may help, in microseconds.
+    /// Records a refusal. `retry_after` is the time in microseconds after which a
+    /// retry may succeed.
     pub fn record_refusal(
         &mut self,
         now: Time,
         service: &Name,
-        want: SlotDemand,
+        demand: SlotDemand,
         retry_after: u64,
     ) {
-        let holds = (retry_after / REFUSAL_DIVISOR).clamp(REFUSAL_MIN, REFUSAL_MAX);
-        self.refused_until.insert((service.clone(), want), now + holds);
+        let hold = (retry_after / REFUSAL_HOLD_DIVISOR).clamp(REFUSAL_HOLD_MIN, REFUSAL_HOLD_MAX);
+        self.refused_until.insert((service.clone(), demand), now + hold);
     }
 
-    /// Until when it has nothing to give for a want.
-    pub fn refused_until(&self, service: &Name, want: SlotDemand) -> Time {
-        self.refused_until.get(&(service.clone(), want)).copied().unwrap_or_default()
+    /// When a refusal of this demand stops being respected; the zero time if
+    /// there was none.
+    pub fn refused_until(&self, service: &Name, demand: SlotDemand) -> Time {
+        self.refused_until.get(&(service.clone(), demand)).copied().unwrap_or_default()
     }
 
-    /// Slots believed free: those reported, less what was sent since.
+    /// Estimate of the free slots: those reported free, less the requests sent
+    /// since. Negative if the host is overcommitted.
     pub fn free_slots(&self, service: &str) -> i64 {
         let Some(load) = self.load(service) else {
             return 0;
@@ -251,23 +269,25 @@
     }
 }
 
-/// The table of entry hosts, by name.
+/// Table of the entry hosts by name.
 #[derive(Debug, Default)]
 pub struct Members {
     table: BTreeMap<Name, Member>,
 }
 
 impl Members {
-    /// Takes a host list. Hosts that it does not name stay as absent, since
-    /// the list lags, until they are silent as well. Tells whether hosts came
-    /// or went.
+    /// Applies a host list and returns whether hosts were added or removed.
+    ///
+    /// A host that is missing from the list stays until it is silent as well,
+    /// because the list may lag behind.
     pub fn apply_host_list(&mut self, now: Time, list: Vec<ListedHost>) -> bool {
         let before: Vec<Name> = self.table.keys().cloned().collect();
         for member in self.table.values_mut() {
             member.list_status = ListStatus::Absent;
         }
         for listed in list {
-            let member = self.table.entry(listed.name.clone()).or_insert_with(|| new(&listed));
+            let member =
+                self.table.entry(listed.name.clone()).or_insert_with(|| new_member(&listed));
             member.domain = listed.domain;
             member.callers = listed.callers;
             member.peers = listed.peers;
@@ -278,16 +298,17 @@
         !before.iter().eq(self.table.keys())
     }
 
-    /// Takes what a witness has heard of a host.
+    /// Records a witness's report about a host. An older report than the present
+    /// one is ignored.
     pub fn record_sighting(&mut self, now: Time, sighting: &Sighting) {
         let Some(member) = self.table.get_mut(&sighting.host.host) else { return };
-        let at = now - u64::from(sighting.age_ms) * MILLI;
-        if member.reported.as_ref().is_some_and(|told| told.heard_at >= at) {
+        let heard_at = now - u64::from(sighting.age_ms) * MILLI;
+        if member.reported.as_ref().is_some_and(|report| report.heard_at >= heard_at) {
             return;
         }
         member.revision = member.revision.max(sighting.revision);
         member.reported = Some(ReportedSighting {
-            heard_at: at,
+            heard_at,
             incarnation: sighting.host.incarnation,
             epoch: sighting.epoch,
             sequence: sighting.sequence,
@@ -295,7 +316,7 @@
         });
     }
 
-    /// Takes an answer of a host as a sign that it is live.
+    /// Records a reply of a host, which shows that it is live.
     pub fn record_reply(&mut self, now: Time, from: &HostRef) {
         if let Some(member) = self.table.get_mut(&from.host)
             && member.incarnation == from.incarnation
@@ -304,39 +325,39 @@
         }
     }
 
-    /// How many hosts there are.
+    /// Number of hosts.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no hosts.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// Takes a heartbeat. A host that no list has named yet is not known, and
-    /// its heartbeat is answered all the same.
-    pub fn record_heartbeat(&mut self, now: Time, beat: &Heartbeat) {
-        let Some(member) = self.table.get_mut(&beat.from.host) else {
+    /// Records a heartbeat. A sender that no host list has named yet is ignored
+    /// here; its heartbeat is answered nevertheless.
+    pub fn record_heartbeat(&mut self, now: Time, heartbeat: &Heartbeat) {
+        let Some(member) = self.table.get_mut(&heartbeat.from.host) else {
             return;
         };
-        member.incarnation = beat.from.incarnation;
+        member.incarnation = heartbeat.from.incarnation;
         member.last_heard = Some(now);
-        member.leaving = beat.leaving;
-        member.epoch = beat.epoch;
-        member.sequence = beat.sequence;
-        member.revision = member.revision.max(beat.revision);
-        member.loads.clone_from(&beat.loads);
-        member.lingering.clone_from(&beat.lingering);
+        member.leaving = heartbeat.leaving;
+        member.epoch = heartbeat.epoch;
+        member.sequence = heartbeat.sequence;
+        member.revision = member.revision.max(heartbeat.revision);
+        member.loads.clone_from(&heartbeat.loads);
+        member.lingering.clone_from(&heartbeat.lingering);
         member.unanswered.clear();
     }
 
-    /// A host by name.
+    /// Looks up a host by name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.table.get(name)
     }
 
-    /// A host by name, to be changed.
+    /// Looks up a host by name for a change.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Member> {
         self.table.get_mut(name)
     }
@@ -346,13 +367,13 @@
         self.table.values()
     }
 
-    /// All hosts, to be changed.
+    /// All hosts in the order of their names, for changes.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Member> {
         self.table.values_mut()
     }
 }
 
-fn new(listed: &ListedHost) -> Member {
+fn new_member(listed: &ListedHost) -> Member {
     Member {
         name: listed.name.clone(),
         domain: listed.domain.clone(),
@@ -363,7 +384,7 @@
         last_heard: None,
         reported: None,
         confirmed_live_at: None,
-        reported_out: false,
+        reported_unavailable: false,
         was_live: false,
         leaving: false,
         epoch: 0,
--- a/elmstream/src/node.rs
+++ b/elmstream/src/node.rs
@@ -1,4 +1,4 @@
-//! One entry host's decisions: its tables, and the systems that run each tick.
+//! State and decisions of one entry host, and the steps that run on each tick.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -25,22 +25,22 @@
     token_bucket::TokenBucket,
 };
 
-/// Time without any sign of the newest revision after which a host may be
-/// behind, in microseconds.
+/// Time after which the configuration may be outdated unless the newest revision
+/// was confirmed, in microseconds.
 pub const CATALOG_FRESH_TIMEOUT: u64 = 10 * SECOND;
 
-/// What a node is started with.
+/// Settings that a node is created with.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// The host and its incarnation.
+    /// This host and its incarnation.
     pub me: HostRef,
-    /// Its failure domain.
+    /// Failure domain of this host.
     pub domain: Name,
-    /// Seed of its randomness.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// All that one entry host knows and decides by.
+/// State of one entry host and the decisions based on it.
 #[derive(Debug)]
 pub struct Node {
     pub(crate) settings: NodeSettings,
@@ -50,41 +50,44 @@
     pub(crate) lease: Lease,
     pub(crate) row: Row,
     pub(crate) shift_buckets: HashMap<(Name, Name), TokenBucket>,
-    /// Requests over the links from other regions.
+    /// Request limits of the links from other regions, by region.
     pub(crate) link_request_buckets: HashMap<Name, TokenBucket>,
-    /// Bytes over the links from other regions.
+    /// Byte limits of the links from other regions, by region.
     pub(crate) link_byte_buckets: HashMap<Name, TokenBucket>,
     pub(crate) retry_budgets: HashMap<ServiceId, RetryBudget>,
     pub(crate) tickets: TicketTable,
     pub(crate) rng: StdRng,
     pub(crate) leaving_backends: Vec<Name>,
     pub(crate) stopping: bool,
-    /// Answers to look-ups by site and service, until a host's state changes.
+    /// Cached answers to look-ups by site and service, valid while the ranking
+    /// digest is unchanged.
     pub(crate) lookup_cache: HashMap<(Option<SiteId>, ServiceId), Arc<[RankedHost]>>,
     lookup_cache_digest: u64,
     pub(crate) revision_confirmed_at: Option<Time>,
-    /// When the row's epoch was learned to be settled; since then nobody else
-    /// uses what this host owns at it.
+    /// When this host learned that the row's epoch is settled. Since then no
+    /// other host uses its part of the caps.
     pub(crate) settled_at: Time,
     pub(crate) witness: Witness,
     pub(crate) steward: Steward,
     pub(crate) sequence: u64,
     pub(crate) last_heartbeat_at: Option<Time>,
     pub(crate) early_heartbeat: bool,
-    /// A host that has shown a newer row and is to be asked for it.
+    /// Host that has shown a newer row. The next heartbeats go to it as well,
+    /// since its reply contains the row.
     pub(crate) newer_row_host: Option<Name>,
-    /// Hosts that this one and they send heartbeats to, in a large fleet.
+    /// Hosts with which this host exchanges heartbeats in a large fleet.
     pub(crate) partners: Vec<Name>,
-    /// What the steward's group told of the region's hosts.
+    /// Last digest of the steward group.
     pub(crate) liveness_digest: Option<ReceivedDigest>,
     lease_was_held: bool,
     pub(crate) inherited: BTreeMap<Name, InheritedServer>,
-    /// The row's owners by service, each once, in a large fleet.
+    /// Owners in the row by service, sorted and without duplicates. Filled in a
+    /// large fleet only.
     pub(crate) row_owners: HashMap<ServiceId, Vec<HostRef>>,
 }
 
 impl Node {
-    /// A node without configuration.
+    /// Creates a node without a configuration.
     pub fn new(settings: NodeSettings) -> Node {
         let rng = StdRng::seed_from_u64(settings.seed);
         let steward = Steward::new(settings.seed);
@@ -121,48 +124,50 @@
         }
     }
 
-    /// This host and incarnation.
+    /// This host and its incarnation.
     pub fn me(&self) -> &HostRef {
         &self.settings.me
     }
 
-    /// The configuration in force.
+    /// Configuration in force.
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// The region's allotment row, as this host has taken it.
+    /// Allotment row of the region that this host acts on.
     pub fn row(&self) -> &Row {
         &self.row
     }
 
-    /// The lease.
+    /// Lease of this host, the holder's side.
     pub fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// The entry hosts.
+    /// Entry hosts of the fleet, including this one.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The backend servers' slots.
+    /// Slots and queues of the backend servers that this host owns.
     pub fn admissions(&self) -> &Admissions {
         &self.admissions
     }
 
-    /// The region that this host's failure domain lies in.
+    /// Region of this host, or `None` if the configuration does not contain its
+    /// failure domain.
     pub fn region(&self) -> Option<RegionId> {
         self.catalog.region_of_domain(&self.settings.domain)
     }
 
-    /// Takes a configuration; a revision that is not higher is left alone.
+    /// Puts a configuration in force and returns `true`, or returns `false` if
+    /// its revision is not higher than the present one.
     pub fn set_catalog(&mut self, now: Time, catalog: Arc<Catalog>) -> bool {
         if catalog.revision <= self.catalog.revision {
             return false;
         }
-        let old = std::mem::replace(&mut self.catalog, catalog);
-        self.renumber(&old);
+        let old_catalog = std::mem::replace(&mut self.catalog, catalog);
+        self.remap_services(&old_catalog);
         self.lookup_cache.clear();
         self.revision_confirmed_at = Some(now);
         self.choose_partners();
@@ -170,35 +175,39 @@
         true
     }
 
-    /// Forgets answers to look-ups if a host's part in them has changed.
-    fn forget_lookups(&mut self, now: Time) {
-        let state = lookup::ranking_digest(&self.catalog, &self.members, now);
-        if state != self.lookup_cache_digest {
-            self.lookup_cache_digest = state;
+    /// Clears the cached answers to look-ups if the ranking of hosts may have
+    /// changed.
+    fn refresh_lookup_cache(&mut self, now: Time) {
+        let digest = lookup::ranking_digest(&self.catalog, &self.members, now);
+        if digest != self.lookup_cache_digest {
+            self.lookup_cache_digest = digest;
             self.lookup_cache.clear();
         }
     }
 
-    /// Carries what is kept by a service's index over to the new indexes.
-    fn renumber(&mut self, old: &Catalog) {
-        let new_id = |id: ServiceId| self.catalog.service(&old.services[id.index()].name);
+    /// Moves state that is indexed by service to the indexes of the new
+    /// configuration.
+    fn remap_services(&mut self, old_catalog: &Catalog) {
+        let new_id = |id: ServiceId| self.catalog.service(&old_catalog.services[id.index()].name);
         self.admissions.remap_services(new_id);
-        let retries = std::mem::take(&mut self.retry_budgets);
-        let moved = retries.into_iter().filter_map(|(id, budget)| Some((new_id(id)?, budget)));
+        let budgets = std::mem::take(&mut self.retry_budgets);
+        let moved = budgets.into_iter().filter_map(|(id, budget)| Some((new_id(id)?, budget)));
         self.retry_budgets = moved.collect();
     }
 
-    /// The newest revision was seen at the table.
+    /// Records that the configuration in force was confirmed as the newest
+    /// revision.
     pub fn confirm_revision(&mut self, now: Time) {
         self.revision_confirmed_at = Some(now);
     }
 
-    /// Whether this host may be behind the newest revision.
+    /// Whether the configuration in force may be outdated.
     pub fn is_isolated(&self, now: Time) -> bool {
         self.revision_confirmed_at.is_none_or(|at| now.since(at) >= CATALOG_FRESH_TIMEOUT)
     }
 
-    /// Takes the platform's host list.
+    /// Applies the platform's host list. `leaving_backends` are the backend
+    /// servers that it marks as leaving.
     pub fn apply_host_list(
         &mut self,
         now: Time,
@@ -212,35 +221,36 @@
         self.refresh_ownership(now);
     }
 
-    /// Begins a planned stop: the host owns nothing new and leaves look-ups.
+    /// Begins a planned stop: this host gets no new servers and is removed from
+    /// look-ups.
     pub fn begin_stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Whether this host owns a backend server under its lease.
+    /// Whether this host may act on a backend server now.
     pub fn is_owner(&self, now: Time) -> bool {
         let owns = self.row.owned_by(&self.settings.me).next().is_some();
         owns && self.lease.is_held(now)
     }
 
-    /// Whether nothing is in flight here.
+    /// Whether no request is in flight at this host's servers.
     pub fn is_idle(&self) -> bool {
         self.admissions.total_in_flight() == 0
     }
 
-    /// Gives up what this host owns, although nobody has taken it over.
+    /// Drops all ownership although no other host has taken the servers over.
     pub fn abandon_ownership(&mut self) {
         let Row { epoch, region, .. } = std::mem::take(&mut self.row);
         self.row = Row { epoch, region, settled: true, ..Row::default() };
         self.admissions.set_owned(Time::default(), &self.catalog, &BTreeSet::new());
     }
 
-    /// Runs every system once.
+    /// Runs all periodic steps and returns the actions to carry out.
     pub fn tick(&mut self, now: Time) -> Vec<Command> {
         let mut commands = Vec::new();
         self.tickets.expire(now);
-        self.watch_hosts(now, &mut commands);
-        self.watch_lease(now, &mut commands);
+        self.report_host_changes(now, &mut commands);
+        self.report_lease_changes(now, &mut commands);
         if self.is_heartbeat_due(now) {
             self.last_heartbeat_at = Some(now);
             self.early_heartbeat = false;
@@ -248,15 +258,15 @@
             self.record_own_heartbeat(now);
             self.probe_inherited_servers(&mut commands);
             lookup::step_weights(&mut self.members, now);
-            self.forget_lookups(now);
+            self.refresh_lookup_cache(now);
         }
         self.run_steward(now, &mut commands);
         self.update_reserved_slots(now);
-        self.wake_all(now, &mut commands);
+        self.wake_waiting_requests(now, &mut commands);
         commands
     }
 
-    /// Takes a steward's fence, as a witness.
+    /// Handles a fence from a steward, as a witness, and returns the reply.
     pub fn on_fence(&mut self, fence: &Fence) -> FenceReply {
         self.witness.fence(&fence.region, fence.epoch);
         FenceReply {
@@ -266,12 +276,13 @@
         }
     }
 
-    /// Takes a witness's answer to a fence, as steward.
+    /// Handles a witness's reply to a fence, as the steward.
     pub fn on_fence_reply(&mut self, reply: FenceReply) {
         self.steward.on_witness_fenced(reply.from, reply.epoch);
     }
 
-    /// Takes the table's answer to a read of the row.
+    /// Handles the result of reading the region's row; `None` if there is no row
+    /// yet.
     pub fn on_row_read(&mut self, now: Time, stored: Option<StoredRow>) -> Vec<Command> {
         let mut commands = Vec::new();
         self.steward.on_row_read(stored);
@@ -279,12 +290,12 @@
         commands
     }
 
-    /// The table did not answer a read of the row.
+    /// Handles a failed read of the region's row.
     pub fn on_row_read_failed(&mut self) {
         self.steward.on_read_failed();
     }
 
-    /// Takes the table's answer to a write of the row.
+    /// Handles the result of writing the region's row.
     pub fn on_row_written(&mut self, now: Time, outcome: WriteOutcome) -> Vec<Command> {
         let mut commands = Vec::new();
         self.steward.on_row_written(outcome);
@@ -295,62 +306,65 @@
         commands
     }
 
-    /// The name of this host's region.
+    /// Name of this host's region, or `None` if the configuration does not
+    /// contain its failure domain.
     pub fn region_name(&self) -> Option<Name> {
         let region = self.region()?;
         Some(self.catalog.regions[region.index()].name.clone())
     }
 
-    /// Reports hosts that fell silent or are heard again.
-    fn watch_hosts(&mut self, now: Time, commands: &mut Vec<Command>) {
+    /// Reports hosts that became live or silent.
+    fn report_host_changes(&mut self, now: Time, commands: &mut Vec<Command>) {
         for member in self.members.iter_mut() {
-            let live = member.is_live(now);
-            if live == member.was_live {
+            let is_live = member.is_live(now);
+            if is_live == member.was_live {
                 continue;
             }
-            member.was_live = live;
+            member.was_live = is_live;
             let host = member.host_ref();
-            let event = if live { Event::HostHeard(host) } else { Event::HostSilent(host) };
+            let event = if is_live { Event::HostHeard(host) } else { Event::HostSilent(host) };
             commands.push(Command::Event(event));
         }
     }
 
-    /// Reports a lease that lapsed or is held again.
-    fn watch_lease(&mut self, now: Time, commands: &mut Vec<Command>) {
-        let held = self.lease.is_held(now);
-        if held != self.lease_was_held {
-            self.lease_was_held = held;
-            let event = if held { Event::LeaseHeld } else { Event::LeaseLapsed };
+    /// Reports when the lease expires or is held again.
+    fn report_lease_changes(&mut self, now: Time, commands: &mut Vec<Command>) {
+        let is_held = self.lease.is_held(now);
+        if is_held != self.lease_was_held {
+            self.lease_was_held = is_held;
+            let event = if is_held { Event::LeaseHeld } else { Event::LeaseLapsed };
             commands.push(Command::Event(event));
         }
     }
 
-    /// Brings the admission table in line with row, configuration and list.
+    /// Updates the owned servers after a change of the row, the configuration or
+    /// the host list.
     pub(crate) fn refresh_ownership(&mut self, now: Time) {
         let owned = self.row.owned_by(&self.settings.me);
         let owned: BTreeSet<Name> = owned.map(|(name, _)| name.clone()).collect();
-        let before = self.admissions.owned();
+        let owned_before = self.admissions.owned();
         self.admissions.set_owned(now, &self.catalog, &owned);
         self.admissions.mark_draining(&self.leaving_backends);
         self.inherited.retain(|name, _| owned.contains(name));
-        for name in owned.difference(&before) {
+        for name in owned.difference(&owned_before) {
             let from = self.row.grants.get(name).and_then(|grant| grant.from.clone());
             let inherited = InheritedServer {
                 from,
                 epoch: self.row.epoch,
-                since: now,
+                taken_over_at: now,
                 released: self.row.released,
                 reported: None,
-                probed: None,
+                probed_requests: None,
             };
             self.inherited.insert(name.clone(), inherited);
         }
-        self.list_row_owners();
+        self.update_row_owners();
         self.update_reserved_slots(now);
     }
 
-    /// Lists the owners that requests may go to although they are no partners.
-    fn list_row_owners(&mut self) {
+    /// Updates the list of owners that requests may be sent to although they are
+    /// not partners.
+    fn update_row_owners(&mut self) {
         let mut owners: HashMap<ServiceId, Vec<HostRef>> = HashMap::new();
         let grants = self.row.grants.iter().filter(|_| !self.is_small_fleet());
         for (name, grant) in grants {
@@ -369,7 +383,7 @@
         self.row_owners = owners;
     }
 
-    fn wake_all(&mut self, now: Time, commands: &mut Vec<Command>) {
+    fn wake_waiting_requests(&mut self, now: Time, commands: &mut Vec<Command>) {
         let catalog = self.catalog.clone();
         for id in (0..catalog.services.len() as u32).map(ServiceId) {
             let woken = self.admissions.wake_waiting(now, &catalog, id);
