--- a/elmstream/src/region_steward.rs
+++ b/elmstream/src/region_steward.rs
@@ -1,4 +1,5 @@
-//! A host's part in its region: the steward's view, its steps, and the row.
+//! A host's role in its region: running the steward, carrying out its steps, and
+//! adopting rows.
 
 use std::collections::HashSet;
 
@@ -14,7 +15,7 @@
 };
 
 impl Node {
-    /// Live hosts of the region, in the order of their names.
+    /// Live hosts of the region, sorted by name.
     pub(crate) fn candidates(&self, now: Time, region: RegionId) -> Vec<Candidate> {
         let in_region = |m: &&Member| self.catalog.region_of_domain(&m.domain) == Some(region);
         let live = self.members.iter().filter(|m| m.is_live(now) && m.has_known_incarnation());
@@ -29,35 +30,36 @@
     pub(crate) fn run_steward(&mut self, now: Time, commands: &mut Vec<Command>) {
         let Some(region) = self.region() else { return };
         if !self.is_steward(now) {
-            let follows = self.reads_row_when_idle(now);
-            if let Some(step) = follows.then(|| self.steward.tick_idle(now)).flatten() {
-                self.do_step(now, step, commands);
+            let reads_row = self.reads_row_when_idle(now);
+            if let Some(step) = reads_row.then(|| self.steward.tick_idle(now)).flatten() {
+                self.run_step(now, step, commands);
             }
             return;
         }
         let hosts = self.candidates(now, region);
         let catalog = self.catalog.clone();
-        let name = catalog.regions[region.index()].name.clone();
-        let taken = self.taken();
-        let gone = self.gone();
-        let asked = self.asked();
+        let region_name = catalog.regions[region.index()].name.clone();
+        let epoch_taken_by = self.hosts_at_epoch();
+        let lost_witnesses = self.lost_witnesses();
+        let renewal_requests = self.renewal_requests();
         let view = StewardView {
             catalog: &catalog,
             region,
-            region_name: &name,
+            region_name: &region_name,
             hosts: &hosts,
-            epoch_taken_by: &taken,
-            lost_witnesses: &gone,
-            renewal_requests: &asked,
+            epoch_taken_by: &epoch_taken_by,
+            lost_witnesses: &lost_witnesses,
+            renewal_requests: &renewal_requests,
         };
         let steps = self.steward.tick(now, &view);
         for step in steps {
-            self.do_step(now, step, commands);
+            self.run_step(now, step, commands);
         }
     }
 
-    /// The last round in which each owner of the row's epoch asked.
-    fn asked(&self) -> Vec<Renewal> {
+    /// Last heartbeat round of each owner of the stored row's epoch, in which it
+    /// asked for a renewal.
+    fn renewal_requests(&self) -> Vec<Renewal> {
         let epoch = self.steward.stored().map_or(0, |s| s.row.epoch);
         let owners = self.steward.stored().map(|s| s.row.owners()).unwrap_or_default();
         let at_epoch =
@@ -67,26 +69,26 @@
         owners.map(renewal).collect()
     }
 
-    /// Hosts that have taken the epoch that the steward works on.
-    fn taken(&self) -> HashSet<HostRef> {
+    /// Hosts that have taken the epoch of the stored row.
+    fn hosts_at_epoch(&self) -> HashSet<HostRef> {
         let epoch = self.steward.stored().map_or(0, |s| s.row.epoch);
-        let taken =
+        let epoch_taken_by =
             self.members.iter().filter(|m| m.has_known_incarnation() && m.latest_epoch() >= epoch);
-        let mut taken: HashSet<HostRef> = taken.map(Member::host_ref).collect();
+        let mut epoch_taken_by: HashSet<HostRef> = epoch_taken_by.map(Member::host_ref).collect();
         if self.row.epoch >= epoch {
-            taken.insert(self.settings.me.clone());
+            epoch_taken_by.insert(self.settings.me.clone());
         }
-        taken
+        epoch_taken_by
     }
 
-    /// Witnesses of the row that can promise no more.
-    fn gone(&self) -> HashSet<HostRef> {
+    /// Witnesses of the stored row that can never promise a renewal again.
+    fn lost_witnesses(&self) -> HashSet<HostRef> {
         let Some(StoredRow { row, .. }) = self.steward.stored() else { return HashSet::new() };
         let witnesses = row.groups.witnesses().chain(row.groups_from.witnesses());
-        witnesses.filter(|w| is_gone(&self.members, w)).cloned().collect()
+        witnesses.filter(|w| cannot_promise(&self.members, w)).cloned().collect()
     }
 
-    fn do_step(&mut self, now: Time, step: StewardStep, commands: &mut Vec<Command>) {
+    fn run_step(&mut self, now: Time, step: StewardStep, commands: &mut Vec<Command>) {
         match step {
             StewardStep::Read => commands.extend(self.region_name().map(Command::ReadRow)),
             StewardStep::Write { row, expect } => {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Takes the row that the steward part has from the table.
+    /// Adopts the row that the steward last read or wrote, if it is newer.
     pub(crate) fn take_stored_row(&mut self, now: Time, commands: &mut Vec<Command>) {
         let stored = self.steward.stored().filter(|s| s.version != 0);
         if let Some(row) = stored.map(|s| s.row.clone()) {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Takes a row if it is newer than the present one.
+    /// Adopts a row if it is newer than the present one.
     pub(crate) fn take_row(&mut self, now: Time, row: Row, commands: &mut Vec<Command>) {
         if !row.is_newer_than(&self.row) {
             return;
@@ -134,15 +136,20 @@
         }
         self.refresh_ownership(now);
         self.request_early_heartbeat();
-        let owned = self.row.owned_by(&self.settings.me).count();
+        let owned_count = self.row.owned_by(&self.settings.me).count();
         let Row { region, epoch, settled, .. } = &self.row;
-        commands.push(Command::Event(Event::RowTaken(region.clone(), *epoch, *settled, owned)));
+        commands.push(Command::Event(Event::RowTaken(
+            region.clone(),
+            *epoch,
+            *settled,
+            owned_count,
+        )));
     }
 }
 
-/// Whether a witness is known to promise no more: another incarnation of it
-/// was heard, or neither the host list nor a heartbeat knows it.
-fn is_gone(members: &Members, host: &HostRef) -> bool {
+/// Whether a witness can never promise again: another incarnation of the host is
+/// known, or the host is missing from the host list.
+fn cannot_promise(members: &Members, host: &HostRef) -> bool {
     match members.get(&host.host) {
         None => true,
         Some(m) if m.has_known_incarnation() && m.host_ref() != *host => true,
--- a/elmstream/src/steward.rs
+++ b/elmstream/src/steward.rs
@@ -1,10 +1,12 @@
-//! The steward: the host that changes its region's allotment row.
+//! The steward: the host that changes the allotment row of its region.
 //!
-//! Any host of the region may act as steward; the lowest-ranked live one does.
-//! Two at once only lose compare-and-swaps to each other. A change takes four
-//! steps: swap the row to the next epoch; fence a majority of the witnesses of
-//! the epoch before; wait one lease, or until each former owner has taken the
-//! new epoch; mark the row as settled. Only then may new owners act.
+//! Any host of the region may act as steward; normally only the first live
+//! witness of the steward group does. Two stewards at a time are safe:
+//! conditional writes of one of them fail. A change takes four steps: replace the
+//! row by that of the next epoch, fence a majority of the witnesses of the
+//! previous epoch, wait for one lease or until every former owner has taken the
+//! new epoch, and mark the row as settled. New owners may act only after the last
+//! step.
 
 use std::collections::HashSet;
 
@@ -18,113 +20,116 @@
     witness_groups::Candidate,
 };
 
-/// Time between two reads of the row by a steward at rest, in microseconds.
+/// Time between two reads of the row by the steward, in microseconds.
 pub const READ_INTERVAL: u64 = 2 * SECOND;
-/// Time between two reads by a host that is not the steward.
+/// Time between two reads of the row by another host, in microseconds.
 pub const IDLE_READ_INTERVAL: u64 = 10 * SECOND;
-/// Time after which a table call without an answer is given up.
+/// Time after which a table call without an answer counts as failed, in
+/// microseconds.
 const CALL_TIMEOUT: u64 = 5 * SECOND;
-/// Time between two writes of renewals, in microseconds.
+/// Time between two writes of lease renewals, in microseconds.
 const RENEW_INTERVAL: u64 = 700 * MILLI;
-/// Time between two writes of changes.
+/// Time between two proposals of a new epoch, in microseconds.
 const CHANGE_INTERVAL: u64 = 500 * MILLI;
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// It took effect and the row has this version now.
+    /// The write took effect, and the row has this version now.
     Written(u64),
     /// Another write came first.
     Conflict,
-    /// The table did not take it, and said so.
+    /// The table refused the write, so it had no effect.
     Refused,
-    /// No answer: it may have taken effect.
+    /// There was no answer; the write may have taken effect.
     Unknown,
 }
 
-/// A row as the table holds it.
+/// Row together with its version in the table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredRow {
-    /// The row.
+    /// The allotment row.
     pub row: Row,
-    /// Its version in the table; 0 is "no row yet".
+    /// Version in the table; 0 if there is no row yet.
     pub version: u64,
 }
 
-/// What the steward wants done.
+/// Action that the steward wants carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StewardStep {
     /// Read the row.
     Read,
     /// Write the row if its version is still `expect`.
     Write {
-        /// The row.
+        /// Row to write.
         row: Row,
-        /// The version that the write is conditional on.
+        /// Version that the write is conditional on.
         expect: u64,
     },
     /// Fence these witnesses at this epoch.
     Fence(Vec<HostRef>, u64),
-    /// Nobody acts by an older epoch any more; take this row.
+    /// No host acts under an earlier epoch any more; adopt this row.
     Settled(Row),
 }
 
-/// State of a host's part as steward.
+/// State of a host in its role as steward.
 #[derive(Debug, Default)]
 pub struct Steward {
-    /// The row as last read from or written to the table.
+    /// Row as last read from or written to the table.
     stored: Option<StoredRow>,
-    read_at: Option<Time>,
-    /// A call to the table is under way since then.
-    calling: Option<Time>,
-    /// The row whose write is under way.
-    writing: Option<Row>,
-    changed_at: Time,
-    renewed_at: Time,
-    /// Witnesses of the epoch before that are fenced.
-    fenced: HashSet<HostRef>,
-    /// When a majority was heard to be fenced.
-    majority_at: Option<Time>,
+    last_read_at: Option<Time>,
+    /// When the pending table call began, if there is one.
+    call_pending_since: Option<Time>,
+    /// Row of the pending write.
+    pending_write: Option<Row>,
+    last_change_at: Time,
+    last_renewal_at: Time,
+    /// Witnesses of the previous epoch that are fenced.
+    fenced_witnesses: HashSet<HostRef>,
+    /// When a majority of these witnesses was known to be fenced.
+    majority_fenced_at: Option<Time>,
     nonce: u64,
 }
 
-/// What the steward looks at.
+/// Information that the steward's decisions are based on.
 #[derive(Debug)]
 pub struct StewardView<'a> {
-    /// The configuration in force.
+    /// Configuration in force.
     pub catalog: &'a Catalog,
-    /// The region.
+    /// Index of the region.
     pub region: RegionId,
-    /// Its name.
+    /// Name of the region.
     pub region_name: &'a Name,
-    /// Live hosts of the region, in the order of their names.
+    /// Live hosts of the region, sorted by name.
     pub hosts: &'a [Candidate],
-    /// Hosts that have taken the row's epoch.
+    /// Hosts that have taken the epoch of the stored row.
     pub epoch_taken_by: &'a HashSet<HostRef>,
-    /// Witnesses that cannot promise any more: replaced, or gone from the list.
+    /// Witnesses that can never promise again: restarted, or missing from the
+    /// host list.
     pub lost_witnesses: &'a HashSet<HostRef>,
-    /// The last round in which each owner asked at the row's epoch.
+    /// Last heartbeat round in which each owner asked for a renewal at the stored
+    /// row's epoch.
     pub renewal_requests: &'a [Renewal],
 }
 
 impl Steward {
-    /// A steward whose writes are named from `nonce` on.
+    /// Creates a steward that numbers its writes upwards from `nonce`.
     pub fn new(nonce: u64) -> Steward {
         Steward { nonce, ..Steward::default() }
     }
 
-    /// The row as the table held it when last heard.
+    /// Row as last read from or written to the table.
     pub fn stored(&self) -> Option<&StoredRow> {
         self.stored.as_ref()
     }
 
-    /// One tick of a host that is the steward.
+    /// Runs one tick of the steward.
     pub fn tick(&mut self, now: Time, view: &StewardView<'_>) -> Vec<StewardStep> {
-        if self.is_calling(now) {
+        if self.is_call_pending(now) {
             return self.settle(now, view).into_iter().collect();
         }
         if self.is_read_due(now, READ_INTERVAL) {
-            return vec![self.read(now)];
+            return vec![self.begin_read(now)];
         }
         let Some(stored) = self.stored.clone() else {
             return Vec::new();
@@ -132,153 +137,158 @@
         if !stored.row.settled && stored.version != 0 {
             let step = self.settle(now, view);
             let may_renew = matches!(step, Some(StewardStep::Fence(..)));
-            let renewal = may_renew.then(|| self.renew(now, view, &stored)).flatten();
+            let renewal = may_renew.then(|| self.renew_leases(now, view, &stored)).flatten();
             return step.into_iter().chain(renewal).collect();
         }
-        let step = self.change(now, view, &stored);
-        step.or_else(|| self.renew(now, view, &stored)).into_iter().collect()
+        let step = self.propose_change(now, view, &stored);
+        step.or_else(|| self.renew_leases(now, view, &stored)).into_iter().collect()
     }
 
-    /// One tick of a host that is not the steward.
+    /// Runs one tick of a host that is not the steward.
     pub fn tick_idle(&mut self, now: Time) -> Option<StewardStep> {
-        let due = !self.is_calling(now) && self.is_read_due(now, IDLE_READ_INTERVAL);
-        due.then(|| self.read(now))
+        let is_due = !self.is_call_pending(now) && self.is_read_due(now, IDLE_READ_INTERVAL);
+        is_due.then(|| self.begin_read(now))
     }
 
-    /// The table answered a read; `None` is "no such row".
+    /// Handles the result of a read; `None` if there is no row.
     pub fn on_row_read(&mut self, stored: Option<StoredRow>) {
-        self.calling = None;
-        self.writing = None;
-        self.take(stored.unwrap_or_default());
+        self.call_pending_since = None;
+        self.pending_write = None;
+        self.set_stored(stored.unwrap_or_default());
     }
 
-    /// The table did not answer a read.
+    /// Handles a failed read.
     pub fn on_read_failed(&mut self) {
-        self.calling = None;
+        self.call_pending_since = None;
     }
 
-    /// The table answered a write, or did not.
+    /// Handles the result of a write.
     ///
-    /// After anything but success the row is read again, and the nonce there
-    /// tells whose write it holds.
+    /// Unless the write succeeded or was refused, the row is read again; its
+    /// nonce shows whose write it contains.
     pub fn on_row_written(&mut self, outcome: WriteOutcome) {
-        self.calling = None;
-        let row = self.writing.take();
+        self.call_pending_since = None;
+        let row = self.pending_write.take();
         match (outcome, row) {
-            (WriteOutcome::Written(version), Some(row)) => self.take(StoredRow { row, version }),
+            (WriteOutcome::Written(version), Some(row)) => {
+                self.set_stored(StoredRow { row, version })
+            }
             (WriteOutcome::Refused, _) => {}
-            _ => self.read_at = None,
+            _ => self.last_read_at = None,
         }
     }
 
-    /// A witness answered that it is fenced.
-    pub fn on_witness_fenced(&mut self, by: HostRef, epoch: u64) {
+    /// Records that a witness confirmed a fence.
+    pub fn on_witness_fenced(&mut self, witness: HostRef, epoch: u64) {
         let Some(stored) = &self.stored else { return };
-        let is_named = stored.row.groups_from.witnesses().any(|w| *w == by);
-        if epoch + 1 == stored.row.epoch && is_named {
-            self.fenced.insert(by);
+        let is_former_witness = stored.row.groups_from.witnesses().any(|w| *w == witness);
+        if epoch + 1 == stored.row.epoch && is_former_witness {
+            self.fenced_witnesses.insert(witness);
         }
     }
 
-    /// Takes a row, and forgets the fences of another epoch.
-    fn take(&mut self, stored: StoredRow) {
+    /// Sets the stored row, and drops the fences if its epoch is another one.
+    fn set_stored(&mut self, stored: StoredRow) {
         let before = self.stored.as_ref().map_or(0, |s| s.row.epoch);
         if stored.row.epoch != before {
-            self.fenced.clear();
-            self.majority_at = None;
+            self.fenced_witnesses.clear();
+            self.majority_fenced_at = None;
         }
         self.stored = Some(stored);
     }
 
-    /// Brings an unsettled epoch forward: fence, wait, mark as settled.
+    /// Advances an epoch that is not settled yet: fences, waits, or marks the row
+    /// as settled.
     fn settle(&mut self, now: Time, view: &StewardView<'_>) -> Option<StewardStep> {
         let stored = self.stored.clone()?;
         if stored.row.settled || stored.version == 0 {
             return None;
         }
         let row = &stored.row;
-        let gone = row.groups_from.witnesses().filter(|w| view.lost_witnesses.contains(*w));
-        self.fenced.extend(gone.cloned());
-        let waited = self.has_waited(now, row);
-        if !waited && !is_released(row, view) {
-            let left = row.groups_from.witnesses().filter(|w| !self.fenced.contains(*w));
-            return Some(StewardStep::Fence(left.cloned().collect(), row.epoch - 1));
+        let lost = row.groups_from.witnesses().filter(|w| view.lost_witnesses.contains(*w));
+        self.fenced_witnesses.extend(lost.cloned());
+        let expired = self.leases_expired(now, row);
+        if !expired && !former_owners_released(row, view) {
+            let unfenced =
+                row.groups_from.witnesses().filter(|w| !self.fenced_witnesses.contains(*w));
+            return Some(StewardStep::Fence(unfenced.cloned().collect(), row.epoch - 1));
         }
         let nonce = self.next_nonce();
-        let settled = Row { settled: true, released: !waited, nonce, ..row.clone() };
-        if self.is_calling(now) {
+        let settled = Row { settled: true, released: !expired, nonce, ..row.clone() };
+        if self.is_call_pending(now) {
             return Some(StewardStep::Settled(settled));
         }
-        Some(self.write(now, settled, stored.version))
+        Some(self.begin_write(now, settled, stored.version))
     }
 
-    /// Whether one lease has passed since a majority of each group was heard to
-    /// be fenced.
-    fn has_waited(&mut self, now: Time, row: &Row) -> bool {
+    /// Whether one lease has passed since a majority of each group was known to
+    /// be fenced. No lease has to expire for the first epoch.
+    fn leases_expired(&mut self, now: Time, row: &Row) -> bool {
         let is_first_epoch = row.groups_from.is_empty();
-        if !row.groups_from.each_has_majority(|w| self.fenced.contains(w)) {
+        if !row.groups_from.each_has_majority(|w| self.fenced_witnesses.contains(w)) {
             return false;
         }
-        let since = *self.majority_at.get_or_insert(now);
+        let since = *self.majority_fenced_at.get_or_insert(now);
         is_first_epoch || now.since(since) >= lease::LEASE_LENGTH
     }
 
     /// Proposes the next epoch if the plan differs from the row.
-    fn change(
+    fn propose_change(
         &mut self,
         now: Time,
         view: &StewardView<'_>,
         stored: &StoredRow,
     ) -> Option<StewardStep> {
-        let hears = hears_majority(&stored.row, view);
-        if !hears || now.since(self.changed_at) < CHANGE_INTERVAL {
+        let has_majority = reaches_majority(&stored.row, view);
+        if !has_majority || now.since(self.last_change_at) < CHANGE_INTERVAL {
             return None;
         }
-        let present = Row { region: view.region_name.clone(), ..stored.row.clone() };
-        let mut next = plan_next_row(view.catalog, view.region, &present, view.hosts)?;
+        let current = Row { region: view.region_name.clone(), ..stored.row.clone() };
+        let mut next = plan_next_row(view.catalog, view.region, &current, view.hosts)?;
         next.nonce = self.next_nonce();
-        self.changed_at = now;
-        Some(self.write(now, next, stored.version))
+        self.last_change_at = now;
+        Some(self.begin_write(now, next, stored.version))
     }
 
-    /// Renews the owners' leases through the table, while a witness is missing.
+    /// Renews the leases of the owners through the table while a witness is
+    /// missing.
     ///
-    /// The write is conditional on the row's version, so that none at an old
-    /// epoch can succeed after the swap to a new one.
-    fn renew(
+    /// The write is conditional on the row's version, so a renewal at an earlier
+    /// epoch cannot succeed once the row was replaced.
+    fn renew_leases(
         &mut self,
         now: Time,
         view: &StewardView<'_>,
         stored: &StoredRow,
     ) -> Option<StewardStep> {
         let is_live = |w: &HostRef| view.hosts.iter().any(|c| c.host == *w);
-        let complete = stored.row.groups.witnesses().all(is_live);
-        let due = now.since(self.renewed_at) >= RENEW_INTERVAL;
-        if complete || !due || stored.version == 0 || view.renewal_requests.is_empty() {
+        let all_live = stored.row.groups.witnesses().all(is_live);
+        let is_due = now.since(self.last_renewal_at) >= RENEW_INTERVAL;
+        if all_live || !is_due || stored.version == 0 || view.renewal_requests.is_empty() {
             return None;
         }
-        self.renewed_at = now;
+        self.last_renewal_at = now;
         let renewals = view.renewal_requests.to_vec();
         let row = Row { renewals, nonce: self.next_nonce(), ..stored.row.clone() };
-        Some(self.write(now, row, stored.version))
+        Some(self.begin_write(now, row, stored.version))
     }
 
-    /// The last round of an owner that the table renewed.
+    /// Last renewal of the owner's lease through the table.
     pub fn table_renewal(&self, owner: &HostRef) -> Option<TableRenewal> {
         let row = &self.stored.as_ref()?.row;
         let renewal = row.renewals.iter().find(|r| r.owner == *owner)?;
         Some(TableRenewal { epoch: row.epoch, sequence: renewal.sequence })
     }
 
-    fn read(&mut self, now: Time) -> StewardStep {
-        self.read_at = Some(now);
-        self.calling = Some(now);
+    fn begin_read(&mut self, now: Time) -> StewardStep {
+        self.last_read_at = Some(now);
+        self.call_pending_since = Some(now);
         StewardStep::Read
     }
 
-    fn write(&mut self, now: Time, row: Row, expect: u64) -> StewardStep {
-        self.calling = Some(now);
-        self.writing = Some(row.clone());
+    fn begin_write(&mut self, now: Time, row: Row, expect: u64) -> StewardStep {
+        self.call_pending_since = Some(now);
+        self.pending_write = Some(row.clone());
         StewardStep::Write { row, expect }
     }
 
@@ -287,30 +297,32 @@
         self.nonce
     }
 
-    fn is_calling(&mut self, now: Time) -> bool {
-        if self.calling.is_some_and(|since| now.since(since) >= CALL_TIMEOUT) {
+    fn is_call_pending(&mut self, now: Time) -> bool {
+        if self.call_pending_since.is_some_and(|since| now.since(since) >= CALL_TIMEOUT) {
             self.on_row_written(WriteOutcome::Unknown);
         }
-        self.calling.is_some()
+        self.call_pending_since.is_some()
     }
 
     fn is_read_due(&self, now: Time, interval: u64) -> bool {
-        self.read_at.is_none_or(|at| now.since(at) >= interval)
+        self.last_read_at.is_none_or(|at| now.since(at) >= interval)
     }
 }
 
-/// Whether the steward hears of a majority of each group's witnesses, or knows
-/// them to be gone. A host that is cut off from the others must not take what is theirs.
-fn hears_majority(row: &Row, view: &StewardView<'_>) -> bool {
+/// Whether a majority of each group's witnesses is live or lost for good. A host
+/// that is cut off from the others must not take over their servers.
+fn reaches_majority(row: &Row, view: &StewardView<'_>) -> bool {
     let is_live = |w: &HostRef| view.hosts.iter().any(|c| c.host == *w);
     row.groups.each_has_majority(|w| is_live(w) || view.lost_witnesses.contains(w))
 }
 
-/// Whether each owner of the epoch before has taken this one.
+/// Whether every former owner has taken the present epoch.
 ///
-/// An owner that has taken an epoch keeps nothing of the one before but what
-/// both give it, and never asks at the old one again.
-fn is_released(row: &Row, view: &StewardView<'_>) -> bool {
+/// A host that has taken an epoch acts only on servers that both the previous and
+/// the present epoch grant to it, and never asks for renewals at the previous
+/// epoch again.
+///
+fn former_owners_released(row: &Row, view: &StewardView<'_>) -> bool {
     let former = row.former_owners();
     former.iter().all(|owner| view.epoch_taken_by.contains(*owner))
 }
