--- a/elmstream/src/route.rs
+++ b/elmstream/src/route.rs
@@ -1,11 +1,11 @@
-//! The choice of where: which owners an entry host asks, in which order.
+//! Routing: which owners an entry host tries for a request, and in which order.
 //!
-//! The home region goes first; an own backend server with a free slot before
-//! others, else the better of two owners drawn at random. Other regions follow
-//! by delay, only where a shift cap exists and their reports are fresh. Last
-//! comes the home region again, with the patience to queue there. An owner
-//! that has just refused the same want is left out, so that what cannot be
-//! served is refused here and costs no message.
+//! Owners of the home region come first: this host itself if it has a free slot,
+//! otherwise the better of two random owners. Owners in other regions follow in
+//! order of delay, where a shift cap exists and their load reports are recent.
+//! Last comes the home region again, this time with leave to wait in the queue.
+//! An owner that has recently refused the same demand is left out, so that a
+//! request which cannot be served is refused here without sending a message.
 
 use std::cmp::Reverse;
 
@@ -18,52 +18,54 @@
     time::Time,
 };
 
-/// Owners of the home region that are asked for a place, if there are so many.
-const OWNERS_MIN: usize = 2;
-/// Owners of other regions that are asked at most.
-const SHIFT_TRIES: usize = 4;
-/// Owners of one other region that are asked, as each holds a part of the cap.
-const SHIFT_TRIES_EACH: usize = 2;
+/// Owners of the home region to try for a place in the queue. If fewer are known
+/// by their load, one from the row is added.
+const HOME_OWNERS_MIN: usize = 2;
+/// Most owners of other regions to try.
+const SHIFT_ATTEMPTS_MAX: usize = 4;
+/// Most owners to try in one other region. More than one, because each holds only
+/// a part of the shift cap.
+const SHIFT_ATTEMPTS_PER_REGION: usize = 2;
 
-/// One owner to ask.
+/// Attempt to get a slot from one owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Attempt {
-    /// The owner.
+    /// Owner to ask.
     pub owner: HostRef,
-    /// The region that would serve.
+    /// Region of the owner.
     pub region: RegionId,
-    /// What is wanted there.
+    /// Kind of admission to ask for.
     pub demand: SlotDemand,
-    /// How long the request may wait there for a slot, in microseconds.
+    /// Longest time that the request may wait there for a slot, in microseconds.
     pub max_wait: u64,
 }
 
 impl Attempt {
-    /// Whether this spends a shift cap.
+    /// Whether the attempt is charged to a shift cap.
     pub fn is_shifted(&self) -> bool {
         self.demand == SlotDemand::Shifted
     }
 }
 
-/// What a route is asked for.
+/// Request to be routed.
 #[derive(Clone, Debug)]
 pub struct RouteRequest<'a> {
-    /// The service.
+    /// Service that the request selects.
     pub service: ServiceId,
-    /// The caller's home region.
+    /// Home region of the caller.
     pub home: RegionId,
-    /// Time left for the request, in microseconds.
+    /// Time left until the deadline, in microseconds.
     pub deadline: u64,
-    /// This entry host.
+    /// Name of this entry host.
     pub me: &'a Name,
-    /// Whether other regions may serve it.
+    /// Whether owners in other regions may serve the request.
     pub may_shift: bool,
-    /// Owners of the home region by its row, which may not be partners.
+    /// Owners in the home region's row. They need not be partners of this host.
     pub row_owners: &'a [HostRef],
 }
 
-/// The owners to ask, in order; none if all that could be asked have just
-/// refused.
+/// Returns the owners to try, in order. The list is empty if there is no owner or
+/// all have recently refused.
 pub fn plan_attempts(
     catalog: &Catalog,
     members: &Members,
@@ -72,33 +74,34 @@
     request: &RouteRequest<'_>,
 ) -> Vec<Attempt> {
     let service = &catalog.services[request.service.index()].name;
-    let owners = owners(catalog, members, now, request.home, service);
+    let owners = slot_owners(catalog, members, now, request.home, service);
     let shifts =
-        if request.may_shift { shifts(catalog, members, now, request) } else { Vec::new() };
+        if request.may_shift { shift_attempts(catalog, members, now, request) } else { Vec::new() };
     let mut attempts = Vec::new();
     if let Some(shift) = shifts.first() {
         let round_trip = 2 * catalog.delay(request.home, shift.region);
-        let patience = round_trip.min(request.deadline);
-        let willing = willing(&owners, now, service, SlotDemand::Immediate);
-        let home = pick_two(&willing, rng, request, service);
-        attempts
-            .extend(home.iter().map(|m| at_home(m, request.home, SlotDemand::Immediate, patience)));
+        let max_wait = round_trip.min(request.deadline);
+        let candidates = not_refusing(&owners, now, service, SlotDemand::Immediate);
+        let home = pick_two(&candidates, rng, request, service);
+        attempts.extend(
+            home.iter().map(|m| home_attempt(m, request.home, SlotDemand::Immediate, max_wait)),
+        );
         attempts.extend(shifts);
     }
-    let willing = willing(&owners, now, service, SlotDemand::Queueable);
-    let home = pick_two(&willing, rng, request, service);
+    let candidates = not_refusing(&owners, now, service, SlotDemand::Queueable);
+    let home = pick_two(&candidates, rng, request, service);
     attempts.extend(
-        home.iter().map(|m| at_home(m, request.home, SlotDemand::Queueable, request.deadline)),
+        home.iter().map(|m| home_attempt(m, request.home, SlotDemand::Queueable, request.deadline)),
     );
-    if home.len() < OWNERS_MIN {
-        attempts.extend(by_row(&owners, members, now, rng, request, service));
+    if home.len() < HOME_OWNERS_MIN {
+        attempts.extend(row_owner_attempt(&owners, members, now, rng, request, service));
     }
     attempts
 }
 
-/// An owner that only the row names, drawn at random. It is no partner, so
-/// nothing is known of its load.
-fn by_row(
+/// Random owner that is known from the row only. It is not a partner, so its load
+/// is unknown.
+fn row_owner_attempt(
     partners: &[&Member],
     members: &Members,
     now: Time,
@@ -106,7 +109,7 @@
     request: &RouteRequest<'_>,
     service: &Name,
 ) -> Option<Attempt> {
-    let is_willing = |owner: &&HostRef| {
+    let is_eligible = |owner: &&HostRef| {
         let member = members.get(&owner.host);
         let is_partner = partners.iter().any(|m| m.name == owner.host);
         !is_partner
@@ -116,8 +119,8 @@
                     && m.refused_until(service, SlotDemand::Queueable) <= now
             })
     };
-    let willing: Vec<&HostRef> = request.row_owners.iter().filter(is_willing).collect();
-    let owner = willing.get(rng.random_range(0..willing.len().max(1)))?;
+    let candidates: Vec<&HostRef> = request.row_owners.iter().filter(is_eligible).collect();
+    let owner = candidates.get(rng.random_range(0..candidates.len().max(1)))?;
     Some(Attempt {
         owner: (*owner).clone(),
         region: request.home,
@@ -126,8 +129,9 @@
     })
 }
 
-/// When asking again may help, if [`plan`] found nobody to ask because all
-/// owners of the home region have just refused; `None` if there is no owner.
+/// Time in microseconds until the first owner of the home region may be tried
+/// again, for the case that [`plan_attempts`] returned no attempt. `None` if
+/// there is no owner.
 pub fn retry_after(
     catalog: &Catalog,
     members: &Members,
@@ -135,26 +139,26 @@
     request: &RouteRequest<'_>,
 ) -> Option<u64> {
     let service = &catalog.services[request.service.index()].name;
-    let owners = owners(catalog, members, now, request.home, service);
+    let owners = slot_owners(catalog, members, now, request.home, service);
     owners.iter().map(|m| m.refused_until(service, SlotDemand::Queueable).since(now)).min()
 }
 
-fn at_home(member: &Member, region: RegionId, want: SlotDemand, patience: u64) -> Attempt {
-    Attempt { owner: member.host_ref(), region, demand: want, max_wait: patience }
+fn home_attempt(member: &Member, region: RegionId, demand: SlotDemand, max_wait: u64) -> Attempt {
+    Attempt { owner: member.host_ref(), region, demand, max_wait }
 }
 
-/// Owners that have not just refused what is wanted.
-fn willing<'a>(
+/// Owners that have not recently refused this demand.
+fn not_refusing<'a>(
     owners: &[&'a Member],
     now: Time,
     service: &Name,
-    want: SlotDemand,
+    demand: SlotDemand,
 ) -> Vec<&'a Member> {
-    let willing = owners.iter().filter(|m| m.refused_until(service, want) <= now);
-    willing.copied().collect()
+    let candidates = owners.iter().filter(|m| m.refused_until(service, demand) <= now);
+    candidates.copied().collect()
 }
 
-/// Up to two owners, best first.
+/// Up to two owners, the best one first.
 fn pick_two<'a>(
     owners: &[&'a Member],
     rng: &mut StdRng,
@@ -169,7 +173,7 @@
     first.into_iter().chain(second).collect()
 }
 
-/// The one with more free slots of two drawn at random.
+/// The owner with more free slots of two random ones.
 fn best_of_two<'a>(owners: &[&'a Member], rng: &mut StdRng, service: &str) -> Option<&'a Member> {
     if owners.is_empty() {
         return None;
@@ -179,9 +183,9 @@
     Some(if second.free_slots(service) > first.free_slots(service) { second } else { first })
 }
 
-/// Owners in other regions that a shift may go to, nearest first, and of one
-/// region the one with most headroom.
-fn shifts(
+/// Attempts at owners in other regions, nearest region first, and within a region
+/// the owners with the most free slots.
+fn shift_attempts(
     catalog: &Catalog,
     members: &Members,
     now: Time,
@@ -196,21 +200,21 @@
         .collect();
     regions.sort_by_key(|&to| catalog.delay(request.home, to));
     let best = |to: RegionId| {
-        let mut owners = owners(catalog, members, now, to, service);
+        let mut owners = slot_owners(catalog, members, now, to, service);
         owners.retain(|m| m.refused_until(service, SlotDemand::Shifted) <= now);
         owners.sort_by_key(|m| Reverse(m.free_slots(service)));
-        owners.into_iter().take(SHIFT_TRIES_EACH).map(move |m| Attempt {
+        owners.into_iter().take(SHIFT_ATTEMPTS_PER_REGION).map(move |m| Attempt {
             owner: m.host_ref(),
             region: to,
             demand: SlotDemand::Shifted,
             max_wait: 0,
         })
     };
-    regions.into_iter().flat_map(best).take(SHIFT_TRIES).collect()
+    regions.into_iter().flat_map(best).take(SHIFT_ATTEMPTS_MAX).collect()
 }
 
-/// Hosts of a region, heard just now, that report slots of the service.
-fn owners<'a>(
+/// Routable hosts of a region that report slots of the service.
+fn slot_owners<'a>(
     catalog: &Catalog,
     members: &'a Members,
     now: Time,
