--- a/elmstream/examples/error_table.rs
+++ b/elmstream/examples/error_table.rs
@@ -1,4 +1,4 @@
-//! Prints the table of `docs/ERRORS.md`.
+//! Prints the table of result codes for `docs/ERRORS.md`.
 
 use elmstream::code::Code;
 
--- a/elmstream/tests/parts.rs
+++ b/elmstream/tests/parts.rs
@@ -1,4 +1,5 @@
-//! Properties of single tables: caps, blocks, tickets, codes.
+//! Properties of single tables: token buckets, address blocks, tickets and result
+//! codes.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -12,9 +13,9 @@
 };
 use quickcheck::{Gen, QuickCheck, Testable};
 
-/// Seed of the generated cases.
+/// Seed of the generator.
 const SEED: u64 = 20_261_202;
-/// Cases of each property.
+/// Generated cases for each property.
 const CASES: u64 = 300;
 
 fn check(property: impl Testable) {
@@ -22,10 +23,10 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(40, SEED)).tests(CASES).quickcheck(property);
 }
 
-/// Owners with any parts, asked at any times: in no second do more pass than
-/// the cap.
+/// Owners with arbitrary parts of a cap, used at arbitrary times, never pass more
+/// than the cap in any second.
 #[test]
-fn parts_of_a_cap_never_pass_the_whole_in_any_second() {
+fn parts_of_cap_stay_within_cap_in_any_second() {
     fn property(cap: u16, shares: Vec<u8>, gaps: Vec<u16>) -> bool {
         let total: u64 = shares.iter().map(|&s| u64::from(s)).sum::<u64>().max(1);
         let mut buckets = vec![TokenBucket::new(Time(0)); shares.len()];
@@ -40,15 +41,16 @@
                 }
             }
         }
-        let over = |pair: &[Time]| pair[usize::from(cap)].since(pair[0]) < SECOND;
-        !passed.windows(usize::from(cap) + 1).any(over)
+        let exceeds_cap = |pair: &[Time]| pair[usize::from(cap)].since(pair[0]) < SECOND;
+        !passed.windows(usize::from(cap) + 1).any(exceeds_cap)
     }
     check(property as fn(u16, Vec<u8>, Vec<u16>) -> bool);
 }
 
-/// The same for bytes, which are taken in pieces of any size.
+/// Link bytes are taken in pieces of arbitrary size and never exceed the limit in
+/// any second.
 #[test]
-fn bytes_over_a_link_never_pass_its_limit_in_any_second() {
+fn link_bytes_stay_within_limit_in_any_second() {
     fn property(shares: Vec<u8>, pieces: Vec<(u16, u16)>) -> bool {
         const LIMIT: u64 = 100_000;
         let total: u64 = shares.iter().map(|&s| u64::from(s)).sum::<u64>().max(1);
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn a_new_shift_ramps_up() {
+fn new_shift_ramps_up() {
     let mut bucket = TokenBucket::new(Time(0));
     let mut count = |from: u64, to: u64| {
         let times = (from..to).step_by(MILLI as usize).map(Time);
@@ -83,9 +85,9 @@
     assert!(first < 400 && later > 700, "{first} then {later}");
 }
 
-/// The flattened table agrees with a search over all blocks.
+/// The flattened table agrees with a linear search over all blocks.
 #[test]
-fn the_longest_prefix_wins() {
+fn longest_prefix_wins() {
     fn property(blocks: Vec<(u32, u8)>, probes: Vec<u32>) -> bool {
         let block = |(site, &(address, bits)): (usize, &(u32, u8))| {
             let address = IpAddr::V4(Ipv4Addr::from(address & 0xff00_00ff));
@@ -106,9 +108,9 @@
     check(property as fn(Vec<(u32, u8)>, Vec<u32>) -> bool);
 }
 
-/// `run_once` and `not_run_is_true` of `spec/once.pml`.
+/// Checks `run_once` and `not_run_is_true` of `spec/once.pml`.
 #[test]
-fn a_ticket_runs_once_unless_it_was_not_run() {
+fn ticket_runs_once_unless_not_run() {
     let issuer = HostRef { host: "h".into(), incarnation: Incarnation(1) };
     let mut table = TicketTable::default();
     let ticket = table.issue(issuer, "release".into(), Time(10 * SECOND));
@@ -118,17 +120,21 @@
     assert_eq!(begin(&mut table, now), TicketDecision::Run);
     assert_eq!(begin(&mut table, now), TicketDecision::Answer(Code::TicketRunning));
     table.end(ticket.id, true);
-    assert_eq!(begin(&mut table, now), TicketDecision::Run, "it was not run");
+    assert_eq!(begin(&mut table, now), TicketDecision::Run, "the attempt did not run");
     table.end(ticket.id, false);
     assert_eq!(begin(&mut table, now), TicketDecision::Answer(Code::TicketUsed));
     let late = Time(11 * SECOND);
     table.expire(late);
     assert!(table.is_empty());
-    assert_eq!(begin(&mut table, late), TicketDecision::Answer(Code::TicketBad), "and never again");
+    assert_eq!(
+        begin(&mut table, late),
+        TicketDecision::Answer(Code::TicketBad),
+        "an expired ticket is refused"
+    );
 }
 
 #[test]
-fn no_code_of_a_possible_run_says_not_run() {
+fn codes_of_possible_runs_are_not_reported_as_not_run() {
     for code in Code::ALL {
         assert_eq!(Code::from_number(code.number()), Some(*code));
         if (1201..1300).contains(&code.number()) || (1304..1310).contains(&code.number()) {
@@ -137,9 +143,10 @@
     }
 }
 
-/// `docs/ERRORS.md` has a row for each code, with its status and text.
+/// `docs/ERRORS.md` contains a row for each code, with its number, status,
+/// outcome and text.
 #[test]
-fn the_page_of_codes_is_current() {
+fn code_reference_page_is_up_to_date() {
     let page = include_str!("../../docs/ERRORS.md");
     for code in Code::ALL {
         let status = if code.number() < 2000 { code.http_status().to_string() } else { "-".into() };
