--- a/elmstream/tests/allocations.rs
+++ b/elmstream/tests/allocations.rs
@@ -1,5 +1,5 @@
-//! Bounds on allocations, which are counted the same on each run. Each is the
-//! measured figure and a margin of a tenth.
+//! Limits on the number of heap allocations, which is the same in every run. Each
+//! limit leaves about 10 percent above the normal number.
 
 #[allow(dead_code)]
 mod support;
@@ -16,9 +16,9 @@
 };
 use support::{World, catalog};
 
-/// Hosts of the planned size.
+/// Number of hosts in the largest planned fleet.
 const HOSTS: usize = 2_900;
-/// The moment of the measurements.
+/// Time at which the calls are made.
 const NOW: Time = Time(SECOND);
 
 fn name(index: usize) -> Name {
@@ -42,7 +42,7 @@
     }
 }
 
-/// A node that knows so many hosts and has heard a dozen.
+/// A node that knows `hosts` hosts and has received heartbeats of twelve.
 fn node(hosts: usize) -> Node {
     let me = HostRef { host: name(0), incarnation: Incarnation(1) };
     let mut node = Node::new(NodeSettings { me, domain: "na".into(), seed: 1 });
@@ -62,48 +62,48 @@
     node
 }
 
-fn allocations(what: &str, bound: u64, run: impl FnOnce()) {
+fn assert_allocations(what: &str, bound: u64, run: impl FnOnce()) {
     let count = measure(run).count_total;
     println!("{what}: {count} allocations");
-    assert!(count <= bound, "{what}: {count} allocations, {bound} at most");
+    assert!(count <= bound, "{what}: {count} allocations, expected at most {bound}");
 }
 
 #[test]
-fn a_known_look_up_allocates_little() {
+fn cached_lookup_does_not_allocate() {
     let mut node = node(13);
     let client = IpAddr::V4(Ipv4Addr::LOCALHOST);
     node.lookup(NOW, client, "orders").unwrap();
-    allocations("a known look-up", 0, || drop(node.lookup(NOW, client, "orders")));
+    assert_allocations("cached look-up", 0, || drop(node.lookup(NOW, client, "orders")));
 }
 
 #[test]
-fn a_route_allocates_little() {
+fn route_allocations_are_bounded() {
     let mut node = node(13);
     node.route(NOW, ServiceId(0), RegionId(0), SECOND).unwrap();
-    allocations("a route", 19, || drop(node.route(NOW, ServiceId(0), RegionId(0), SECOND)));
+    assert_allocations("route", 19, || drop(node.route(NOW, ServiceId(0), RegionId(0), SECOND)));
 }
 
 #[test]
-fn a_heartbeat_allocates_little_at_the_planned_size() {
+fn heartbeat_does_not_allocate_in_large_fleet() {
     let mut node = node(HOSTS);
-    let beat = heartbeat(5);
-    allocations("a heartbeat", 0, || drop(node.on_heartbeat(NOW, &beat)));
+    let heartbeat = heartbeat(5);
+    assert_allocations("heartbeat", 0, || drop(node.on_heartbeat(NOW, &heartbeat)));
 }
 
 #[test]
-fn ticks_allocate_little_at_the_planned_size() {
+fn tick_allocations_are_bounded_in_large_fleet() {
     let mut node = node(HOSTS);
     node.tick(NOW + 50 * MILLI);
-    allocations("a tick", 10, || drop(node.tick(NOW + 100 * MILLI)));
-    allocations("a tick with heartbeats", 41, || drop(node.tick(NOW + 500 * MILLI)));
+    assert_allocations("tick", 10, || drop(node.tick(NOW + 100 * MILLI)));
+    assert_allocations("tick with heartbeats", 41, || drop(node.tick(NOW + 500 * MILLI)));
 }
 
 #[test]
-fn a_tick_of_a_host_in_a_settled_fleet_allocates_little() {
+fn steward_tick_allocations_are_bounded() {
     let mut world = World::new(1);
     world.run(5 * SECOND).unwrap();
     let now = world.now;
     let node = &mut world.hosts[0].node;
     node.tick(now);
-    allocations("a steward's tick at rest", 40, || drop(node.tick(now + MILLI)));
+    assert_allocations("tick of an idle steward", 40, || drop(node.tick(now + MILLI)));
 }
