--- a/elmstream/tests/bounds.rs
+++ b/elmstream/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! Bounds on counted things. Each is the measured figure and a margin of a
-//! tenth; a change that needs more must say so.
+//! Limits on table calls and messages. Each limit leaves about 10 percent above
+//! the normal number.
 
 #[allow(dead_code)]
 mod support;
@@ -14,21 +14,21 @@
 };
 use support::{World, catalog};
 
-/// Table calls of two regions in a minute at rest: measured 84.
+/// Table calls of two idle regions in a minute; 84 are normal.
 const TABLE_CALLS_PER_MINUTE: u64 = 92;
-/// Messages of six hosts in a minute at rest, answers counted: measured 7,200.
+/// Messages of six idle hosts in a minute, replies included; 7,200 are normal.
 const MESSAGES_PER_MINUTE: u64 = 7_920;
-/// Hosts of the planned size.
+/// Number of hosts in the largest planned fleet.
 const HOSTS: usize = 2_900;
 
 #[test]
-fn a_fleet_at_rest_calls_and_talks_little() {
+fn idle_fleet_makes_few_table_calls_and_messages() {
     let mut world = World::new(9);
     world.run(5 * SECOND).unwrap();
     let (calls, messages) = (world.calls, world.messages);
     world.run(60 * SECOND).unwrap();
     let (calls, messages) = (world.calls - calls, world.messages - messages);
-    println!("in a minute at rest: {calls} table calls, {messages} messages");
+    println!("in an idle minute: {calls} table calls, {messages} messages");
     assert!(calls <= TABLE_CALLS_PER_MINUTE, "{calls}");
     assert!(messages <= MESSAGES_PER_MINUTE, "{messages}");
 }
@@ -37,8 +37,9 @@
     format!("host-{index:04}").into()
 }
 
-/// A node that has heard 2,900 hosts of three failure domains.
-fn node_of_the_planned_size(catalog: Catalog) -> Node {
+/// A node that has received heartbeats of all 2,900 hosts in three failure
+/// domains.
+fn node_of_largest_fleet(catalog: Catalog) -> Node {
     let me = HostRef { host: name(0), incarnation: Incarnation(1) };
     let mut node = Node::new(NodeSettings { me, domain: "na".into(), seed: 1 });
     let now = Time(SECOND);
@@ -56,7 +57,7 @@
     for index in 1..HOSTS {
         let from = HostRef { host: name(index), incarnation: Incarnation(1) };
         let region = ["north", "north", "south"][index % 3].into();
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             from,
             domain: domain(index),
             region,
@@ -69,18 +70,18 @@
             lingering: Vec::new(),
             sightings: Vec::new(),
         };
-        node.on_heartbeat(now, &beat);
+        node.on_heartbeat(now, &heartbeat);
     }
     node
 }
 
 #[test]
-fn a_host_of_a_large_fleet_talks_to_few() {
-    let mut node = node_of_the_planned_size(catalog(1, &[]));
+fn host_of_large_fleet_sends_few_heartbeats() {
+    let mut node = node_of_largest_fleet(catalog(1, &[]));
     for round in 1..20 {
         node.request_early_heartbeat();
         let commands = node.tick(Time(SECOND) + round * 50 * MILLI);
-        let beats = commands.iter().filter(|c| matches!(c, Command::Heartbeat(..)));
-        assert!(beats.count() <= FULL_MESH_PEERS_MAX);
+        let heartbeats = commands.iter().filter(|c| matches!(c, Command::Heartbeat(..)));
+        assert!(heartbeats.count() <= FULL_MESH_PEERS_MAX);
     }
 }
