--- a/elmstream/tests/support/mod.rs
+++ b/elmstream/tests/support/mod.rs
@@ -1,7 +1,8 @@
-//! A small fake of network, table and clock around several nodes.
+//! Simulated network, table and clock around several nodes.
 //!
-//! All hosts share one virtual clock. A paused host gets its messages when it
-//! wakes; a restarted one is another incarnation and has lost its memory.
+//! All hosts share one virtual clock. A paused host receives its messages when it
+//! resumes; a restarted host is another incarnation without the memory of the
+//! former one.
 
 pub mod event;
 
@@ -25,36 +26,36 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// One step of the world.
-pub const STEP: u64 = 10 * MILLI;
-/// Time between a node's ticks.
-const TICK: u64 = 50 * MILLI;
-/// Requests in any second that may shift between each two regions.
-pub const CAP: u32 = 40;
+/// Time step of the simulation, in microseconds.
+pub const TIME_STEP: u64 = 10 * MILLI;
+/// Time between the ticks of a node, in microseconds.
+const TICK_INTERVAL: u64 = 50 * MILLI;
+/// Requests in any second that may shift from one region to another.
+pub const SHIFT_CAP_PER_SECOND: u32 = 40;
 /// Slots of each backend server.
-pub const SLOTS: u32 = 2;
-/// Hosts: name, failure domain.
+pub const SLOTS_PER_SERVER: u32 = 2;
+/// Names and failure domains of the hosts.
 pub const HOSTS: [(&str, &str); 6] =
     [("h0", "na"), ("h1", "na"), ("h2", "nb"), ("h3", "nb"), ("h4", "sa"), ("h5", "sa")];
-/// Failure domains and their regions.
+/// Names of the failure domains and their regions' indexes.
 const DOMAINS: [(&str, u32); 3] = [("na", 0), ("nb", 0), ("sa", 1)];
-/// Backend servers in each failure domain.
-const BACKENDS_EACH: usize = 3;
+/// Number of backend servers in each failure domain.
+const BACKENDS_PER_DOMAIN: usize = 3;
 
-/// A message on its way.
+/// Message, or the result of a table call.
 #[derive(Clone)]
 enum Packet {
-    Beat(Heartbeat),
-    BeatReply(HeartbeatReply),
+    Heartbeat(Heartbeat),
+    HeartbeatReply(HeartbeatReply),
     Fence(Fence),
     FenceReply(FenceReply),
-    Read(Option<StoredRow>),
-    ReadFailed,
-    Written(WriteOutcome),
+    RowRead(Option<StoredRow>),
+    RowReadFailed,
+    RowWritten(WriteOutcome),
 }
 
-/// A packet, when and where it arrives, and from whom.
-struct Flight {
+/// Packet in transit.
+struct Delivery {
     at: Time,
     from: usize,
     to: usize,
@@ -62,64 +63,66 @@
     packet: Packet,
 }
 
-/// A request that a backend server runs.
+/// Request that a backend server runs.
 struct Running {
     host: usize,
     incarnation: u64,
     slot: Slot,
-    done: Time,
-    /// The backend server ends it by then, whatever its owner does.
+    done_at: Time,
+    /// The backend server ends the request by this time even if its owner does
+    /// not.
     deadline: Time,
     released: bool,
 }
 
-/// An entry host of the world.
+/// Entry host of the world.
 pub struct Host {
-    /// The node.
+    /// State and decisions of the host.
     pub node: Node,
     incarnation: u64,
     paused_until: Time,
-    ticked: Time,
+    last_tick: Time,
 }
 
-/// Network, table, clock and hosts.
+/// Simulated fleet with its network, table and clock.
 pub struct World {
-    /// Now.
+    /// Current time.
     pub now: Time,
-    /// The hosts.
+    /// Entry hosts by index.
     pub hosts: Vec<Host>,
-    /// The catalog that nodes are given.
+    /// Configuration that all nodes get.
     pub catalog: Arc<Catalog>,
-    /// Writes of allotment rows that took effect.
+    /// Number of row writes that took effect.
     pub writes: u64,
-    /// Calls to the table.
+    /// Number of table calls.
     pub calls: u64,
-    /// Messages between hosts.
+    /// Number of messages between hosts.
     pub messages: u64,
     rows: BTreeMap<Name, StoredRow>,
-    flights: VecDeque<Flight>,
+    deliveries: VecDeque<Delivery>,
     running: Vec<Running>,
-    shifted: BTreeMap<(u32, u32), VecDeque<Time>>,
+    shift_times: BTreeMap<(u32, u32), VecDeque<Time>>,
     rng: StdRng,
-    versions: u64,
+    last_version: u64,
     table_down_until: Time,
-    table_slow: u64,
+    table_delay: u64,
     lose_answers: u32,
     cut_until: BTreeMap<(usize, usize), Time>,
     list_frozen_until: Time,
-    gone: Vec<bool>,
-    /// Names and failure domains of the hosts.
-    shape: Vec<(Name, &'static str)>,
-    backends_each: usize,
+    killed: Vec<bool>,
+    /// Names and failure domains of the hosts, by index.
+    layout: Vec<(Name, &'static str)>,
+    backends_per_domain: usize,
 }
 
-/// The configuration of the world.
+/// Configuration of the small world without the removed servers.
 pub fn catalog(revision: u64, removed: &[&str]) -> Catalog {
-    catalog_of(revision, BACKENDS_EACH, removed)
+    catalog_of(revision, BACKENDS_PER_DOMAIN, removed)
 }
 
-/// The configuration with so many backend servers in each failure domain.
-pub fn catalog_of(revision: u64, backends_each: usize, removed: &[&str]) -> Catalog {
+/// Configuration with this number of backend servers in each failure domain,
+/// without the removed servers.
+pub fn catalog_of(revision: u64, backends_per_domain: usize, removed: &[&str]) -> Catalog {
     let region = |name: &str| Region { name: name.into(), draining: false };
     let domain = |&(name, region): &(&str, u32)| Domain {
         name: name.into(),
@@ -128,7 +131,7 @@
     };
     let mut backends = Vec::new();
     for (index, (name, _)) in DOMAINS.iter().enumerate() {
-        for number in 0..backends_each {
+        for number in 0..backends_per_domain {
             let name = format!("{name}-{number}");
             if removed.contains(&name.as_str()) {
                 continue;
@@ -138,12 +141,12 @@
                 service: ServiceId(0),
                 domain: DomainId(index as u32),
                 address: "127.0.0.1:1".parse().unwrap(),
-                slots: SLOTS,
+                slots: SLOTS_PER_SERVER,
                 draining: false,
             });
         }
     }
-    let cap = ShiftCap { per_second: CAP, ramp: 0 };
+    let cap = ShiftCap { per_second: SHIFT_CAP_PER_SECOND, ramp: 0 };
     let pairs = [(0, 1), (1, 0)].map(|(a, b)| (RegionId(a), RegionId(b)));
     Catalog {
         revision,
@@ -160,7 +163,7 @@
     }
 }
 
-/// The world's service.
+/// The only service of the world.
 pub fn service() -> Service {
     Service {
         name: "orders".into(),
@@ -180,73 +183,78 @@
 }
 
 impl World {
-    /// A world that has just started.
+    /// Creates a small world that has just started.
     pub fn new(seed: u64) -> World {
-        let shape = HOSTS.iter().map(|&(name, domain)| (name.into(), domain)).collect();
-        World::of(seed, shape, BACKENDS_EACH)
+        let layout = HOSTS.iter().map(|&(name, domain)| (name.into(), domain)).collect();
+        World::with_layout(seed, layout, BACKENDS_PER_DOMAIN)
     }
 
-    /// A world with many hosts: of five, two stand in each failure domain of
-    /// the north and one in the south.
-    pub fn large(seed: u64, hosts: usize, backends_each: usize) -> World {
+    /// Creates a world with many hosts. Of every five hosts, two are in each
+    /// failure domain of the north and one is in the south.
+    pub fn large(seed: u64, hosts: usize, backends_per_domain: usize) -> World {
         let domain = |index: usize| ["na", "nb", "sa", "na", "nb"][index % 5];
-        let shape = (0..hosts).map(|i| (format!("host-{i:04}").into(), domain(i))).collect();
-        World::of(seed, shape, backends_each)
+        let layout = (0..hosts).map(|i| (format!("host-{i:04}").into(), domain(i))).collect();
+        World::with_layout(seed, layout, backends_per_domain)
     }
 
-    fn of(seed: u64, shape: Vec<(Name, &'static str)>, backends_each: usize) -> World {
-        let hosts = shape.len();
+    fn with_layout(
+        seed: u64,
+        layout: Vec<(Name, &'static str)>,
+        backends_per_domain: usize,
+    ) -> World {
+        let hosts = layout.len();
         let mut world = World {
             now: Time(SECOND),
             hosts: Vec::new(),
-            catalog: Arc::new(catalog_of(1, backends_each, &[])),
+            catalog: Arc::new(catalog_of(1, backends_per_domain, &[])),
             writes: 0,
             calls: 0,
             messages: 0,
             rows: BTreeMap::new(),
-            flights: VecDeque::new(),
+            deliveries: VecDeque::new(),
             running: Vec::new(),
-            shifted: BTreeMap::new(),
+            shift_times: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
-            versions: 0,
+            last_version: 0,
             table_down_until: Time(0),
-            table_slow: 0,
+            table_delay: 0,
             lose_answers: 0,
             cut_until: BTreeMap::new(),
             list_frozen_until: Time(0),
-            gone: vec![false; hosts],
-            shape,
-            backends_each,
+            killed: vec![false; hosts],
+            layout,
+            backends_per_domain,
         };
         for index in 0..hosts {
             let host = world.start(index, 1);
             world.hosts.push(host);
         }
-        world.tell_list();
+        world.publish_host_list();
         world
     }
 
     fn start(&mut self, index: usize, incarnation: u64) -> Host {
-        let (name, domain) = self.shape[index].clone();
+        let (name, domain) = self.layout[index].clone();
         let mut node = Node::new(NodeSettings {
             me: HostRef { host: name, incarnation: Incarnation(incarnation) },
             domain: domain.into(),
             seed: self.rng.random(),
         });
         node.set_catalog(self.now, self.catalog.clone());
-        Host { node, incarnation, paused_until: Time(0), ticked: Time(0) }
+        Host { node, incarnation, paused_until: Time(0), last_tick: Time(0) }
     }
 
-    /// Lets time pass, with load, checking the invariants at each step.
+    /// Advances the time by `micros` with load, and checks the invariants after
+    /// each step.
     pub fn run(&mut self, micros: u64) -> Result<(), String> {
         let end = self.now + micros;
         while self.now < end {
-            self.now = self.now + STEP;
+            self.now = self.now + TIME_STEP;
             self.deliver();
-            self.tick();
-            self.load();
-            self.finish();
-            self.check()?;
+            self.tick_nodes();
+            self.generate_load();
+            self.finish_requests();
+            self.check_invariants()?;
         }
         Ok(())
     }
@@ -261,43 +269,43 @@
         let incarnation = self.hosts[host].incarnation + 1;
         self.running.retain(|r| r.host != host);
         self.hosts[host] = self.start(host, incarnation);
-        self.gone[host] = false;
-        self.tell_list();
+        self.killed[host] = false;
+        self.publish_host_list();
     }
 
-    /// Kills a host for good; the list drops it when it is told next.
+    /// Kills a host for good. The next host list does not contain it.
     pub fn kill(&mut self, host: usize) {
         self.running.retain(|r| r.host != host);
         self.hosts[host].paused_until = Time(u64::MAX);
-        self.gone[host] = true;
+        self.killed[host] = true;
     }
 
-    /// Begins a planned stop.
+    /// Begins a planned stop of a host.
     pub fn stop(&mut self, host: usize) {
         self.hosts[host].node.begin_stop();
     }
 
-    /// Cuts two hosts from each other.
+    /// Prevents two hosts from reaching each other.
     pub fn cut(&mut self, a: usize, b: usize, micros: u64) {
         self.cut_until.insert((a.min(b), a.max(b)), self.now + micros);
     }
 
-    /// Takes the table service down.
-    pub fn table_down(&mut self, micros: u64) {
+    /// Makes table calls fail.
+    pub fn fail_table(&mut self, micros: u64) {
         self.table_down_until = self.now + micros;
     }
 
-    /// Slows the table service.
-    pub fn table_slow(&mut self, micros: u64) {
-        self.table_slow = micros;
+    /// Delays the answers of table calls.
+    pub fn slow_table(&mut self, micros: u64) {
+        self.table_delay = micros;
     }
 
-    /// Loses the answers of the next writes after they took effect.
+    /// Loses the answers of the next writes that take effect.
     pub fn lose_answers(&mut self, count: u32) {
         self.lose_answers += count;
     }
 
-    /// Freezes the host list.
+    /// Stops updates of the host list.
     pub fn freeze_list(&mut self, micros: u64) {
         self.list_frozen_until = self.now + micros;
     }
@@ -310,12 +318,12 @@
         }
     }
 
-    /// Who may act on each backend server now.
-    pub fn acting(&self) -> BTreeMap<Name, Vec<usize>> {
+    /// Hosts that may act on each backend server now.
+    pub fn acting_hosts(&self) -> BTreeMap<Name, Vec<usize>> {
         let mut acting: BTreeMap<Name, Vec<usize>> = BTreeMap::new();
         for (index, host) in self.hosts.iter().enumerate() {
             let node = &host.node;
-            if self.gone[index] || !node.lease().is_held(self.now) {
+            if self.killed[index] || !node.lease().is_held(self.now) {
                 continue;
             }
             for (name, _) in node.row().owned_by(node.me()) {
@@ -325,14 +333,14 @@
         acting
     }
 
-    /// Tells all hosts the list, unless it is frozen.
-    fn tell_list(&mut self) {
+    /// Gives all hosts the current host list, unless updates are stopped.
+    fn publish_host_list(&mut self) {
         if self.now < self.list_frozen_until {
             return;
         }
         let listed = |(index, (name, domain)): (usize, &(Name, &'static str))| {
             let address = "127.0.0.1:1".parse().unwrap();
-            (!self.gone[index]).then(|| ListedHost {
+            (!self.killed[index]).then(|| ListedHost {
                 name: name.clone(),
                 domain: (*domain).into(),
                 callers: address,
@@ -340,35 +348,36 @@
                 leaving: false,
             })
         };
-        let list: Vec<_> = self.shape.iter().enumerate().filter_map(listed).collect();
+        let list: Vec<_> = self.layout.iter().enumerate().filter_map(listed).collect();
         for host in &mut self.hosts {
             host.node.apply_host_list(self.now, list.clone(), Vec::new());
         }
     }
 
-    /// Backend servers in each failure domain, removed ones counted.
-    pub fn backends_each(&self) -> usize {
-        self.backends_each
+    /// Backend servers in each failure domain, including removed ones.
+    pub fn backends_per_domain(&self) -> usize {
+        self.backends_per_domain
     }
 
-    /// The region that a host stands in: 0 is north, 1 is south.
+    /// Index of a host's region: 0 is north, 1 is south.
     pub fn region_of(&self, host: usize) -> u32 {
-        u32::from(self.shape[host].1 == "sa")
+        u32::from(self.layout[host].1 == "sa")
     }
 
     fn is_paused(&self, host: usize) -> bool {
         self.now < self.hosts[host].paused_until
     }
 
-    fn tick(&mut self) {
+    fn tick_nodes(&mut self) {
         if self.now.0.is_multiple_of(SECOND) {
-            self.tell_list();
+            self.publish_host_list();
         }
         for index in 0..self.hosts.len() {
-            if self.is_paused(index) || self.now.since(self.hosts[index].ticked) < TICK {
+            if self.is_paused(index) || self.now.since(self.hosts[index].last_tick) < TICK_INTERVAL
+            {
                 continue;
             }
-            self.hosts[index].ticked = self.now;
+            self.hosts[index].last_tick = self.now;
             self.hosts[index].node.confirm_revision(self.now);
             let commands = self.hosts[index].node.tick(self.now);
             self.carry_out(index, commands);
@@ -378,7 +387,9 @@
     fn carry_out(&mut self, from: usize, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Heartbeat(to, beat) => self.send(from, &to, Packet::Beat(beat)),
+                Command::Heartbeat(to, heartbeat) => {
+                    self.send(from, &to, Packet::Heartbeat(heartbeat))
+                }
                 Command::Fence(to, fence) => self.send(from, &to, Packet::Fence(fence)),
                 Command::ReadRow(region) => self.read(from, &region),
                 Command::WriteRow { row, expect } => self.write(from, row, expect),
@@ -388,43 +399,43 @@
     }
 
     fn send(&mut self, from: usize, to: &str, packet: Packet) {
-        let to = self.shape.iter().position(|(name, _)| **name == *to).unwrap();
-        self.post(from, to, packet, 0);
+        let to = self.layout.iter().position(|(name, _)| **name == *to).unwrap();
+        self.send_packet(from, to, packet, 0);
     }
 
-    fn post(&mut self, from: usize, to: usize, packet: Packet, extra: u64) {
+    fn send_packet(&mut self, from: usize, to: usize, packet: Packet, extra_delay: u64) {
         self.messages += u64::from(from != to);
         let cut = self.cut_until.get(&(from.min(to), from.max(to)));
         if cut.is_some_and(|&until| self.now < until) {
             return;
         }
-        let at = self.now + extra + self.rng.random_range(MILLI..30 * MILLI);
+        let at = self.now + extra_delay + self.rng.random_range(MILLI..30 * MILLI);
         let incarnation = self.hosts[to].incarnation;
-        self.flights.push_back(Flight { at, from, to, incarnation, packet });
+        self.deliveries.push_back(Delivery { at, from, to, incarnation, packet });
     }
 
     fn read(&mut self, from: usize, region: &Name) {
         self.calls += 1;
         let packet = match self.now < self.table_down_until {
-            true => Packet::ReadFailed,
-            false => Packet::Read(self.rows.get(region).cloned()),
+            true => Packet::RowReadFailed,
+            false => Packet::RowRead(self.rows.get(region).cloned()),
         };
-        let slow = self.table_slow;
-        self.post(from, from, packet, slow);
+        let delay = self.table_delay;
+        self.send_packet(from, from, packet, delay);
     }
 
     fn write(&mut self, from: usize, row: Row, expect: u64) {
         self.calls += 1;
-        let slow = self.table_slow;
+        let delay = self.table_delay;
         if self.now < self.table_down_until {
-            return self.post(from, from, Packet::Written(WriteOutcome::Refused), slow);
+            return self.send_packet(from, from, Packet::RowWritten(WriteOutcome::Refused), delay);
         }
-        let present = self.rows.get(&row.region).map_or(0, |s| s.version);
+        let version_in_table = self.rows.get(&row.region).map_or(0, |s| s.version);
         let mut outcome = WriteOutcome::Conflict;
-        if present == expect {
-            self.versions += 1;
+        if version_in_table == expect {
+            self.last_version += 1;
             self.writes += 1;
-            let version = self.versions;
+            let version = self.last_version;
             self.rows.insert(row.region.clone(), StoredRow { row, version });
             outcome = WriteOutcome::Written(version);
         }
@@ -432,90 +443,90 @@
             self.lose_answers -= 1;
             outcome = WriteOutcome::Unknown;
         }
-        self.post(from, from, Packet::Written(outcome), slow);
+        self.send_packet(from, from, Packet::RowWritten(outcome), delay);
     }
 
     fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.flights)
+        let (due, later) = std::mem::take(&mut self.deliveries)
             .into_iter()
             .partition(|f| f.at <= self.now && !self.is_paused(f.to));
-        self.flights = later;
-        for flight in due {
-            if flight.incarnation == self.hosts[flight.to].incarnation {
-                self.receive(flight);
+        self.deliveries = later;
+        for delivery in due {
+            if delivery.incarnation == self.hosts[delivery.to].incarnation {
+                self.receive(delivery);
             }
         }
     }
 
-    fn receive(&mut self, flight: Flight) {
-        let (to, now) = (flight.to, self.now);
+    fn receive(&mut self, delivery: Delivery) {
+        let (to, now) = (delivery.to, self.now);
         let node = &mut self.hosts[to].node;
-        let commands = match flight.packet {
-            Packet::Beat(beat) => {
-                let reply = node.on_heartbeat(now, &beat);
-                self.post(to, flight.from, Packet::BeatReply(reply), 0);
+        let commands = match delivery.packet {
+            Packet::Heartbeat(heartbeat) => {
+                let reply = node.on_heartbeat(now, &heartbeat);
+                self.send_packet(to, delivery.from, Packet::HeartbeatReply(reply), 0);
                 return;
             }
             Packet::Fence(fence) => {
                 let reply = node.on_fence(&fence);
-                self.post(to, flight.from, Packet::FenceReply(reply), 0);
+                self.send_packet(to, delivery.from, Packet::FenceReply(reply), 0);
                 return;
             }
-            Packet::BeatReply(reply) => node.on_heartbeat_reply(now, &reply),
+            Packet::HeartbeatReply(reply) => node.on_heartbeat_reply(now, &reply),
             Packet::FenceReply(reply) => {
                 node.on_fence_reply(reply);
                 return;
             }
-            Packet::Read(stored) => node.on_row_read(now, stored),
-            Packet::ReadFailed => {
+            Packet::RowRead(stored) => node.on_row_read(now, stored),
+            Packet::RowReadFailed => {
                 node.on_row_read_failed();
                 return;
             }
-            Packet::Written(outcome) => node.on_row_written(now, outcome),
+            Packet::RowWritten(outcome) => node.on_row_written(now, outcome),
         };
         self.carry_out(to, commands);
     }
 
-    /// Each host is asked for a slot a few times, for both home regions.
-    fn load(&mut self) {
+    /// Asks each running host for a slot, with a random home region.
+    fn generate_load(&mut self) {
         for index in 0..self.hosts.len() {
             if self.is_paused(index) {
                 continue;
             }
             let home = self.rng.random_range(0..2u32);
             let home_name = ["north", "south"][home as usize];
-            let ask =
+            let request =
                 OwnerRequest { service: "orders", home: home_name, deadline: SECOND, max_wait: 0 };
             let node = &mut self.hosts[index].node;
-            let OwnerAnswer::Run(slot) = node.request_slot(self.now, &ask) else { continue };
+            let OwnerAnswer::Run(slot) = node.request_slot(self.now, &request) else { continue };
             let Ok(span) = node.dispatch(self.now, &slot, self.now + SECOND) else {
                 node.finish_run(self.now, &slot, RunResult::Cancelled, 0);
                 continue;
             };
             let here = self.region_of(index);
             if home != here {
-                self.shifted.entry((home, here)).or_default().push_back(self.now);
+                self.shift_times.entry((home, here)).or_default().push_back(self.now);
             }
-            let took = self.rng.random_range(5 * MILLI..200 * MILLI);
+            let run_time = self.rng.random_range(5 * MILLI..200 * MILLI);
             self.running.push(Running {
                 host: index,
                 incarnation: self.hosts[index].incarnation,
                 slot,
-                done: self.now + took.min(span.end_within),
+                done_at: self.now + run_time.min(span.end_within),
                 deadline: self.now + span.end_within,
                 released: false,
             });
         }
     }
 
-    /// Ends requests: at their owner when it runs, at the server by the
-    /// deadline in any case.
-    fn finish(&mut self) {
+    /// Ends requests: at the owner once it runs, and at the server no later than
+    /// the deadline.
+    fn finish_requests(&mut self) {
         let now = self.now;
         for index in 0..self.running.len() {
             let running = &self.running[index];
             let host = running.host;
-            if running.released || now < running.done || now < self.hosts[host].paused_until {
+            if running.released || now < running.done_at || now < self.hosts[host].paused_until {
                 continue;
             }
             if running.incarnation == self.hosts[host].incarnation {
@@ -524,14 +535,14 @@
             }
             self.running[index].released = true;
         }
-        self.running.retain(|r| !r.released || now < r.done);
+        self.running.retain(|r| !r.released || now < r.done_at);
         let paused: Vec<bool> = (0..self.hosts.len()).map(|h| self.is_paused(h)).collect();
         self.running.retain(|r| !(paused[r.host] && now >= r.deadline));
     }
 
-    /// The invariants.
-    fn check(&mut self) -> Result<(), String> {
-        for (backend, hosts) in self.acting() {
+    /// Checks all invariants.
+    fn check_invariants(&mut self) -> Result<(), String> {
+        for (backend, hosts) in self.acting_hosts() {
             if hosts.len() > 1 {
                 return Err(format!("{:?}: hosts {hosts:?} act on {backend}", self.now));
             }
@@ -541,13 +552,14 @@
         self.check_caps()
     }
 
-    /// The parts in use of a region's caps never sum above the whole.
+    /// Checks that the parts of a region's caps in use never sum to more than the
+    /// whole.
     fn check_parts(&self) -> Result<(), String> {
         for region in 0..2 {
             let in_region = |index: &usize| self.region_of(*index) == region;
-            let held = (0..self.hosts.len()).filter(in_region).filter(|&i| !self.gone[i]);
-            let held = held.filter(|&i| self.hosts[i].node.lease().is_held(self.now));
-            let sum: u64 = held.map(|i| self.part(i)).sum();
+            let owners = (0..self.hosts.len()).filter(in_region).filter(|&i| !self.killed[i]);
+            let owners = owners.filter(|&i| self.hosts[i].node.lease().is_held(self.now));
+            let sum: u64 = owners.map(|i| self.part_in_use(i)).sum();
             if sum > elmstream::token_bucket::PARTS_PER_WHOLE {
                 return Err(format!("{:?}: parts of region {region} sum to {sum}", self.now));
             }
@@ -555,31 +567,32 @@
         Ok(())
     }
 
-    fn part(&self, index: usize) -> u64 {
+    fn part_in_use(&self, index: usize) -> u64 {
         let node = &self.hosts[index].node;
         let row = node.row();
         row.owned_by(node.me()).map(|(_, grant)| row.effective_part(grant)).sum()
     }
 
-    /// No backend server runs more requests than it has slots.
+    /// Checks that no backend server runs more requests than it has slots.
     fn check_slots(&self) -> Result<(), String> {
         let mut counts: BTreeMap<&Name, u32> = BTreeMap::new();
         for running in &self.running {
             *counts.entry(&running.slot.backend).or_default() += 1;
         }
-        match counts.iter().find(|(_, count)| **count > SLOTS) {
+        match counts.iter().find(|(_, count)| **count > SLOTS_PER_SERVER) {
             Some((name, count)) => Err(format!("{:?}: {count} requests at {name}", self.now)),
             None => Ok(()),
         }
     }
 
-    /// In any second no more requests shift than the cap allows.
+    /// Checks that no more requests shift in any second than the cap allows.
+    ///
     fn check_caps(&mut self) -> Result<(), String> {
-        for (pair, times) in &mut self.shifted {
+        for (pair, times) in &mut self.shift_times {
             while times.front().is_some_and(|&t| self.now.since(t) >= SECOND) {
                 times.pop_front();
             }
-            if times.len() > CAP as usize {
+            if times.len() > SHIFT_CAP_PER_SECOND as usize {
                 return Err(format!("{:?}: {} shifts {pair:?} in a second", self.now, times.len()));
             }
         }
