--- a/elmstream_bench/src/experiment.rs
+++ b/elmstream_bench/src/experiment.rs
@@ -79,9 +79,9 @@
             ("requests, by the owner", owner, "/"),
             ("look-ups", owner, "/v1/lookup?service=status"),
         ] {
-            let before = telemetry::process_use().processor_us;
+            let before = telemetry::process_usage().processor_us;
             let rate = saturate(target, path).await?;
-            let used = (telemetry::process_use().processor_us - before) as f64 / 1e6;
+            let used = (telemetry::process_usage().processor_us - before) as f64 / 1e6;
             println!("{what}: {rate:.0} a second, {used:.1} core seconds in all threads");
         }
         fleet.stop()
--- a/elmstream_edge/src/backend.rs
+++ b/elmstream_edge/src/backend.rs
@@ -266,7 +266,7 @@
 /// Opens a connection to a backend server, and tells whether it breaks if it goes
 /// silent.
 pub async fn stream(address: SocketAddr) -> io::Result<(TcpStream, io::Result<()>)> {
-    let connecting = waits::within_next(CONNECT, TcpStream::connect(address));
+    let connecting = waits::within_duration(CONNECT, TcpStream::connect(address));
     let stream = connecting.await.ok_or(io::ErrorKind::TimedOut)??;
     stream.set_nodelay(true)?;
     let bounded = client::bound_silence(&stream, SILENCE);
--- a/elmstream_edge/src/fetch.rs
+++ b/elmstream_edge/src/fetch.rs
@@ -99,7 +99,7 @@
 
 /// Fetches the rows of a table after a version, and the addresses of hosts.
 async fn fetch(edge: &Edge, address: SocketAddr, table: Table, asks: Asked) -> io::Result<()> {
-    let fetched = waits::within_next(FETCH, get(address, table, asks)).await;
+    let fetched = waits::within_duration(FETCH, get(address, table, asks)).await;
     let fetched = fetched.ok_or(io::ErrorKind::TimedOut)??;
     let now = clock::now();
     let changes = {
--- a/elmstreamd/src/answer.rs
+++ b/elmstreamd/src/answer.rs
@@ -12,11 +12,11 @@
 
 /// An answer for a refusal, with the outcome that goes with its code.
 pub fn refusal(refusal: Refusal) -> Response<LocalBody> {
-    with_outcome(refusal, refusal.code.outcome())
+    refusal_with_outcome(refusal, refusal.code.outcome())
 }
 
 /// An answer for a refusal, with a stated outcome.
-pub fn with_outcome(refusal: Refusal, outcome: Outcome) -> Response<LocalBody> {
+pub fn refusal_with_outcome(refusal: Refusal, outcome: Outcome) -> Response<LocalBody> {
     let code = refusal.code;
     let text = format!("E{} {}\n", code.number(), code.text());
     let mut response = Response::new(body::full(text));
@@ -34,14 +34,14 @@
 }
 
 /// An answer for a code that waiting does not mend.
-pub fn code(code: Code) -> Response<LocalBody> {
+pub fn for_code(code: Code) -> Response<LocalBody> {
     refusal(Refusal { code, retry_after: 0 })
 }
 
 /// An answer with a JSON body.
 pub fn json<T: Serialize>(value: &T) -> Response<LocalBody> {
     let Ok(text) = serde_json::to_vec(value) else {
-        return code(Code::BadRequest);
+        return for_code(Code::BadRequest);
     };
     let mut response = Response::new(body::full(text));
     let json = HeaderValue::from_static("application/json");
--- a/elmstreamd/src/callers.rs
+++ b/elmstreamd/src/callers.rs
@@ -120,8 +120,8 @@
     }
     let ticket = text(&parts.headers, header::TICKET);
     if let Some(ticket) = ticket {
-        let ticket = daemon.ticket_key.check(ticket).ok_or(refuse(Code::TicketBad))?;
-        return Ok(with_ticket(daemon, job, ticket).await.response);
+        let ticket = daemon.ticket_key.verify(ticket).ok_or(refuse(Code::TicketBad))?;
+        return Ok(run_with_ticket(daemon, job, ticket).await.response);
     }
     if job.repeatable {
         return Ok(forward::run(daemon, job).await.response);
@@ -154,7 +154,7 @@
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str());
     let has_body = !incoming.is_end_stream();
     let head = RequestHead {
-        id: daemon.next_request(),
+        id: daemon.next_request_id(),
         service: service.name.clone(),
         home: node.catalog().regions[home.index()].name.clone(),
         method: parts.method.as_str().to_owned(),
@@ -205,7 +205,7 @@
 
 /// Runs a ticketed request here if this incarnation issued the ticket, else
 /// brings it to the issuer; a ticket of a past incarnation is never run.
-pub async fn with_ticket(daemon: &Rc<Daemon>, job: Job, ticket: Ticket) -> Ended {
+pub async fn run_with_ticket(daemon: &Rc<Daemon>, job: Job, ticket: Ticket) -> Ended {
     let is_here = ticket.issuer == *daemon.node.borrow().me();
     if !is_here {
         return bring(daemon, job, ticket).await;
@@ -293,7 +293,7 @@
 const CLAIM_PAUSE: Duration = Duration::from_millis(20);
 
 /// The job of a ticketed request that another entry host brings.
-pub fn brought(daemon: &Daemon, head: RequestHead, body: LocalBody) -> Option<Job> {
+pub fn forwarded_job(daemon: &Daemon, head: RequestHead, body: LocalBody) -> Option<Job> {
     let node = daemon.node.borrow();
     let service: ServiceId = node.catalog().service(&head.service)?;
     let path = head.target.split('?').next().unwrap_or("/");
--- a/elmstreamd/src/configuration.rs
+++ b/elmstreamd/src/configuration.rs
@@ -15,7 +15,7 @@
 use futures_util::future::join_all;
 use serde::{Deserialize, Serialize};
 
-use crate::{audit, clock, daemon::Daemon, platform::Versioned};
+use crate::{audit, clock, daemon::Daemon, platform::VersionedRow};
 
 /// The key of the head row.
 const HEAD: &str = "config/head";
@@ -76,7 +76,7 @@
 
 impl Decision {
     /// A decision with the code's own text.
-    pub fn of(code: Code, revision: u64) -> Decision {
+    pub fn new(code: Code, revision: u64) -> Decision {
         Decision { code, revision, message: code.text().to_owned() }
     }
 }
@@ -93,7 +93,7 @@
     let old = daemon.current.borrow().configuration.clone();
     let edits = difference::difference(&old, &next);
     if accepted {
-        take(daemon, decision.revision, next);
+        install(daemon, decision.revision, next);
         push(daemon, decision.revision, &edits);
     }
     audit::record(daemon, operator, &decision, &edits);
@@ -102,18 +102,18 @@
 
 async fn decide(daemon: &Rc<Daemon>, expected: u64, next: &Configuration) -> Decision {
     let Ok(stored) = daemon.table.read(HEAD).await else {
-        return Decision::of(Code::TableUnavailable, 0);
+        return Decision::new(Code::TableUnavailable, 0);
     };
     let Some((head, version)) = parse_head(stored) else {
-        return Decision::of(Code::ConfigurationTable, 0);
+        return Decision::new(Code::ConfigurationTable, 0);
     };
     if head.revision != expected {
-        return Decision::of(Code::RevisionConflict, head.revision);
+        return Decision::new(Code::RevisionConflict, head.revision);
     }
     let change = Change { revision: expected + 1, nonce: rand::random() };
     let object = format!("config/{:020}-{:016x}", change.revision, change.nonce);
     if daemon.objects.put(&object, next.to_text().into_bytes()).await.is_err() {
-        return Decision::of(Code::StoreUnavailable, expected);
+        return Decision::new(Code::StoreUnavailable, expected);
     }
     let mut recent = vec![change.clone()];
     recent.extend(head.recent.into_iter().take(RECENT - 1));
@@ -124,7 +124,7 @@
 /// Swaps the head row and resolves what became of it by its nonce.
 async fn swap(daemon: &Rc<Daemon>, head: &Head, expect: u64, change: &Change) -> Decision {
     let Ok(value) = serde_json::to_value(head) else {
-        return Decision::of(Code::ChangeInvalid, 0);
+        return Decision::new(Code::ChangeInvalid, 0);
     };
     let mut refused_only = true;
     for _ in 0..RESOLVE_TRIES {
@@ -132,13 +132,13 @@
         refused_only &= outcome == WriteOutcome::Refused;
         match daemon.table.read(HEAD).await.ok().and_then(parse_head) {
             Some((now, _)) if now.recent.contains(change) => {
-                return Decision::of(Code::Ok, change.revision);
+                return Decision::new(Code::Ok, change.revision);
             }
             // Another change stands on our place, so ours never will.
             Some((now, version)) if version != expect => {
                 let lost = now.recent.iter().any(|c| c.revision == change.revision);
                 let code = if lost { Code::RevisionConflict } else { Code::ChangeUnknown };
-                return Decision::of(code, now.revision);
+                return Decision::new(code, now.revision);
             }
             // The write has not taken effect yet; the same one is tried again,
             // since a late one may still arrive and must not be denied.
@@ -146,11 +146,11 @@
         }
     }
     let code = if refused_only { Code::TableUnavailable } else { Code::ChangeUnknown };
-    Decision::of(code, expect)
+    Decision::new(code, expect)
 }
 
 /// The head row and its version; no row is revision 0.
-fn parse_head(stored: Option<Versioned>) -> Option<(Head, u64)> {
+fn parse_head(stored: Option<VersionedRow>) -> Option<(Head, u64)> {
     match stored {
         None => Some((Head::default(), 0)),
         Some(row) => Some((serde_json::from_value(row.value).ok()?, row.version)),
@@ -158,7 +158,7 @@
 }
 
 /// Takes a revision if it is higher than the one in force.
-pub fn take(daemon: &Daemon, revision: u64, configuration: Configuration) -> bool {
+pub fn install(daemon: &Daemon, revision: u64, configuration: Configuration) -> bool {
     if revision <= daemon.current.borrow().revision {
         return false;
     }
@@ -175,19 +175,19 @@
 
 /// What is known of how far a revision has spread from this host.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct Propagation {
     /// The revision; 0 is none.
     pub revision: u64,
     /// Hosts that have said that it is in force there.
-    pub taken: HashSet<Name>,
+    pub confirmed: HashSet<Name>,
 }
 
-impl Spread {
+impl Propagation {
     /// Notes hosts that took a revision; tells whether it is still the last.
     fn took(&mut self, revision: u64, hosts: Vec<Name>) -> bool {
         let is_last = self.revision == revision;
         if is_last {
-            self.taken.extend(hosts);
+            self.confirmed.extend(hosts);
         }
         is_last
     }
@@ -199,15 +199,15 @@
     let edits: Rc<str> = serde_json::to_string(edits).unwrap_or_default().into();
     let daemon = daemon.clone();
     let here = daemon.settings.name.as_str().into();
-    *daemon.spread.borrow_mut() = Spread { revision, taken: HashSet::from([here]) };
+    *daemon.propagation.borrow_mut() = Propagation { revision, confirmed: HashSet::from([here]) };
     compio::runtime::spawn(async move {
         for _ in 0..PUSH_TRIES {
             // The host list may name others by now.
             let mut hosts = daemon.live_peers();
-            hosts.retain(|name| !daemon.spread.borrow().taken.contains(name));
+            hosts.retain(|name| !daemon.propagation.borrow().confirmed.contains(name));
             let missing = pass_on(&daemon, revision, &edits, &hosts).await;
             hosts.retain(|name| !missing.contains(name));
-            if !daemon.spread.borrow_mut().took(revision, hosts) {
+            if !daemon.propagation.borrow_mut().took(revision, hosts) {
                 return;
             }
             compio::time::sleep(PUSH_PAUSE).await;
@@ -263,7 +263,7 @@
 
 /// Takes a push: its difference if it follows on the revision in force, else
 /// the whole from the table or a peer. Passes it on and waits for the answers.
-pub async fn pushed(daemon: &Rc<Daemon>, push: Push) -> Pushed {
+pub async fn handle_push(daemon: &Rc<Daemon>, push: Push) -> Pushed {
     let (revision, configuration) = {
         let current = daemon.current.borrow();
         (current.revision, current.configuration.clone())
@@ -272,8 +272,8 @@
     let follows = push.revision == revision + 1;
     let next = edits.filter(|_| follows);
     match next.and_then(|edits| difference::apply(&configuration, &edits).ok()) {
-        Some(next) => drop(take(daemon, push.revision, next)),
-        None if push.revision > revision => daemon.want_revision(),
+        Some(next) => drop(install(daemon, push.revision, next)),
+        None if push.revision > revision => daemon.request_poll(),
         None => {}
     }
     let missing = pass_on(daemon, push.revision, &push.edits, &push.pass_on).await;
@@ -293,7 +293,7 @@
     }
     let Ok(Some(bytes)) = daemon.objects.get(&head.object).await else { return false };
     match Configuration::parse(&String::from_utf8_lossy(&bytes)) {
-        Ok(configuration) => take(daemon, head.revision, configuration),
+        Ok(configuration) => install(daemon, head.revision, configuration),
         Err(error) => {
             log::error!(error:% = error, object = head.object; "a stored configuration is bad");
             false
@@ -310,7 +310,7 @@
             continue;
         };
         if let Ok(configuration) = Configuration::parse(&document) {
-            take(daemon, revision, configuration);
+            install(daemon, revision, configuration);
         }
     }
 }
--- a/elmstreamd/src/daemon.rs
+++ b/elmstreamd/src/daemon.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     clock,
-    configuration::{Current, Spread},
+    configuration::{Current, Propagation},
     history::History,
     peers::Peers,
     platform::{HostList, HttpPlatform, ObjectStore, TableService},
@@ -59,7 +59,7 @@
     /// The configuration in force.
     pub current: RefCell<Current>,
     /// How far the last revision that was accepted here has spread.
-    pub spread: RefCell<Spread>,
+    pub propagation: RefCell<Propagation>,
     /// Signs tickets.
     pub ticket_key: TicketKey,
     requests: Cell<u64>,
@@ -72,16 +72,16 @@
 }
 
 /// Counts a request or a stream as in flight until it is dropped.
-pub struct Counted(Rc<Cell<u32>>);
+pub struct InFlightGuard(Rc<Cell<u32>>);
 
-impl Counted {
-    fn new(counter: &Rc<Cell<u32>>) -> Counted {
+impl InFlightGuard {
+    fn new(counter: &Rc<Cell<u32>>) -> InFlightGuard {
         counter.set(counter.get() + 1);
-        Counted(counter.clone())
+        InFlightGuard(counter.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -112,7 +112,7 @@
             wakers: RefCell::default(),
             history: RefCell::default(),
             current: RefCell::default(),
-            spread: RefCell::default(),
+            propagation: RefCell::default(),
             ticket_key: TicketKey::new(cluster_key),
             requests: Cell::new(rand::random()),
             in_flight: Rc::default(),
@@ -130,16 +130,16 @@
     }
 
     /// Counts a request in, or refuses it by its host's limit.
-    pub fn count_request(&self) -> Result<Counted, Refusal> {
+    pub fn count_request(&self) -> Result<InFlightGuard, Refusal> {
         if self.in_flight.get() >= self.settings.callers.in_flight_max {
             return Err(Refusal { code: Code::NoCapacity, retry_after: SECOND });
         }
-        Ok(Counted::new(&self.in_flight))
+        Ok(InFlightGuard::new(&self.in_flight))
     }
 
     /// Counts a stream of another host in.
-    pub fn count_stream(&self) -> Counted {
-        Counted::new(&self.streams)
+    pub fn count_stream(&self) -> InFlightGuard {
+        InFlightGuard::new(&self.streams)
     }
 
     /// Whether no request runs here and no answer is on its way to another host.
@@ -156,7 +156,7 @@
     }
 
     /// A name for the next request.
-    pub fn next_request(&self) -> u64 {
+    pub fn next_request_id(&self) -> u64 {
         self.requests.set(self.requests.get().wrapping_add(1));
         self.requests.get()
     }
@@ -193,7 +193,7 @@
     }
 
     /// The highest revision that any host has shown.
-    pub fn highest_seen(&self) -> u64 {
+    pub fn highest_revision(&self) -> u64 {
         self.node.borrow().members().iter().map(|m| m.revision).max().unwrap_or(0)
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Asks the follower of the configuration to look at once.
-    pub fn want_revision(&self) {
+    pub fn request_poll(&self) {
         self.wants.set(true);
         if let Some(want) = self.want.borrow_mut().take() {
             let _ = want.send(());
@@ -226,12 +226,12 @@
     }
 
     /// Whether a look was asked for; asking is forgotten.
-    pub fn wants_revision(&self) -> bool {
+    pub fn take_poll_request(&self) -> bool {
         self.wants.replace(false)
     }
 
     /// Waits until a look is asked for, at most so long.
-    pub async fn wait_for_want(&self, at_most: Duration) {
+    pub async fn wait_for_poll_request(&self, at_most: Duration) {
         let (sender, wanted) = oneshot::channel();
         *self.want.borrow_mut() = Some(sender);
         if !self.wants.get() {
--- a/elmstreamd/src/forward.rs
+++ b/elmstreamd/src/forward.rs
@@ -23,8 +23,8 @@
 use crate::{
     answer, clock,
     daemon::Daemon,
-    history::{Story, Try},
-    owner::{self, Run},
+    history::{AttemptRecord, RequestTrace},
+    owner::{self, DispatchResult},
     peers::{self, BodySender},
 };
 
@@ -100,23 +100,23 @@
 
 /// Asks owners in turn until one answers or none is left.
 pub async fn run(daemon: &Rc<Daemon>, mut job: Job) -> Ended {
-    let mut story = Story {
+    let mut story = RequestTrace {
         id: job.head.id,
         service: job.head.service.clone(),
         home: job.head.home.clone(),
         revision: daemon.node.borrow().catalog().revision,
-        tries: Vec::new(),
+        attempts: Vec::new(),
     };
     let ended = try_owners(daemon, &mut job, &mut story).await;
     if let Some(body) = job.body.take() {
         // A caller that is still sending must be able to read its answer.
         compio::runtime::spawn(discard(body)).detach();
     }
-    daemon.history.borrow_mut().keep(story);
+    daemon.history.borrow_mut().record(story);
     ended
 }
 
-async fn try_owners(daemon: &Rc<Daemon>, job: &mut Job, story: &mut Story) -> Ended {
+async fn try_owners(daemon: &Rc<Daemon>, job: &mut Job, story: &mut RequestTrace) -> Ended {
     for _ in 0..MOVING_ROUNDS {
         match try_round(daemon, job, story).await {
             Round::Ended(ended) => return ended,
@@ -130,7 +130,7 @@
 }
 
 /// Asks each owner of one route.
-async fn try_round(daemon: &Rc<Daemon>, job: &mut Job, story: &mut Story) -> Round {
+async fn try_round(daemon: &Rc<Daemon>, job: &mut Job, story: &mut RequestTrace) -> Round {
     let attempts = match route(daemon, job) {
         Ok(attempts) => attempts,
         Err(refusal) => return conclude(job, refusal, None),
@@ -151,7 +151,7 @@
             compio::time::sleep(pause).await;
             tried = try_one(daemon, job, &attempt).await;
         }
-        story.tries.push(Try {
+        story.attempts.push(AttemptRecord {
             owner: attempt.owner.host.clone(),
             shifted: attempt.is_shifted(),
             code: tried.code(),
@@ -239,9 +239,9 @@
     };
     let body = job.body.take().unwrap_or_else(body::empty);
     match owner::dispatch(guard, &job.head, body).await {
-        Run::Answered(response, slot) => Tried::Answered(response, slot.backend),
-        Run::NotRun(refusal) => Tried::NotRun(refusal),
-        Run::Failed(code) => Tried::Failed(code),
+        DispatchResult::Answered(response, slot) => Tried::Answered(response, slot.backend),
+        DispatchResult::NotRun(refusal) => Tried::NotRun(refusal),
+        DispatchResult::Failed(code) => Tried::Failed(code),
     }
 }
 
@@ -307,7 +307,7 @@
             Ok(Reply::Answer(head)) => {
                 take_load(daemon, host, &head.load);
                 let backend = head.backend.clone();
-                return match response(head, peers::receive(recv)) {
+                return match response(head, peers::receive_body(recv)) {
                     Some(response) => Tried::Answered(response, backend),
                     None => Tried::Failed(Code::PeerMessage),
                 };
@@ -379,7 +379,7 @@
 fn refused(refusal: Refusal) -> Ended {
     let outcome = refusal.code.outcome();
     metrics::counter!("elmstream_requests_total", "outcome" => outcome.as_str()).increment(1);
-    Ended { response: answer::with_outcome(refusal, outcome), outcome }
+    Ended { response: answer::refusal_with_outcome(refusal, outcome), outcome }
 }
 
 fn failed(code: Code) -> Ended {
--- a/elmstreamd/src/history.rs
+++ b/elmstreamd/src/history.rs
@@ -9,7 +9,7 @@
 
 /// What happened at one owner.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct AttemptRecord {
     /// The owner.
     pub owner: Name,
     /// Whether the home region differs from the owner's.
@@ -20,7 +20,7 @@
 
 /// The story of one request.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct RequestTrace {
     /// The request.
     pub id: u64,
     /// The service.
@@ -30,18 +30,18 @@
     /// The revision that it was decided by.
     pub revision: u64,
     /// The tries, in order.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<AttemptRecord>,
 }
 
 /// The last stories.
 #[derive(Debug, Default)]
 pub struct History {
-    stories: VecDeque<Story>,
+    stories: VecDeque<RequestTrace>,
 }
 
 impl History {
     /// Keeps a story and forgets the oldest.
-    pub fn keep(&mut self, story: Story) {
+    pub fn record(&mut self, story: RequestTrace) {
         if self.stories.len() >= REMEMBERED {
             self.stories.pop_front();
         }
@@ -49,19 +49,19 @@
     }
 
     /// The story of a request.
-    pub fn find(&self, id: u64) -> Option<&Story> {
+    pub fn find(&self, id: u64) -> Option<&RequestTrace> {
         self.stories.iter().rev().find(|s| s.id == id)
     }
 }
 
-impl Story {
+impl RequestTrace {
     /// The story in lines of plain English.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn describe(&self) -> Vec<String> {
         let first = format!(
             "request {:x} for service {} from home region {} at revision {}",
             self.id, self.service, self.home, self.revision
         );
-        let tried = self.tries.iter().map(|t| {
+        let tried = self.attempts.iter().map(|t| {
             let how = if t.shifted { "as a shift" } else { "in the home region" };
             let number = t.code.number();
             format!("owner {} was asked {how}: {number} {}", t.owner, t.code.text())
--- a/elmstreamd/src/operators.rs
+++ b/elmstreamd/src/operators.rs
@@ -149,7 +149,7 @@
         "failure-domain" => DrainKind::FailureDomain,
         "region" => DrainKind::Region,
         "entry-host" => DrainKind::EntryHost,
-        _ => return Err(Decision::of(Code::ChangeInvalid, 0)),
+        _ => return Err(Decision::new(Code::ChangeInvalid, 0)),
     };
     let mut next = old.clone();
     let drain = Drain { kind, name: request.name.clone() };
@@ -171,9 +171,9 @@
         let region = catalog.region_of_domain(domain);
         region.map(|id| catalog.regions[id.index()].name.to_string()).unwrap_or_default()
     };
-    let spread = daemon.spread.borrow();
+    let spread = daemon.propagation.borrow();
     // Of a host that sends no heartbeats here, the push's answer tells.
-    let revision = |m: &Member| match spread.taken.contains(&m.name) {
+    let revision = |m: &Member| match spread.confirmed.contains(&m.name) {
         true => m.revision.max(spread.revision),
         false => m.revision,
     };
@@ -194,7 +194,7 @@
             .backend(name)
             .is_some_and(|id| catalog.is_draining(&catalog.backends[id.index()])),
     };
-    let used = telemetry::process_use();
+    let used = telemetry::process_usage();
     StatusReply {
         host: daemon.settings.name.clone(),
         revision: catalog.revision,
@@ -206,7 +206,7 @@
             processor_us: used.processor_us,
             uptime_us: clock::uptime_micros(),
             resident_bytes: used.resident_bytes,
-            peer_bytes: daemon.peers.bytes(),
+            peer_bytes: daemon.peers.message_bytes(),
         }),
         epoch: node.row().epoch,
         settled: node.row().settled,
@@ -257,7 +257,7 @@
 fn explain_request(daemon: &Daemon, id: &str) -> Result<Vec<String>, Code> {
     let id = u64::from_str_radix(id, 16).map_err(|_| Code::BadRequest)?;
     let history = daemon.history.borrow();
-    history.find(id).map(crate::history::Story::lines).ok_or(Code::NotFound)
+    history.find(id).map(crate::history::RequestTrace::describe).ok_or(Code::NotFound)
 }
 
 fn explain_lookup(daemon: &Daemon, request: &ExplainRequest) -> Result<Vec<String>, Code> {
--- a/elmstreamd/src/owner.rs
+++ b/elmstreamd/src/owner.rs
@@ -23,7 +23,7 @@
 use crate::{clock, daemon::Daemon, pool::Connection};
 
 /// How a request ended at its owner.
-pub enum Run {
+pub enum DispatchResult {
     /// The backend server answered; the body may still be on its way.
     Answered(Response<LocalBody>, Slot),
     /// No byte reached a backend server, or it said that it ran nothing.
@@ -115,12 +115,12 @@
 }
 
 /// Sends the request to the backend server of the slot.
-pub async fn dispatch(mut guard: SlotGuard, head: &RequestHead, body: LocalBody) -> Run {
+pub async fn dispatch(mut guard: SlotGuard, head: &RequestHead, body: LocalBody) -> DispatchResult {
     let daemon = guard.daemon.clone();
     let Some(address) = daemon.backend_address(&guard.slot) else {
         return not_run(Code::NoOwner);
     };
-    let Ok(mut connection) = daemon.pool.take(address).await else {
+    let Ok(mut connection) = daemon.pool.acquire(address).await else {
         guard.result = RunResult::Bad;
         return not_run(Code::BackendConnect);
     };
@@ -129,7 +129,7 @@
     let wall = clock::unix_ms();
     let span = match daemon.node.borrow().dispatch(clock::now(), &guard.slot, guard.deadline) {
         Ok(span) => span,
-        Err(refusal) => return Run::NotRun(refusal),
+        Err(refusal) => return DispatchResult::NotRun(refusal),
     };
     let until = Instant::now() + Duration::from_micros(span.end);
     let Some(request) = request(head, body, wall, span) else {
@@ -152,18 +152,18 @@
                     guard.running = false;
                     not_run(Code::BackendConnect)
                 }
-                false => Run::Failed(Code::BackendFailed),
+                false => DispatchResult::Failed(Code::BackendFailed),
             }
         }
         Err(_) => {
             guard.result = RunResult::Bad;
-            Run::Failed(Code::DeadlinePassed)
+            DispatchResult::Failed(Code::DeadlinePassed)
         }
     }
 }
 
-fn not_run(code: Code) -> Run {
-    Run::NotRun(Refusal { code, retry_after: SECOND })
+fn not_run(code: Code) -> DispatchResult {
+    DispatchResult::NotRun(Refusal { code, retry_after: SECOND })
 }
 
 /// The request as the backend server gets it; `wall` is Unix milliseconds.
@@ -190,7 +190,7 @@
     connection: Connection,
     response: Response<Incoming>,
     until: Instant,
-) -> Run {
+) -> DispatchResult {
     let slot = guard.slot.clone();
     let (mut parts, incoming) = response.into_parts();
     // Only the system itself speaks of outcomes and codes.
@@ -199,10 +199,10 @@
     let mut reading = Reading { guard, connection: Some(connection), incoming, until };
     if reading.incoming.is_end_stream() {
         reading.finish();
-        return Run::Answered(Response::from_parts(parts, body::empty()), slot);
+        return DispatchResult::Answered(Response::from_parts(parts, body::empty()), slot);
     }
     let frames = futures_util::stream::unfold(Some(reading), read_frame);
-    Run::Answered(Response::from_parts(parts, body::frames(frames)), slot)
+    DispatchResult::Answered(Response::from_parts(parts, body::frames(frames)), slot)
 }
 
 /// An answer's body on its way from the backend server.
@@ -249,7 +249,7 @@
         if let (Some(connection), Some(address)) =
             (self.connection.take(), daemon.backend_address(&self.guard.slot))
         {
-            daemon.pool.give(address, connection);
+            daemon.pool.release(address, connection);
         }
     }
 }
--- a/elmstreamd/src/peer_server.rs
+++ b/elmstreamd/src/peer_server.rs
@@ -18,9 +18,9 @@
     callers, clock, configuration,
     daemon::Daemon,
     forward,
-    owner::{self, Run},
-    paced::paced,
+    owner::{self, DispatchResult},
     peers::{self, BodySender},
+    rate_limit::rate_limited,
     ticker,
 };
 
@@ -49,7 +49,7 @@
         Ok(Ok(Open::Ticketed(ticket, head))) => {
             return serve_ticketed(&daemon, send, recv, ticket, head).await;
         }
-        Ok(Ok(Open::Push(push))) => Reply::Pushed(configuration::pushed(&daemon, push).await),
+        Ok(Ok(Open::Push(push))) => Reply::Pushed(configuration::handle_push(&daemon, push).await),
         Ok(Ok(open)) => control(&daemon, open),
         Ok(Err(Code::PeerMessage)) => {
             log::warn!(code = Code::PeerMessage.number(); "a malformed message of another host");
@@ -67,7 +67,7 @@
     match open {
         Open::Heartbeat(beat) => {
             if beat.revision > daemon.current.borrow().revision {
-                daemon.want_revision();
+                daemon.request_poll();
             }
             let reply = daemon.node.borrow_mut().heartbeat(clock::now(), &beat);
             // An epoch that was just taken or settled there moves ours forward.
@@ -114,18 +114,18 @@
             if daemon.peers.write(send.stream(), &Reply::Admitted).await.is_err() {
                 return;
             }
-            cross(daemon, &head, peers::receive(recv))
+            cross(daemon, &head, peers::receive_body(recv))
         }
         false => body::empty(),
     };
     let running = owner::dispatch(guard, &head, body).boxed_local();
     match until_stopped(&mut send, running).await {
-        Some(Run::Answered(response, slot)) => {
+        Some(DispatchResult::Answered(response, slot)) => {
             let response = response.map(|body| cross(daemon, &head, body));
             answer(daemon, send, response, slot.backend, &head.service).await;
         }
-        Some(Run::NotRun(refusal)) => refuse(daemon, send, refusal, &head.service).await,
-        Some(Run::Failed(code)) => {
+        Some(DispatchResult::NotRun(refusal)) => refuse(daemon, send, refusal, &head.service).await,
+        Some(DispatchResult::Failed(code)) => {
             let failed = Refusal { code, retry_after: SECOND };
             refuse(daemon, send, failed, &head.service).await;
         }
@@ -137,7 +137,7 @@
 fn cross(daemon: &Rc<Daemon>, head: &RequestHead, body: LocalBody) -> LocalBody {
     let here = daemon.node.borrow().region_name();
     match here.is_some_and(|here| here != head.home) {
-        true => paced(daemon, &head.home, body),
+        true => rate_limited(daemon, &head.home, body),
         false => body,
     }
 }
@@ -151,14 +151,14 @@
     head: RequestHead,
 ) {
     let (has_body, service) = (head.has_body, head.service.clone());
-    let Some(job) = callers::brought(daemon, head, peers::receive(recv)) else {
+    let Some(job) = callers::forwarded_job(daemon, head, peers::receive_body(recv)) else {
         let unknown = Refusal { code: Code::UnknownService, retry_after: 0 };
         return refuse(daemon, send, unknown, &service).await;
     };
     if has_body && daemon.peers.write(send.stream(), &Reply::Admitted).await.is_err() {
         return;
     }
-    let running = callers::with_ticket(daemon, job, ticket).boxed_local();
+    let running = callers::run_with_ticket(daemon, job, ticket).boxed_local();
     let Some(ended) = until_stopped(&mut send, running).await else { return };
     match own_code(&ended.response) {
         Some(code) => {
@@ -197,7 +197,7 @@
         load: load(daemon, service),
     });
     if daemon.peers.write(send.stream(), &reply).await.is_ok() {
-        send.deliver().await;
+        send.finish_and_wait().await;
     }
 }
 
--- a/elmstreamd/src/peers.rs
+++ b/elmstreamd/src/peers.rs
@@ -123,7 +123,7 @@
                 Ok(streams) => return Ok(streams),
                 // All streams are in use; the connection itself is good.
                 Err(_) if connection.close_reason().is_none() => return Err(Code::PeerUnreachable),
-                Err(_) => self.forget(name),
+                Err(_) => self.disconnect(name),
             }
         }
         let _connecting = Connecting::new(self, name);
@@ -134,7 +134,7 @@
     }
 
     /// Drops the connection to a host that fell silent; requests on it end.
-    pub fn forget(&self, name: &Name) {
+    pub fn disconnect(&self, name: &Name) {
         if let Some(connection) = self.connections.borrow_mut().remove(name) {
             connection.close(VarInt::from_u32(CUT), b"silent");
         }
@@ -167,7 +167,7 @@
     }
 
     /// Bytes of messages, without bodies, sent and received.
-    pub fn bytes(&self) -> u64 {
+    pub fn message_bytes(&self) -> u64 {
         self.bytes.get()
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Ends the stream as whole, and waits until the other side has it all.
-    pub async fn deliver(mut self) {
+    pub async fn finish_and_wait(mut self) {
         if let Some(mut send) = self.0.take() {
             let _ = send.finish();
             let _ = compio::time::timeout(DELIVER, send.stopped()).await;
@@ -252,7 +252,7 @@
             let written = self.stream().write_all_chunks(&mut [data]).await;
             written.map_err(|_| Code::PeerLost)?;
         }
-        self.deliver().await;
+        self.finish_and_wait().await;
         Ok(())
     }
 }
@@ -266,7 +266,7 @@
 }
 
 /// The rest of a stream as a body; a reset stream is a cut body.
-pub fn receive(recv: RecvStream) -> LocalBody {
+pub fn receive_body(recv: RecvStream) -> LocalBody {
     let chunks = futures_util::stream::unfold(Some(recv), |recv| async {
         let mut recv = recv?;
         match recv.read_chunk(CHUNK_MAX, true).await {
--- a/elmstreamd/src/platform.rs
+++ b/elmstreamd/src/platform.rs
@@ -22,7 +22,7 @@
     },
     /// No answer came in time, or the connection broke.
     #[snafu(display("the platform's service did not answer: {reason}"))]
-    Silent {
+    NoAnswer {
         /// What happened.
         reason: String,
     },
@@ -36,7 +36,7 @@
 
 /// A row and its version.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Versioned {
+pub struct VersionedRow {
     /// Changes with each write.
     pub version: u64,
     /// The row.
@@ -47,7 +47,7 @@
 #[async_trait(?Send)]
 pub trait TableService {
     /// Reads a row; `None` is "no such row".
-    async fn read(&self, key: &str) -> Result<Option<Versioned>, PlatformError>;
+    async fn read(&self, key: &str) -> Result<Option<VersionedRow>, PlatformError>;
 
     /// Writes a row if its version is `expect`; 0 is "no such row".
     async fn write(&self, key: &str, value: &Value, expect: u64) -> WriteOutcome;
@@ -125,7 +125,7 @@
     /// A client of the services that the settings name.
     pub fn new(settings: settings::Platform) -> Result<HttpPlatform, PlatformError> {
         let built = Client::builder().no_proxy().build();
-        let client = built.map_err(|e| PlatformError::Silent { reason: e.to_string() })?;
+        let client = built.map_err(|e| PlatformError::NoAnswer { reason: e.to_string() })?;
         Ok(HttpPlatform { client, settings })
     }
 
@@ -136,7 +136,7 @@
         body: Vec<u8>,
     ) -> Result<Answer, PlatformError> {
         let within = Duration::from_millis(self.settings.timeout_ms);
-        let silent = |reason: String| PlatformError::Silent { reason };
+        let silent = |reason: String| PlatformError::NoAnswer { reason };
         let sending = async {
             let request = self.client.request(method, url).map_err(|e| silent(e.to_string()))?;
             let response = request.body(body).send().await.map_err(|e| silent(e.to_string()))?;
@@ -166,7 +166,7 @@
 
 #[async_trait(?Send)]
 impl TableService for HttpPlatform {
-    async fn read(&self, key: &str) -> Result<Option<Versioned>, PlatformError> {
+    async fn read(&self, key: &str) -> Result<Option<VersionedRow>, PlatformError> {
         let url = format!("{}/rows/{key}", self.settings.table);
         let found = self.call(Method::GET, url, Vec::new()).await?.found()?;
         found.map(|bytes| parse(&bytes)).transpose()
--- a/elmstreamd/src/pool.rs
+++ b/elmstreamd/src/pool.rs
@@ -21,7 +21,7 @@
 
 impl Pool {
     /// An idle connection, or a new one.
-    pub async fn take(&self, address: SocketAddr) -> io::Result<Connection> {
+    pub async fn acquire(&self, address: SocketAddr) -> io::Result<Connection> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
             let Some(mut connection) = idle else {
@@ -34,7 +34,7 @@
     }
 
     /// Gives a connection back once its answer has been read to the end.
-    pub fn give(&self, address: SocketAddr, connection: Connection) {
+    pub fn release(&self, address: SocketAddr, connection: Connection) {
         if connection.is_closed() {
             return;
         }
--- a/elmstreamd/src/paced.rs
+++ b/elmstreamd/src/rate_limit.rs
@@ -16,14 +16,14 @@
 const PAUSE: Duration = Duration::from_millis(5);
 
 /// A body whose pieces pass as the link from `home` has room.
-pub fn paced(daemon: &Rc<Daemon>, home: &Name, inner: LocalBody) -> LocalBody {
+pub fn rate_limited(daemon: &Rc<Daemon>, home: &Name, inner: LocalBody) -> LocalBody {
     let crossing =
-        Crossing { daemon: daemon.clone(), home: home.clone(), inner, left: Bytes::new() };
+        RateLimitedBody { daemon: daemon.clone(), home: home.clone(), inner, left: Bytes::new() };
     body::stream(futures_util::stream::unfold(Some(crossing), next_piece))
 }
 
 /// A body on its way over a link.
-struct Crossing {
+struct RateLimitedBody {
     daemon: Rc<Daemon>,
     home: Name,
     inner: LocalBody,
@@ -31,7 +31,7 @@
     left: Bytes,
 }
 
-impl Crossing {
+impl RateLimitedBody {
     /// Bytes of `wanted` that the link has room for now.
     fn take(&self, wanted: u64) -> u64 {
         let mut node = self.daemon.node.borrow_mut();
@@ -41,8 +41,8 @@
 
 /// The next piece that passes; an error of the inner body cuts this one too.
 async fn next_piece(
-    crossing: Option<Crossing>,
-) -> Option<(Result<Bytes, BoxError>, Option<Crossing>)> {
+    crossing: Option<RateLimitedBody>,
+) -> Option<(Result<Bytes, BoxError>, Option<RateLimitedBody>)> {
     let mut crossing = crossing?;
     while crossing.left.is_empty() {
         match crossing.inner.frame().await? {
--- a/elmstreamd/src/telemetry.rs
+++ b/elmstreamd/src/telemetry.rs
@@ -25,7 +25,7 @@
 
 /// What the process has used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Use {
+pub struct ProcessUsage {
     /// Processor time, in microseconds.
     pub processor_us: u64,
     /// Resident memory, in bytes.
@@ -38,7 +38,7 @@
 const PAGE: u64 = 4_096;
 
 /// Reads the process's use from `/proc`.
-pub fn process_use() -> Use {
+pub fn process_usage() -> ProcessUsage {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(") ").next().unwrap_or_default();
     let field = |index: usize| -> u64 {
@@ -48,5 +48,5 @@
     // Fields 14 and 15 of the page are user and system time; 24 is the
     // resident set in pages. The name and the two before it are cut off.
     let (user, system, resident) = (field(11), field(12), field(21));
-    Use { processor_us: (user + system) * TICK_US, resident_bytes: resident * PAGE }
+    ProcessUsage { processor_us: (user + system) * TICK_US, resident_bytes: resident * PAGE }
 }
--- a/elmstreamd/src/ticker.rs
+++ b/elmstreamd/src/ticker.rs
@@ -41,7 +41,7 @@
 /// Runs the systems once.
 pub fn tick(daemon: &Rc<Daemon>) {
     let commands = daemon.node.borrow_mut().tick(clock::now());
-    carry_out(daemon, commands);
+    execute(daemon, commands);
 }
 
 /// Reads the host list until the stop.
@@ -64,21 +64,21 @@
     while stop.clone().now_or_never().is_none() {
         let is_poller = daemon.is_poller();
         let is_stale = daemon.node.borrow().is_isolated(clock::now());
-        let wants = daemon.wants_revision();
+        let wants = daemon.take_poll_request();
         let heard =
             if is_poller || is_stale || wants { configuration::poll(&daemon).await } else { true };
-        let behind = daemon.highest_seen() > daemon.current.borrow().revision;
+        let behind = daemon.highest_revision() > daemon.current.borrow().revision;
         if behind || !heard && daemon.current.borrow().revision == 0 {
             let peers = daemon.newest_peers();
             configuration::fetch(&daemon, &peers).await;
         }
         let pause = if is_poller { POLL_INTERVAL } else { POLL_STALE_INTERVAL };
-        daemon.wait_for_want(pause).await;
+        daemon.wait_for_poll_request(pause).await;
     }
 }
 
 /// Carries out commands, each in a task of its own.
-pub fn carry_out(daemon: &Rc<Daemon>, commands: Vec<Command>) {
+pub fn execute(daemon: &Rc<Daemon>, commands: Vec<Command>) {
     for command in commands {
         match command {
             Command::Heartbeat(to, beat) => spawn(heartbeat(daemon.clone(), to, beat)),
@@ -102,11 +102,11 @@
     let reply = daemon.peers.exchange(&to, address, &open, EXCHANGE).await;
     if let Ok(Reply::Heartbeat(reply)) = reply {
         if reply.revision > daemon.current.borrow().revision {
-            daemon.want_revision();
+            daemon.request_poll();
         }
         let brings_row = reply.row.is_some();
         let commands = daemon.node.borrow_mut().heartbeat_reply(clock::now(), &reply);
-        carry_out(&daemon, commands);
+        execute(&daemon, commands);
         if brings_row {
             tick(&daemon);
         }
@@ -132,7 +132,7 @@
     let slot = Slot { backend };
     let Some(address) = daemon.backend_address(&slot) else { return };
     let asking = async {
-        let mut connection = daemon.pool.take(address).await.ok()?;
+        let mut connection = daemon.pool.acquire(address).await.ok()?;
         let request = Request::get("/load").header(HOST, address.to_string());
         let request = request.body(body::empty()).ok()?;
         let response = connection.send_request(request).await.ok()?;
@@ -171,7 +171,7 @@
             return;
         }
     };
-    carry_out(&daemon, commands);
+    execute(&daemon, commands);
 }
 
 async fn write_row(daemon: Rc<Daemon>, row: Row, expect: u64) {
@@ -181,7 +181,7 @@
         log::info!(region:% = row.region, epoch = row.epoch; "a write of the allotment row: {outcome:?}");
     }
     let commands = daemon.node.borrow_mut().row_written(clock::now(), outcome);
-    carry_out(&daemon, commands);
+    execute(&daemon, commands);
 }
 
 /// Logs and counts an event.
@@ -194,7 +194,7 @@
         Event::LeaseHeld => log::info!("the lease is held"),
         Event::HostSilent(host) => {
             log::warn!(host:% = host; "an entry host fell silent");
-            daemon.peers.forget(&host.host);
+            daemon.peers.disconnect(&host.host);
         }
         Event::HostHeard(host) => log::info!(host:% = host; "an entry host is heard"),
         Event::RowProposed(region, epoch, moves) => {
--- a/elmstreamd/src/tickets.rs
+++ b/elmstreamd/src/tickets.rs
@@ -29,7 +29,7 @@
     }
 
     /// The ticket, if the text is whole and its signature is right.
-    pub fn check(&self, text: &str) -> Option<Ticket> {
+    pub fn verify(&self, text: &str) -> Option<Ticket> {
         let bytes = from_hex(text)?;
         let (signature, coded) = bytes.split_at_checked(SIGNATURE_BYTES)?;
         let mut mac = self.0.clone();
--- a/elmstreamd/src/waits.rs
+++ b/elmstreamd/src/waits.rs
@@ -22,16 +22,16 @@
 ///
 /// What is ready counts, also if the time is over.
 pub async fn within<F: Future>(until: Time, future: F) -> Option<F::Output> {
-    within_by(clock::now, until, future).await
+    within_by_clock(clock::now, until, future).await
 }
 
 /// The same within a span from now on.
-pub async fn within_next<F: Future>(span: Duration, future: F) -> Option<F::Output> {
+pub async fn within_duration<F: Future>(span: Duration, future: F) -> Option<F::Output> {
     within(clock::now() + span.as_micros() as u64, future).await
 }
 
 /// The same by a clock.
-pub async fn within_by<F: Future>(
+pub async fn within_by_clock<F: Future>(
     now: impl Fn() -> Time,
     until: Time,
     future: F,
--- a/elmstreamd/tests/waits.rs
+++ b/elmstreamd/tests/waits.rs
@@ -10,7 +10,7 @@
 use elmstream::time::{SECOND, Time};
 use elmstreamd::{
     clock,
-    waits::{SLICE, within_by},
+    waits::{SLICE, within_by_clock},
 };
 
 /// Time by which a wait of this process may be late beyond its slice.
@@ -41,7 +41,7 @@
     for seconds in [2, 5, 60] {
         let until = Time(2 * SECOND);
         let never = std::future::pending::<()>();
-        let (result, took) = run(within_by(suspended(seconds), until, never));
+        let (result, took) = run(within_by_clock(suspended(seconds), until, never));
         assert!(result.is_none());
         assert!(took < SUSPENDED_AT + SLICE + LATE, "{seconds} s away: it took {took:?}");
     }
@@ -53,7 +53,7 @@
         compio::time::sleep(SLICE * 2).await;
         7
     };
-    let (result, _) = run(within_by(suspended(2), Time(10 * SECOND), answer));
+    let (result, _) = run(within_by_clock(suspended(2), Time(10 * SECOND), answer));
     assert_eq!(result, Some(7));
 }
 
@@ -68,13 +68,13 @@
         seen.set(true);
         7
     };
-    let (result, _) = run(within_by(suspended(60), Time(SECOND), answer));
+    let (result, _) = run(within_by_clock(suspended(60), Time(SECOND), answer));
     assert_eq!((result, read.get()), (Some(7), true));
 }
 
 #[test]
 fn what_is_ready_counts_also_if_the_time_is_over() {
-    let (result, _) = run(within_by(|| Time(SECOND), Time(0), async { 7 }));
+    let (result, _) = run(within_by_clock(|| Time(SECOND), Time(0), async { 7 }));
     assert_eq!(result, Some(7));
 }
 
