--- a/elmstreamd/src/cli.rs
+++ b/elmstreamd/src/cli.rs
@@ -1,16 +1,16 @@
-//! The daemon's command line.
+//! Command-line options of the daemon.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 
-/// elmstream's daemon: steers requests to backend servers.
+/// Entry host daemon of elmstream: routes requests to backend servers
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 pub struct Options {
-    /// File with the settings, JSON
+    /// Settings file, JSON
     #[bpaf(argument("FILE"))]
     pub settings: PathBuf,
-    /// Check the settings and exit
+    /// Check the settings file and exit
     pub check: bool,
 }
--- a/elmstreamd/src/lib.rs
+++ b/elmstreamd/src/lib.rs
@@ -1,5 +1,6 @@
-//! The entry host's daemon, as a library, so that several can run in one
-//! process, each on a thread of its own.
+//! Entry host daemon that owns backend servers by leases.
+//!
+//! It is a library so that tests can run several daemons in one process, each on its own thread.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstreamd/src/logging.rs
+++ b/elmstreamd/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: JSON lines on standard error, by `simplelog` behind the `log` facade.
+//! Logger that writes JSON lines to standard error, installed behind the `log` facade.
 
 use std::io::{Write, stderr};
 
@@ -8,13 +8,14 @@
 
 use crate::clock;
 
-/// Writes one JSON object a line.
+/// Writes each record as a JSON object on a line.
 #[derive(Debug)]
 struct JsonLogger {
     level: LevelFilter,
 }
 
-/// Starts the logs; a second start in one process is left alone.
+/// Installs the logger with a level such as `info`, the default if the level is unknown. Later
+/// calls in the process have no effect.
 pub fn start(level: &str) {
     let level = level.parse().unwrap_or(LevelFilter::Info);
     let _ = CombinedLogger::init(vec![Box::new(JsonLogger { level })]);
@@ -57,15 +58,15 @@
     }
 }
 
-/// Takes a record's fields into the line.
+/// Adds the key-value pairs of a record to its line. Numbers and booleans keep their type.
 struct Fields<'a>(&'a mut Map<String, Value>);
 
 impl<'kvs> kv::VisitSource<'kvs> for Fields<'_> {
     fn visit_pair(&mut self, key: kv::Key<'kvs>, value: kv::Value<'kvs>) -> Result<(), kv::Error> {
         let number = value.to_u64().map(Value::from);
-        let truth = || value.to_bool().map(Value::from);
+        let boolean = || value.to_bool().map(Value::from);
         let text = || Value::from(value.to_string());
-        self.0.insert(key.to_string(), number.or_else(truth).unwrap_or_else(text));
+        self.0.insert(key.to_string(), number.or_else(boolean).unwrap_or_else(text));
         Ok(())
     }
 }
--- a/elmstreamd/src/main.rs
+++ b/elmstreamd/src/main.rs
@@ -1,11 +1,11 @@
-//! Runs the daemon of one entry host.
+//! Program that runs the daemon of one entry host.
 
 use std::process::ExitCode;
 
 use elmstream_config::Settings;
 use elmstreamd::{cli, lifecycle, logging};
 
-/// Exit status for settings that do not pass their checks.
+/// Exit status if the settings file cannot be read or is invalid.
 const EXIT_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
@@ -18,7 +18,7 @@
         }
     };
     if options.check {
-        println!("elmstreamd: the settings are good");
+        println!("elmstreamd: the settings are valid");
         return ExitCode::SUCCESS;
     }
     logging::start(&settings.logging.level);
