--- a/elmstreamd/src/clock.rs
+++ b/elmstreamd/src/clock.rs
@@ -1,4 +1,8 @@
-//! Clocks: one that counts suspension for leases, and the wall's for others.
+//! The clocks of the daemon.
+//!
+//! Leases and deadlines use `CLOCK_BOOTTIME`, which goes on while the host is suspended; a steady
+//! clock stands still and would extend a lease by the time of the suspension. The wall clock is
+//! only used for timestamps that other systems read.
 
 use std::{
     sync::OnceLock,
@@ -7,39 +11,39 @@
 
 use elmstream::time::Time;
 
-/// Microseconds since the machine's boot, suspension counted.
+/// Microseconds since the machine booted, including time in suspension.
 #[allow(unsafe_code)]
 fn boot_micros() -> u64 {
     let mut spec = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: `spec` is valid for writing during the call.
     let failed = unsafe { libc::clock_gettime(libc::CLOCK_BOOTTIME, &mut spec) };
-    assert_eq!(failed, 0, "CLOCK_BOOTTIME is there on every Linux since 2.6.39");
+    assert_eq!(failed, 0, "CLOCK_BOOTTIME exists on every Linux since 2.6.39");
     spec.tv_sec as u64 * 1_000_000 + spec.tv_nsec as u64 / 1_000
 }
 
-/// Now, on the clock that counts suspension.
+/// Current time on the clock that counts suspension, in microseconds since boot.
 pub fn now() -> Time {
     Time(boot_micros())
 }
 
-/// Milliseconds since the Unix epoch.
+/// Current wall clock time, in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Microseconds since the first call in this process.
+/// Microseconds since this function was first called in the process, including time in suspension.
 pub fn uptime_micros() -> u64 {
     static START: OnceLock<Time> = OnceLock::new();
     let start = *START.get_or_init(now);
     now().since(start)
 }
 
-/// Time by which the clocks may differ without a suspension, for reading one after the
-/// other on a busy host.
-const APART: u64 = 200_000;
+/// Difference between the two clocks up to which no suspension is assumed: they are read one after
+/// the other, and a busy host may pause between the two reads.
+const CLOCK_SKEW_MAX_US: u64 = 200_000;
 
-/// Finds out whether the host was suspended.
+/// Detects suspensions of the host by comparing the boot clock with the steady clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Suspension {
     boot: Time,
@@ -53,8 +57,8 @@
 }
 
 impl Suspension {
-    /// For how many microseconds the host was suspended since the last look; none if it
-    /// was not.
+    /// Microseconds for which the host was suspended since the previous call, or since this was
+    /// created. `None` if it was not suspended.
     pub fn look(&mut self) -> Option<u64> {
         let last = std::mem::take(self);
         let steady = self.steady.duration_since(last.steady).as_micros() as u64;
@@ -62,9 +66,10 @@
     }
 }
 
-/// By how many microseconds the clock that counts suspension went on more than the steady
-/// one; none if it may be by chance.
+/// Time in suspension, given how far the boot clock and the steady clock advanced, all in
+/// microseconds. `None` if the difference is small enough to come from reading the clocks one
+/// after the other.
 pub fn away(boot: u64, steady: u64) -> Option<u64> {
     let away = boot.saturating_sub(steady);
-    (away >= APART).then_some(away)
+    (away >= CLOCK_SKEW_MAX_US).then_some(away)
 }
--- a/elmstreamd/src/waits.rs
+++ b/elmstreamd/src/waits.rs
@@ -1,8 +1,8 @@
-//! Waits that go by the clock that counts suspension.
+//! Timeouts that count time in suspension.
 //!
-//! Timers of the runtime go by the steady clock, which stands still while a host is
-//! suspended. A wait that was running then would go on for all that was left of it, long
-//! after what it waited for was over.
+//! The runtime's timers use the steady clock, which stands still while the host is suspended. A
+//! wait that is interrupted by a suspension would go on for its whole remaining time, long after
+//! its deadline on the boot clock.
 
 use std::{pin::pin, time::Duration};
 
@@ -11,26 +11,27 @@
 
 use crate::clock;
 
-/// Longest time that a wait goes without a look at the clock, and so the longest by which
-/// it ends late after a suspension. Most requests are answered sooner, so it costs them
-/// no turn of the runtime.
+/// Longest time that a wait goes without reading the clock, and so the most by which it ends late
+/// after a suspension. Most requests are answered sooner and so cost no extra wake-up of the
+/// runtime.
 pub const SLICE: Duration = Duration::from_millis(200);
-/// Time in which a host that was suspended reads what has come meanwhile.
-const READS: Duration = Duration::from_millis(20);
+/// Extra time after a suspension in which the runtime can read what arrived during it.
+const WAKE_GRACE: Duration = Duration::from_millis(20);
 
-/// What a future comes to by a time; none if it takes longer.
+/// Waits for a future until a time on the clock of [`clock::now`]. `None` if it is not ready by
+/// then.
 ///
-/// What is ready counts, also if the time is over.
+/// The result of a future that is ready at once is returned even if the time has passed.
 pub async fn within<F: Future>(until: Time, future: F) -> Option<F::Output> {
     within_by_clock(clock::now, until, future).await
 }
 
-/// The same within a span from now on.
+/// Waits for a future for at most `span`, like [`within`]. `None` if it takes longer.
 pub async fn within_duration<F: Future>(span: Duration, future: F) -> Option<F::Output> {
     within(clock::now() + span.as_micros() as u64, future).await
 }
 
-/// The same by a clock.
+/// Waits for a future until a time on the clock `now`, like [`within`].
 pub async fn within_by_clock<F: Future>(
     now: impl Fn() -> Time,
     until: Time,
@@ -48,10 +49,10 @@
         if ended < until {
             continue;
         }
-        if ended.since(began) <= (slice + READS).as_micros() as u64 {
+        if ended.since(began) <= (slice + WAKE_GRACE).as_micros() as u64 {
             return None;
         }
-        let pause = pin!(compio::time::sleep(READS));
+        let pause = pin!(compio::time::sleep(WAKE_GRACE));
         return match select(future.as_mut(), pause).await {
             Either::Left((result, _)) => Some(result),
             Either::Right(_) => None,
@@ -59,9 +60,9 @@
     }
 }
 
-/// Waits until a time.
+/// Waits until a time on the clock of [`clock::now`].
 pub async fn until(time: Time) {
     let never = std::future::pending::<()>();
-    // It only ends by the time.
+    // The future never completes, so only the timeout ends the wait.
     let _ = within(time, never).await;
 }
