--- a/elmstreamd/src/answer.rs
+++ b/elmstreamd/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the system itself makes.
+//! Responses that the daemon itself generates, as opposed to those of backend servers.
 
 use elmstream::{
     code::{Code, Outcome},
@@ -10,12 +10,14 @@
 use http::{HeaderValue, Response, StatusCode, header::RETRY_AFTER};
 use serde::Serialize;
 
-/// An answer for a refusal, with the outcome that goes with its code.
+/// Builds the response to a refused request, with the default outcome of the refusal's code.
 pub fn refusal(refusal: Refusal) -> Response<LocalBody> {
     refusal_with_outcome(refusal, refusal.code.outcome())
 }
 
-/// An answer for a refusal, with a stated outcome.
+/// Builds the response to a refused request, with the given outcome in its outcome header.
+///
+/// The response carries `Retry-After` in whole seconds, at least 1, if waiting may help.
 pub fn refusal_with_outcome(refusal: Refusal, outcome: Outcome) -> Response<LocalBody> {
     let code = refusal.code;
     let text = format!("E{} {}\n", code.number(), code.text());
@@ -33,12 +35,12 @@
     response
 }
 
-/// An answer for a code that waiting does not mend.
+/// Builds the response for a code whose cause does not go away by waiting.
 pub fn for_code(code: Code) -> Response<LocalBody> {
     refusal(Refusal { code, retry_after: 0 })
 }
 
-/// An answer with a JSON body.
+/// Builds a response with status 200 and `value` as its JSON body.
 pub fn json<T: Serialize>(value: &T) -> Response<LocalBody> {
     let Ok(text) = serde_json::to_vec(value) else {
         return for_code(Code::BadRequest);
--- a/elmstreamd/src/audit.rs
+++ b/elmstreamd/src/audit.rs
@@ -1,6 +1,7 @@
-//! The audit trail: who, when, revision, difference, result.
+//! Audit trail of configuration changes: operator, time, revision, difference and result.
 //!
-//! One object per change, written in the background until the store takes it.
+//! Each change is one object in the object store. It is written in the background and retried
+//! until the store accepts it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,29 +10,29 @@
 
 use crate::{clock, configuration::Decision, daemon::Daemon, platform::PlatformError};
 
-/// Prefix of the trail's objects.
+/// Key prefix of the audit objects.
 const PREFIX: &str = "audit/";
-/// First pause before a write is tried again.
-const PAUSE_FIRST: Duration = Duration::from_millis(200);
-/// Longest pause.
-const PAUSE_MAX: Duration = Duration::from_secs(30);
+/// Pause before the first retry of a write; it doubles with each retry.
+const RETRY_PAUSE_MIN: Duration = Duration::from_millis(200);
+/// Longest pause between two retries of a write.
+const RETRY_PAUSE_MAX: Duration = Duration::from_secs(30);
 
-/// One change in the trail.
+/// A configuration change in the audit trail, stored as JSON.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Entry {
-    /// The revision that was made, or stood in the way.
+    /// Revision that the change created, or that it conflicted with.
     pub revision: u64,
-    /// Who asked for the change.
+    /// Operator who requested the change.
     pub operator: String,
-    /// When it was decided, in milliseconds since the Unix epoch.
+    /// When the change was decided, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
-    /// The number of the result's code.
+    /// Number of the result code; 0 for an accepted change.
     pub code: u16,
-    /// What it changed, or would have.
+    /// Edits to the configuration in force, also of a change that was refused.
     pub edits: Vec<Edit>,
 }
 
-/// Writes a change into the trail, in the background.
+/// Writes an entry for a decided change, in the background.
 pub fn record(daemon: &Rc<Daemon>, operator: &str, decision: &Decision, edits: &[Edit]) {
     let entry = Entry {
         revision: decision.revision,
@@ -40,21 +41,21 @@
         code: decision.code.number(),
         edits: edits.to_vec(),
     };
-    log::info!(operator, revision = entry.revision, code = entry.code; "a change was decided");
+    log::info!(operator, revision = entry.revision, code = entry.code; "configuration change decided");
     let key = format!("{PREFIX}{:020}-{:016x}", entry.unix_ms, rand::random::<u64>());
     let Ok(bytes) = serde_json::to_vec(&entry) else { return };
     let daemon = daemon.clone();
     compio::runtime::spawn(async move {
-        let mut pause = PAUSE_FIRST;
+        let mut pause = RETRY_PAUSE_MIN;
         while daemon.objects.put(&key, bytes.clone()).await.is_err() {
             compio::time::sleep(pause).await;
-            pause = (pause * 2).min(PAUSE_MAX);
+            pause = (pause * 2).min(RETRY_PAUSE_MAX);
         }
     })
     .detach();
 }
 
-/// Reads the newest entries, newest first.
+/// Reads at most `limit` entries, newest first. Entries that cannot be parsed are left out.
 pub async fn read(daemon: &Daemon, limit: usize) -> Result<Vec<Entry>, PlatformError> {
     let mut entries = Vec::new();
     let keys = daemon.objects.list(PREFIX).await?;
--- a/elmstreamd/src/history.rs
+++ b/elmstreamd/src/history.rs
@@ -1,71 +1,71 @@
-//! What became of recent requests, for `elmctl explain`.
+//! Traces of recent requests, for `elmctl explain`.
 
 use std::collections::VecDeque;
 
 use elmstream::{code::Code, id::Name};
 
-/// Requests that are remembered.
-const REMEMBERED: usize = 4_096;
+/// Most requests whose traces are kept.
+const TRACES_MAX: usize = 4_096;
 
-/// What happened at one owner.
+/// Result of sending a request to one owner.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
-    /// The owner.
+    /// Entry host that owns the backend server.
     pub owner: Name,
-    /// Whether the home region differs from the owner's.
+    /// Whether the owner is outside the caller's home region.
     pub shifted: bool,
-    /// How it ended.
+    /// Result code.
     pub code: Code,
 }
 
-/// The story of one request.
+/// How one request was routed.
 #[derive(Clone, Debug)]
 pub struct RequestTrace {
-    /// The request.
+    /// Id of the request, as in the `elmstream-request` header.
     pub id: u64,
-    /// The service.
+    /// Service that was requested.
     pub service: Name,
-    /// The caller's home region.
+    /// Home region of the caller.
     pub home: Name,
-    /// The revision that it was decided by.
+    /// Configuration revision that was in force.
     pub revision: u64,
-    /// The tries, in order.
+    /// Attempts in the order in which they were made.
     pub attempts: Vec<AttemptRecord>,
 }
 
-/// The last stories.
+/// Traces of the most recent requests, oldest first.
 #[derive(Debug, Default)]
 pub struct History {
-    stories: VecDeque<RequestTrace>,
+    traces: VecDeque<RequestTrace>,
 }
 
 impl History {
-    /// Keeps a story and forgets the oldest.
-    pub fn record(&mut self, story: RequestTrace) {
-        if self.stories.len() >= REMEMBERED {
-            self.stories.pop_front();
+    /// Adds a trace, and drops the oldest one if the history is full.
+    pub fn record(&mut self, trace: RequestTrace) {
+        if self.traces.len() >= TRACES_MAX {
+            self.traces.pop_front();
         }
-        self.stories.push_back(story);
+        self.traces.push_back(trace);
     }
 
-    /// The story of a request.
+    /// Returns the trace of a request, or `None` if it is too old or unknown.
     pub fn find(&self, id: u64) -> Option<&RequestTrace> {
-        self.stories.iter().rev().find(|s| s.id == id)
+        self.traces.iter().rev().find(|s| s.id == id)
     }
 }
 
 impl RequestTrace {
-    /// The story in lines of plain English.
+    /// Describes the request and its attempts in lines of text.
     pub fn describe(&self) -> Vec<String> {
         let first = format!(
             "request {:x} for service {} from home region {} at revision {}",
             self.id, self.service, self.home, self.revision
         );
-        let tried = self.attempts.iter().map(|t| {
-            let how = if t.shifted { "as a shift" } else { "in the home region" };
+        let attempts = self.attempts.iter().map(|t| {
+            let how = if t.shifted { "in another region" } else { "in the home region" };
             let number = t.code.number();
-            format!("owner {} was asked {how}: {number} {}", t.owner, t.code.text())
+            format!("sent to owner {} {how}: {number} {}", t.owner, t.code.text())
         });
-        std::iter::once(first).chain(tried).collect()
+        std::iter::once(first).chain(attempts).collect()
     }
 }
