--- a/elmstreamd/src/pool.rs
+++ b/elmstreamd/src/pool.rs
@@ -1,31 +1,31 @@
-//! Warm connections to backend servers.
+//! Pool of idle HTTP/1.1 connections to backend servers.
 
 use std::{cell::RefCell, collections::HashMap, io, net::SocketAddr, time::Duration};
 
 use elmstream_http::{LocalBody, client};
 use hyper::client::conn::http1::SendRequest;
 
-/// Time to open a connection.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Idle connections that are kept to one backend server.
-const IDLE_MAX: usize = 16;
+/// Time to open a connection before the attempt fails.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most idle connections that are kept to one backend server.
+const IDLE_PER_SERVER_MAX: usize = 16;
 
-/// A connection to a backend server.
+/// HTTP/1.1 connection to a backend server.
 pub type Connection = SendRequest<LocalBody>;
 
-/// Idle connections by address.
+/// Idle connections by the address of the backend server.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Pool {
-    /// An idle connection, or a new one.
+    /// Returns an idle connection that is still open, or opens a new one.
     pub async fn acquire(&self, address: SocketAddr) -> io::Result<Connection> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
             let Some(mut connection) = idle else {
-                return client::connect(address, CONNECT).await;
+                return client::connect(address, CONNECT_TIMEOUT).await;
             };
             if !connection.is_closed() && connection.ready().await.is_ok() {
                 return Ok(connection);
@@ -33,14 +33,16 @@
         }
     }
 
-    /// Gives a connection back once its answer has been read to the end.
+    /// Returns a connection to the pool. Its last response must have been read to the end.
+    ///
+    /// Connections that are closed or beyond the pool's size are dropped.
     pub fn release(&self, address: SocketAddr, connection: Connection) {
         if connection.is_closed() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
-        if connections.len() < IDLE_MAX {
+        if connections.len() < IDLE_PER_SERVER_MAX {
             connections.push(connection);
         }
     }
--- a/elmstreamd/src/rate_limit.rs
+++ b/elmstreamd/src/rate_limit.rs
@@ -1,5 +1,5 @@
-//! Bodies that cross a link between regions, at the pace that the link's limit
-//! allows.
+//! Bodies that are sent over a link between regions, throttled to the link's limit on bytes a
+//! second.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,53 +10,57 @@
 
 use crate::{clock, daemon::Daemon};
 
-/// Bytes that are asked for at a time.
-const PIECE: usize = 16 << 10;
-/// Pause before a link that has no room.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Most bytes that are requested from the link's limit at a time.
+const CHUNK_BYTES_MAX: usize = 16 << 10;
+/// Pause before asking again while the link's limit is used up.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// A body whose pieces pass as the link from `home` has room.
+/// Wraps a body so that its data passes only as fast as the link from region `home` allows.
 pub fn rate_limited(daemon: &Rc<Daemon>, home: &Name, inner: LocalBody) -> LocalBody {
-    let crossing =
-        RateLimitedBody { daemon: daemon.clone(), home: home.clone(), inner, left: Bytes::new() };
-    body::stream(futures_util::stream::unfold(Some(crossing), next_piece))
+    let body_state = RateLimitedBody {
+        daemon: daemon.clone(),
+        home: home.clone(),
+        inner,
+        buffered: Bytes::new(),
+    };
+    body::stream(futures_util::stream::unfold(Some(body_state), next_chunk))
 }
 
-/// A body on its way over a link.
+/// State of a body that is being sent over a link.
 struct RateLimitedBody {
     daemon: Rc<Daemon>,
     home: Name,
     inner: LocalBody,
-    /// What has come and has not passed yet.
-    left: Bytes,
+    /// Data that was received and is not sent yet.
+    buffered: Bytes,
 }
 
 impl RateLimitedBody {
-    /// Bytes of `wanted` that the link has room for now.
-    fn take(&self, wanted: u64) -> u64 {
+    /// Takes up to `wanted` bytes from the link's limit; returns how many may be sent now.
+    fn take_link_bytes(&self, wanted: u64) -> u64 {
         let mut node = self.daemon.node.borrow_mut();
         node.take_link_bytes(clock::now(), &self.home, wanted)
     }
 }
 
-/// The next piece that passes; an error of the inner body cuts this one too.
-async fn next_piece(
-    crossing: Option<RateLimitedBody>,
+/// Returns the next chunk once the limit admits it. An error of the inner body ends this one, too.
+async fn next_chunk(
+    body_state: Option<RateLimitedBody>,
 ) -> Option<(Result<Bytes, BoxError>, Option<RateLimitedBody>)> {
-    let mut crossing = crossing?;
-    while crossing.left.is_empty() {
-        match crossing.inner.frame().await? {
-            Ok(frame) => crossing.left = frame.into_data().unwrap_or_default(),
+    let mut body_state = body_state?;
+    while body_state.buffered.is_empty() {
+        match body_state.inner.frame().await? {
+            Ok(frame) => body_state.buffered = frame.into_data().unwrap_or_default(),
             Err(error) => return Some((Err(error), None)),
         }
     }
-    let wanted = crossing.left.len().min(PIECE) as u64;
+    let wanted = body_state.buffered.len().min(CHUNK_BYTES_MAX) as u64;
     loop {
-        let taken = crossing.take(wanted);
-        if taken > 0 {
-            let piece = crossing.left.split_to(taken as usize);
-            return Some((Ok(piece), Some(crossing)));
+        let granted = body_state.take_link_bytes(wanted);
+        if granted > 0 {
+            let chunk = body_state.buffered.split_to(granted as usize);
+            return Some((Ok(chunk), Some(body_state)));
         }
-        compio::time::sleep(PAUSE).await;
+        compio::time::sleep(RETRY_PAUSE).await;
     }
 }
--- a/elmstreamd/src/telemetry.rs
+++ b/elmstreamd/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics: the Prometheus page, and what the daemon uses for control.
+//! Metrics in the Prometheus text format, and the processor time and memory of the process.
 
 use std::{fs, sync::OnceLock};
 
@@ -6,38 +6,38 @@
 use http::Response;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-/// The recorder of this process, started once.
+/// The process's metrics recorder, installed at the first call. `None` if another one is installed.
 fn recorder() -> Option<&'static PrometheusHandle> {
     static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
     HANDLE.get_or_init(|| PrometheusBuilder::new().install_recorder().ok()).as_ref()
 }
 
-/// Starts the recorder.
+/// Installs the process's metrics recorder; later calls have no effect.
 pub fn start() {
     recorder();
 }
 
-/// The page at `/metrics`.
+/// Response for `/metrics`: all metrics in the Prometheus text format.
 pub fn page() -> Response<LocalBody> {
     let text = recorder().map(PrometheusHandle::render).unwrap_or_default();
     Response::new(body::full(text))
 }
 
-/// What the process has used.
+/// Resources that the process uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessUsage {
-    /// Processor time, in microseconds.
+    /// Processor time since the process started, user and system, in microseconds.
     pub processor_us: u64,
-    /// Resident memory, in bytes.
+    /// Resident memory now, in bytes.
     pub resident_bytes: u64,
 }
 
-/// Microseconds of a clock tick in `/proc`; Linux fixes it to 100 a second.
+/// Microseconds of a clock tick in `/proc`, which Linux fixes to 100 ticks a second.
 const TICK_US: u64 = 10_000;
-/// Bytes of a page in `/proc`.
-const PAGE: u64 = 4_096;
+/// Bytes of a memory page, the unit of the resident set in `/proc`.
+const PAGE_BYTES: u64 = 4_096;
 
-/// Reads the process's use from `/proc`.
+/// Reads the resources that the process uses from `/proc`; all zero if that fails.
 pub fn process_usage() -> ProcessUsage {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(") ").next().unwrap_or_default();
@@ -45,8 +45,8 @@
         let field = after_name.split(' ').nth(index);
         field.and_then(|text| text.parse().ok()).unwrap_or(0)
     };
-    // Fields 14 and 15 of the page are user and system time; 24 is the
-    // resident set in pages. The name and the two before it are cut off.
+    // Fields 14 and 15 of the line are user and system time, 24 is the resident set in pages.
+    // Indexes start at field 3, as the process id and the name are cut off.
     let (user, system, resident) = (field(11), field(12), field(21));
-    ProcessUsage { processor_us: (user + system) * TICK_US, resident_bytes: resident * PAGE }
+    ProcessUsage { processor_us: (user + system) * TICK_US, resident_bytes: resident * PAGE_BYTES }
 }
