--- a/elmstreamd/src/configuration.rs
+++ b/elmstreamd/src/configuration.rs
@@ -1,8 +1,8 @@
-//! The configuration: acceptance, spread, and the one in force.
+//! Configuration changes: acceptance, propagation to other hosts, and the revision in force.
 //!
-//! The head row `config/head` names the newest revision; its document lies in
-//! the object store and never changes. A change is accepted once the swap of
-//! the head row has been read back as ours.
+//! The head row `config/head` names the newest revision. The document of a revision is an object in
+//! the object store that never changes. A change is accepted by a compare-and-swap of the head row,
+//! and counts as accepted once a read of the row shows this host's change in it.
 
 use std::{collections::HashSet, rc::Rc, sync::Arc, time::Duration};
 
@@ -17,71 +17,72 @@
 
 use crate::{audit, clock, daemon::Daemon, platform::VersionedRow};
 
-/// The key of the head row.
-const HEAD: &str = "config/head";
-/// Hosts that a host passes a push on to.
+/// Key of the head row in the table service.
+const HEAD_KEY: &str = "config/head";
+/// Hosts to which each host of the push tree forwards a push.
 const PUSH_FANOUT: usize = 8;
-/// Time for a push at each level of the tree, and for a fetch.
+/// Timeout of a push for each level of the tree below the sender, and of a fetch.
 const PUSH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Rounds in which a revision is pushed to hosts that did not answer.
-const PUSH_TRIES: u32 = 5;
-/// Pause between two of them.
-const PUSH_PAUSE: Duration = Duration::from_millis(500);
-/// Former changes that the head row names.
-const RECENT: usize = 16;
-/// Tries to learn what became of a write.
-const RESOLVE_TRIES: u32 = 5;
-/// Pause between two of them.
+/// Rounds in which a revision is pushed, each to the hosts that have not confirmed it yet.
+const PUSH_ROUNDS: u32 = 5;
+/// Pause between two push rounds.
+const PUSH_ROUND_PAUSE: Duration = Duration::from_millis(500);
+/// Most changes that the head row lists, the newest included.
+const RECENT_CHANGES_MAX: usize = 16;
+/// Attempts to find out whether a write of the head row took effect.
+const RESOLVE_ATTEMPTS: u32 = 5;
+/// Pause between two of these attempts.
 const RESOLVE_PAUSE: Duration = Duration::from_millis(200);
 
 /// The configuration in force on this host.
 #[derive(Debug, Default)]
 pub struct Current {
-    /// Its revision; 0 is none.
+    /// Revision number; 0 if no configuration is in force yet.
     pub revision: u64,
-    /// The configuration.
+    /// The configuration; empty at revision 0.
     pub configuration: Rc<Configuration>,
 }
 
-/// One accepted change, as the head row remembers it.
+/// An accepted change, as the head row lists it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Change {
-    /// The revision that it made.
+    /// Revision that the change created.
     pub revision: u64,
-    /// Names the write.
+    /// Random number that identifies the write, so that a host recognises its own change.
     pub nonce: u64,
 }
 
-/// The head row.
+/// Value of the head row.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Head {
-    /// The newest revision.
+    /// The newest revision; 0 if there is none.
     pub revision: u64,
-    /// The object that holds its document.
+    /// Key of the object with the document of this revision.
     pub object: String,
-    /// The last changes, newest first.
+    /// The most recent changes, newest first.
     pub recent: Vec<Change>,
 }
 
-/// What became of a change.
+/// Result of a requested change.
 #[derive(Clone, Debug)]
 pub struct Decision {
-    /// Success, conflict or another code.
+    /// [`Code::Ok`] if the change was accepted, else why not.
     pub code: Code,
-    /// The revision accepted, or the one that the change lost to.
+    /// Revision that was accepted, or that the change conflicted with; 0 if not known.
     pub revision: u64,
-    /// More to be said.
+    /// Explanation for the operator.
     pub message: String,
 }
 
 impl Decision {
-    /// A decision with the code's own text.
+    /// Creates a decision with the text of `code` as its message.
     pub fn new(code: Code, revision: u64) -> Decision {
         Decision { code, revision, message: code.text().to_owned() }
     }
 }
 
-/// Tries to make `next` the revision after `expected`.
+/// Proposes `next` as the revision after `expected`, installs and pushes it if it is accepted, and
+/// records the decision in the audit trail.
 pub async fn apply(
     daemon: &Rc<Daemon>,
     operator: &str,
@@ -100,8 +101,9 @@
     decision
 }
 
+/// Stores the document and tries to make it the newest revision.
 async fn decide(daemon: &Rc<Daemon>, expected: u64, next: &Configuration) -> Decision {
-    let Ok(stored) = daemon.table.read(HEAD).await else {
+    let Ok(stored) = daemon.table.read(HEAD_KEY).await else {
         return Decision::new(Code::TableUnavailable, 0);
     };
     let Some((head, version)) = parse_head(stored) else {
@@ -116,32 +118,32 @@
         return Decision::new(Code::StoreUnavailable, expected);
     }
     let mut recent = vec![change.clone()];
-    recent.extend(head.recent.into_iter().take(RECENT - 1));
+    recent.extend(head.recent.into_iter().take(RECENT_CHANGES_MAX - 1));
     let head = Head { revision: change.revision, object, recent };
-    swap(daemon, &head, version, &change).await
+    swap_head(daemon, &head, version, &change).await
 }
 
-/// Swaps the head row and resolves what became of it by its nonce.
-async fn swap(daemon: &Rc<Daemon>, head: &Head, expect: u64, change: &Change) -> Decision {
+/// Swaps the head row, and resolves a write of unknown outcome by the nonce of its change.
+async fn swap_head(daemon: &Rc<Daemon>, head: &Head, expect: u64, change: &Change) -> Decision {
     let Ok(value) = serde_json::to_value(head) else {
         return Decision::new(Code::ChangeInvalid, 0);
     };
     let mut refused_only = true;
-    for _ in 0..RESOLVE_TRIES {
-        let outcome = daemon.table.write(HEAD, &value, expect).await;
+    for _ in 0..RESOLVE_ATTEMPTS {
+        let outcome = daemon.table.write(HEAD_KEY, &value, expect).await;
         refused_only &= outcome == WriteOutcome::Refused;
-        match daemon.table.read(HEAD).await.ok().and_then(parse_head) {
-            Some((now, _)) if now.recent.contains(change) => {
+        match daemon.table.read(HEAD_KEY).await.ok().and_then(parse_head) {
+            Some((stored, _)) if stored.recent.contains(change) => {
                 return Decision::new(Code::Ok, change.revision);
             }
-            // Another change stands on our place, so ours never will.
-            Some((now, version)) if version != expect => {
-                let lost = now.recent.iter().any(|c| c.revision == change.revision);
+            // The row has another version than the swap expects, so the swap can no longer succeed.
+            Some((stored, version)) if version != expect => {
+                let lost = stored.recent.iter().any(|c| c.revision == change.revision);
                 let code = if lost { Code::RevisionConflict } else { Code::ChangeUnknown };
-                return Decision::new(code, now.revision);
+                return Decision::new(code, stored.revision);
             }
-            // The write has not taken effect yet; the same one is tried again,
-            // since a late one may still arrive and must not be denied.
+            // The write has not taken effect yet. It is repeated rather than given up, as it may
+            // still arrive late, and the change must then not have been reported as refused.
             _ => compio::time::sleep(RESOLVE_PAUSE).await,
         }
     }
@@ -149,7 +151,7 @@
     Decision::new(code, expect)
 }
 
-/// The head row and its version; no row is revision 0.
+/// Parses the head row; returns it with its version. A missing row counts as revision 0, version 0.
 fn parse_head(stored: Option<VersionedRow>) -> Option<(Head, u64)> {
     match stored {
         None => Some((Head::default(), 0)),
@@ -157,34 +159,35 @@
     }
 }
 
-/// Takes a revision if it is higher than the one in force.
+/// Puts a revision in force on this host if it is higher than the one in force; returns whether it
+/// did.
 pub fn install(daemon: &Daemon, revision: u64, configuration: Configuration) -> bool {
     if revision <= daemon.current.borrow().revision {
         return false;
     }
     let catalog = Arc::new(compile::compile(&configuration, revision));
-    let taken = daemon.node.borrow_mut().set_catalog(clock::now(), catalog);
-    if taken {
+    let installed = daemon.node.borrow_mut().set_catalog(clock::now(), catalog);
+    if installed {
         let configuration = Rc::new(configuration);
         *daemon.current.borrow_mut() = Current { revision, configuration };
         daemon.check_domain();
         log::info!(revision; "a configuration is in force");
     }
-    taken
+    installed
 }
 
-/// What is known of how far a revision has spread from this host.
+/// How far the last revision that was accepted on this host has reached other hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Propagation {
-    /// The revision; 0 is none.
+    /// Revision number; 0 if none was accepted here.
     pub revision: u64,
-    /// Hosts that have said that it is in force there.
+    /// Hosts that have confirmed that the revision is in force there, this one included.
     pub confirmed: HashSet<Name>,
 }
 
 impl Propagation {
-    /// Notes hosts that took a revision; tells whether it is still the last.
-    fn took(&mut self, revision: u64, hosts: Vec<Name>) -> bool {
+    /// Adds hosts that confirmed a revision; returns whether it is still the last one.
+    fn add_confirmed(&mut self, revision: u64, hosts: Vec<Name>) -> bool {
         let is_last = self.revision == revision;
         if is_last {
             self.confirmed.extend(hosts);
@@ -193,76 +196,85 @@
     }
 }
 
-/// Spreads a revision over the hosts that may be live, along a tree, and again
-/// to those that did not answer.
+/// Pushes a revision along a tree to all hosts that may be live, and repeats it for those that did
+/// not confirm it.
 fn push(daemon: &Rc<Daemon>, revision: u64, edits: &[Edit]) {
     let edits: Rc<str> = serde_json::to_string(edits).unwrap_or_default().into();
     let daemon = daemon.clone();
     let here = daemon.settings.name.as_str().into();
     *daemon.propagation.borrow_mut() = Propagation { revision, confirmed: HashSet::from([here]) };
     compio::runtime::spawn(async move {
-        for _ in 0..PUSH_TRIES {
-            // The host list may name others by now.
+        for _ in 0..PUSH_ROUNDS {
+            // The set of live hosts may have changed since the last round.
             let mut hosts = daemon.live_peers();
             hosts.retain(|name| !daemon.propagation.borrow().confirmed.contains(name));
-            let missing = pass_on(&daemon, revision, &edits, &hosts).await;
+            let missing = push_to_hosts(&daemon, revision, &edits, &hosts).await;
             hosts.retain(|name| !missing.contains(name));
-            if !daemon.propagation.borrow_mut().took(revision, hosts) {
+            if !daemon.propagation.borrow_mut().add_confirmed(revision, hosts) {
                 return;
             }
-            compio::time::sleep(PUSH_PAUSE).await;
+            compio::time::sleep(PUSH_ROUND_PAUSE).await;
         }
     })
     .detach();
 }
 
-/// Sends a push to a few hosts, each with a part of the others to pass it to;
-/// gives those that did not say that they took it.
-async fn pass_on(daemon: &Rc<Daemon>, revision: u64, edits: &str, hosts: &[Name]) -> Vec<Name> {
-    let heads = hosts.len().min(PUSH_FANOUT);
-    let branches = hosts[..heads].iter().enumerate().map(|(index, head)| {
-        let below = hosts[heads..].iter().skip(index).step_by(PUSH_FANOUT);
+/// Sends a push to the first few hosts, each with a share of the others to forward it to. Returns
+/// the hosts that did not confirm it.
+async fn push_to_hosts(
+    daemon: &Rc<Daemon>,
+    revision: u64,
+    edits: &str,
+    hosts: &[Name],
+) -> Vec<Name> {
+    let branch_count = hosts.len().min(PUSH_FANOUT);
+    let branches = hosts[..branch_count].iter().enumerate().map(|(index, root)| {
+        let below = hosts[branch_count..].iter().skip(index).step_by(PUSH_FANOUT);
         let push = Push { revision, edits: edits.to_owned(), pass_on: below.cloned().collect() };
-        push_to(daemon, head, push)
+        push_to_branch(daemon, root, push)
     });
     join_all(branches).await.concat()
 }
 
-/// Sends one push; if the host does not answer, passes it on in its place.
-async fn push_to(daemon: &Rc<Daemon>, head: &Name, push: Push) -> Vec<Name> {
-    let Some(address) = daemon.peer_address(head) else { return vec![head.clone()] };
+/// Sends a push to the root of a branch. If the root does not answer, pushes to the hosts below it
+/// directly. Returns the hosts of the branch that did not confirm the push.
+async fn push_to_branch(daemon: &Rc<Daemon>, root: &Name, push: Push) -> Vec<Name> {
+    let Some(address) = daemon.peer_address(root) else { return vec![root.clone()] };
     let within = PUSH_TIMEOUT * levels(push.pass_on.len());
     let open = Open::Push(push);
-    let reply = daemon.peers.exchange(head, address, &open, within).await;
+    let reply = daemon.peers.exchange(root, address, &open, within).await;
     let Open::Push(Push { revision, edits, pass_on: below }) = open else { return Vec::new() };
     match reply {
         Ok(Reply::Pushed(pushed)) => {
             let mut missing = pushed.missing;
-            missing.extend((pushed.revision < revision).then(|| head.clone()));
+            missing.extend((pushed.revision < revision).then(|| root.clone()));
             missing
         }
         _ => {
-            log::warn!(host:% = head; "a push did not arrive");
-            let mut missing = Box::pin(pass_on(daemon, revision, &edits, &below)).await;
-            missing.push(head.clone());
+            log::warn!(host:% = root; "no answer to a configuration push");
+            let mut missing = Box::pin(push_to_hosts(daemon, revision, &edits, &below)).await;
+            missing.push(root.clone());
             missing
         }
     }
 }
 
-/// Levels of the tree from a host that passes a push on to so many.
+/// Levels of the push tree, given the number of hosts below its root.
 fn levels(below: usize) -> u32 {
     let mut levels = 1;
-    let mut left = below;
-    while left > 0 {
+    let mut remaining = below;
+    while remaining > 0 {
         levels += 1;
-        left = left.saturating_sub(PUSH_FANOUT) / PUSH_FANOUT;
+        remaining = remaining.saturating_sub(PUSH_FANOUT) / PUSH_FANOUT;
     }
     levels
 }
 
-/// Takes a push: its difference if it follows on the revision in force, else
-/// the whole from the table or a peer. Passes it on and waits for the answers.
+/// Handles a push from another host, forwards it, and waits for the replies to that.
+///
+/// If the pushed revision directly follows the one in force, its edits are applied. If it is a later
+/// one, or its edits cannot be applied, the whole configuration is read from the platform or
+/// another host instead.
 pub async fn handle_push(daemon: &Rc<Daemon>, push: Push) -> Pushed {
     let (revision, configuration) = {
         let current = daemon.current.borrow();
@@ -276,15 +288,15 @@
         None if push.revision > revision => daemon.request_poll(),
         None => {}
     }
-    let missing = pass_on(daemon, push.revision, &push.edits, &push.pass_on).await;
+    let missing = push_to_hosts(daemon, push.revision, &push.edits, &push.pass_on).await;
     Pushed { revision: daemon.current.borrow().revision, missing }
 }
 
-/// Reads the head row and takes what it names, if that is higher.
+/// Reads the head row and installs its revision if that is higher than the one in force.
 ///
-/// Tells whether the table was heard.
+/// Returns whether this host is known to be at the revision of the head row, or a higher one.
 pub async fn poll(daemon: &Daemon) -> bool {
-    let Some((head, _)) = daemon.table.read(HEAD).await.ok().and_then(parse_head) else {
+    let Some((head, _)) = daemon.table.read(HEAD_KEY).await.ok().and_then(parse_head) else {
         return false;
     };
     if head.revision <= daemon.current.borrow().revision {
@@ -295,13 +307,14 @@
     match Configuration::parse(&String::from_utf8_lossy(&bytes)) {
         Ok(configuration) => install(daemon, head.revision, configuration),
         Err(error) => {
-            log::error!(error:% = error, object = head.object; "a stored configuration is bad");
+            log::error!(error:% = error, object = head.object; "a stored configuration is invalid");
             false
         }
     }
 }
 
-/// Asks live hosts for the configuration in force there, and takes the highest.
+/// Fetches the configuration in force on each of the hosts in `from`, and installs the highest
+/// revision.
 pub async fn fetch(daemon: &Daemon, from: &[Name]) {
     for name in from {
         let Some(address) = daemon.peer_address(name) else { continue };
