--- a/elmstreamd/src/daemon.rs
+++ b/elmstreamd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The state of a running daemon.
+//! State of a running daemon, shared by its tasks.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,49 +29,49 @@
     tickets::TicketKey,
 };
 
-/// Pollers of the head row in each region.
-const POLLERS: usize = 2;
-/// Priorities that a service may have.
+/// Live hosts in each region that poll the head row of the configuration.
+const POLLERS_PER_REGION: usize = 2;
+/// Number of priorities that a service may have.
 const PRIORITIES: u32 = 10;
-/// Hosts that are asked for the configuration at a time.
-const PEERS_ASKED: usize = 3;
+/// Most hosts from which the configuration is fetched at a time.
+const FETCH_PEERS_MAX: usize = 3;
 
 /// All state of a running daemon. It lives on one thread.
 pub struct Daemon {
-    /// The settings.
+    /// Settings of this host.
     pub settings: Settings,
-    /// The decisions.
+    /// State machine that decides ownership, admission and routing.
     pub node: RefCell<Node>,
-    /// The platform's table service.
+    /// Client of the platform's table service.
     pub table: Box<dyn TableService>,
-    /// The platform's object store.
+    /// Client of the platform's object store.
     pub objects: Box<dyn ObjectStore>,
-    /// The platform's host list.
+    /// Client of the platform's host list.
     pub hosts: Box<dyn HostList>,
-    /// The other entry hosts.
+    /// Connections to the other entry hosts.
     pub peers: Peers,
-    /// Connections to backend servers.
+    /// Idle connections to backend servers.
     pub pool: Pool,
-    /// Requests that wait for a slot.
+    /// Wakers of requests that wait for a slot, by their number in the queue.
     pub wakers: RefCell<HashMap<u64, oneshot::Sender<()>>>,
-    /// Recent requests.
+    /// Traces of recent requests.
     pub history: RefCell<History>,
-    /// The configuration in force.
+    /// Configuration in force on this host.
     pub current: RefCell<Current>,
-    /// How far the last revision that was accepted here has spread.
+    /// Hosts that have confirmed the last revision that was accepted here.
     pub propagation: RefCell<Propagation>,
-    /// Signs tickets.
+    /// Key that signs and verifies tickets.
     pub ticket_key: TicketKey,
-    requests: Cell<u64>,
+    last_request_id: Cell<u64>,
     in_flight: Rc<Cell<u32>>,
-    /// Streams of other hosts that are served now.
-    streams: Rc<Cell<u32>>,
-    wants: Cell<bool>,
-    want: RefCell<Option<oneshot::Sender<()>>>,
+    /// Streams of other hosts that are being served.
+    peer_streams: Rc<Cell<u32>>,
+    poll_requested: Cell<bool>,
+    poll_waker: RefCell<Option<oneshot::Sender<()>>>,
     knows_domain: Cell<bool>,
 }
 
-/// Counts a request or a stream as in flight until it is dropped.
+/// Counts a request or a stream as in flight until this is dropped.
 pub struct InFlightGuard(Rc<Cell<u32>>);
 
 impl InFlightGuard {
@@ -88,7 +88,8 @@
 }
 
 impl Daemon {
-    /// A daemon without configuration.
+    /// Creates a daemon without configuration. `platform` has one client each for the table
+    /// service, the object store and the host list.
     pub fn new(
         settings: Settings,
         cluster_key: &str,
@@ -114,22 +115,22 @@
             current: RefCell::default(),
             propagation: RefCell::default(),
             ticket_key: TicketKey::new(cluster_key),
-            requests: Cell::new(rand::random()),
+            last_request_id: Cell::new(rand::random()),
             in_flight: Rc::default(),
-            streams: Rc::default(),
-            wants: Cell::new(false),
-            want: RefCell::new(None),
+            peer_streams: Rc::default(),
+            poll_requested: Cell::new(false),
+            poll_waker: RefCell::new(None),
             knows_domain: Cell::new(true),
             settings,
         }
     }
 
-    /// Whether the configuration in force, if any, knows this host's domain.
+    /// Whether the configuration in force has this host's failure domain; true if none is in force.
     pub fn knows_domain(&self) -> bool {
         self.knows_domain.get()
     }
 
-    /// Counts a request in, or refuses it by its host's limit.
+    /// Counts a request as in flight, or refuses it if the host is at its limit.
     pub fn count_request(&self) -> Result<InFlightGuard, Refusal> {
         if self.in_flight.get() >= self.settings.callers.in_flight_max {
             return Err(Refusal { code: Code::NoCapacity, retry_after: SECOND });
@@ -137,43 +138,43 @@
         Ok(InFlightGuard::new(&self.in_flight))
     }
 
-    /// Counts a stream of another host in.
+    /// Counts a stream of another host as being served.
     pub fn count_stream(&self) -> InFlightGuard {
-        InFlightGuard::new(&self.streams)
+        InFlightGuard::new(&self.peer_streams)
     }
 
-    /// Whether no request runs here and no answer is on its way to another host.
+    /// Whether no request is running here and no answer is being sent to another host.
     pub fn is_idle(&self) -> bool {
-        self.node.borrow().is_idle() && self.streams.get() == 0
+        self.node.borrow().is_idle() && self.peer_streams.get() == 0
     }
 
-    /// Whether a service of this priority still gets in: the last tenth of the
-    /// host's limit is for priority 0 only, the last two for 0 and 1, and so on.
+    /// Whether a request of this priority is admitted at the host's current load: the last tenth of
+    /// its limit is reserved for priority 0, the last two tenths for 0 and 1, and so on.
     pub fn admits_priority(&self, priority: u8) -> bool {
         let max = self.settings.callers.in_flight_max;
         let share = PRIORITIES.saturating_sub(u32::from(priority)).max(1);
         self.in_flight.get() <= max * share / PRIORITIES
     }
 
-    /// A name for the next request.
+    /// Id for the next request, counted up from a random number.
     pub fn next_request_id(&self) -> u64 {
-        self.requests.set(self.requests.get().wrapping_add(1));
-        self.requests.get()
+        self.last_request_id.set(self.last_request_id.get().wrapping_add(1));
+        self.last_request_id.get()
     }
 
-    /// Where a backend server takes requests.
+    /// Address at which a slot's backend server takes requests; `None` if it is not configured.
     pub fn backend_address(&self, slot: &Slot) -> Option<SocketAddr> {
         let node = self.node.borrow();
         let catalog = node.catalog();
         catalog.backend(&slot.backend).map(|id| catalog.backends[id.index()].address)
     }
 
-    /// Where an entry host takes other hosts' connections.
+    /// Address at which an entry host takes connections of other hosts; `None` if it is unknown.
     pub fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         self.node.borrow().members().get(name).map(|m| m.peers)
     }
 
-    /// Wakes requests that were given a slot.
+    /// Wakes the waiting requests with these queue numbers.
     pub fn wake(&self, numbers: &[u64]) {
         let mut wakers = self.wakers.borrow_mut();
         for number in numbers {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Hosts besides this one that may be live.
+    /// Other entry hosts that may be live.
     pub fn live_peers(&self) -> Vec<Name> {
         let now = clock::now();
         let node = self.node.borrow();
@@ -192,54 +193,55 @@
         live.map(|m| m.name.clone()).collect()
     }
 
-    /// The highest revision that any host has shown.
+    /// Highest configuration revision that any host has reported; 0 if none has.
     pub fn highest_revision(&self) -> u64 {
         self.node.borrow().members().iter().map(|m| m.revision).max().unwrap_or(0)
     }
 
-    /// Known hosts, those with the highest revision first, a few.
+    /// A few other hosts from which to fetch the configuration, highest reported revision first.
     pub fn newest_peers(&self) -> Vec<Name> {
         let node = self.node.borrow();
         let me = &node.me().host;
         let mut peers: Vec<_> = node.members().iter().filter(|m| m.name != *me).collect();
         peers.sort_by_key(|m| std::cmp::Reverse(m.revision));
-        peers.iter().take(PEERS_ASKED).map(|m| m.name.clone()).collect()
+        peers.iter().take(FETCH_PEERS_MAX).map(|m| m.name.clone()).collect()
     }
 
-    /// Whether this host polls the head row for its region.
+    /// Whether this host is one of its region's pollers of the head row. A host that does not know
+    /// its region yet polls, too.
     pub fn is_poller(&self) -> bool {
         let now = clock::now();
         let node = self.node.borrow();
         let catalog = node.catalog();
         let region = node.region();
-        let same = |domain: &str| catalog.region_of_domain(domain) == region;
-        let live = node.members().iter().filter(|m| m.is_live(now) && same(&m.domain));
-        region.is_none() || live.take(POLLERS).any(|m| m.name == node.me().host)
+        let is_same_region = |domain: &str| catalog.region_of_domain(domain) == region;
+        let live = node.members().iter().filter(|m| m.is_live(now) && is_same_region(&m.domain));
+        region.is_none() || live.take(POLLERS_PER_REGION).any(|m| m.name == node.me().host)
     }
 
-    /// Asks the follower of the configuration to look at once.
+    /// Requests a poll of the head row without delay.
     pub fn request_poll(&self) {
-        self.wants.set(true);
-        if let Some(want) = self.want.borrow_mut().take() {
-            let _ = want.send(());
+        self.poll_requested.set(true);
+        if let Some(poll_waker) = self.poll_waker.borrow_mut().take() {
+            let _ = poll_waker.send(());
         }
     }
 
-    /// Whether a look was asked for; asking is forgotten.
+    /// Returns whether a poll was requested, and clears the request.
     pub fn take_poll_request(&self) -> bool {
-        self.wants.replace(false)
+        self.poll_requested.replace(false)
     }
 
-    /// Waits until a look is asked for, at most so long.
-    pub async fn wait_for_poll_request(&self, at_most: Duration) {
-        let (sender, wanted) = oneshot::channel();
-        *self.want.borrow_mut() = Some(sender);
-        if !self.wants.get() {
-            let _ = compio::time::timeout(at_most, wanted).await;
+    /// Waits until a poll is requested, for at most `timeout`.
+    pub async fn wait_for_poll_request(&self, timeout: Duration) {
+        let (sender, requested) = oneshot::channel();
+        *self.poll_waker.borrow_mut() = Some(sender);
+        if !self.poll_requested.get() {
+            let _ = compio::time::timeout(timeout, requested).await;
         }
     }
 
-    /// Notes whether the configuration knows this host's failure domain.
+    /// Updates whether the configuration has this host's failure domain, and logs an error if not.
     pub fn check_domain(&self) {
         let known = self.node.borrow().region().is_some();
         self.knows_domain.set(known);
