--- a/elmstreamd/src/callers.rs
+++ b/elmstreamd/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side: look-ups and requests over HTTP.
+//! HTTP interface for callers: look-ups of entry hosts, and requests to services.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -25,19 +25,19 @@
 use crate::{
     answer, clock,
     daemon::Daemon,
-    forward::{self, Ended, Job},
+    forward::{self, Completion, Job},
 };
 
-/// Path of look-ups.
-const LOOKUP: &str = "/v1/lookup";
-/// Tickets that one look-up gives at most.
-const TICKETS_MAX: u32 = 1_000;
-/// Life of a ticket, in microseconds.
-const TICKET_LIFE: u64 = 600 * SECOND;
-/// Longest request id of a caller.
+/// URL path of look-ups.
+const LOOKUP_PATH: &str = "/v1/lookup";
+/// Most tickets that one look-up issues.
+const TICKETS_PER_LOOKUP_MAX: u32 = 1_000;
+/// Time for which a ticket is valid, in microseconds.
+const TICKET_LIFETIME: u64 = 600 * SECOND;
+/// Longest request id that a caller may send, in bytes.
 const REQUEST_ID_MAX: usize = 200;
 
-/// The answer to a look-up.
+/// Response to a look-up, as JSON.
 #[derive(Debug, Serialize)]
 struct LookupAnswer {
     service: String,
@@ -48,6 +48,7 @@
     tickets: Vec<String>,
 }
 
+/// Entry host in the response to a look-up.
 #[derive(Debug, Serialize)]
 struct LookupHost {
     name: String,
@@ -55,36 +56,38 @@
     weight: u32,
 }
 
-/// Answers one request of a caller.
+/// Answers a look-up or a request to a service.
 pub async fn handle(
     daemon: Rc<Daemon>,
     client: SocketAddr,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Cut> {
-    if request.uri().path() == LOOKUP {
+    if request.uri().path() == LOOKUP_PATH {
         return Ok(lookup(&daemon, client, &request).unwrap_or_else(answer::refusal));
     }
     Ok(serve(&daemon, client, request).await.unwrap_or_else(answer::refusal))
 }
 
-fn refuse(code: Code) -> Refusal {
+/// Refusal with `code` that asks the caller to retry after a second.
+fn refusal_of(code: Code) -> Refusal {
     Refusal { code, retry_after: SECOND }
 }
 
-/// Ranks entry hosts, and issues tickets of this host where they are asked for.
+/// Answers a look-up: ranks the entry hosts for the client, and issues tickets if requested.
 fn lookup(
     daemon: &Daemon,
     client: SocketAddr,
     request: &Request<Incoming>,
 ) -> Result<Response<LocalBody>, Refusal> {
-    let service = query(request, "service").ok_or(refuse(Code::BadRequest))?;
-    let wanted = query(request, "tickets").map_or(Some(0), |n| n.parse().ok());
-    let wanted: u32 = wanted.ok_or(refuse(Code::BadRequest))?;
+    let service = query_value(request, "service").ok_or(refusal_of(Code::BadRequest))?;
+    let wanted = query_value(request, "tickets").map_or(Some(0), |n| n.parse().ok());
+    let wanted: u32 = wanted.ok_or(refusal_of(Code::BadRequest))?;
     let now = clock::now();
     let mut node = daemon.node.borrow_mut();
     let choices = node.lookup(now, client.ip(), service)?;
     let name = service.into();
-    let tickets = node.issue_tickets(now, &name, wanted.min(TICKETS_MAX), TICKET_LIFE);
+    let tickets =
+        node.issue_tickets(now, &name, wanted.min(TICKETS_PER_LOOKUP_MAX), TICKET_LIFETIME);
     let host = |c: &elmstream::lookup::Choice| LookupHost {
         name: c.host.to_string(),
         callers: c.callers,
@@ -100,27 +103,27 @@
     }))
 }
 
-fn query<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
+fn query_value<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let pairs = request.uri().query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// Takes a request, by ticket or claim where its service wants them.
+/// Runs a request, with a ticket if it has one, or a claim if its service requires it.
 async fn serve(
     daemon: &Rc<Daemon>,
     client: SocketAddr,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Refusal> {
-    let _counted = daemon.count_request()?;
+    let _in_flight = daemon.count_request()?;
     let (parts, incoming) = request.into_parts();
-    let job = job(daemon, client, &parts, incoming)?;
+    let job = build_job(daemon, client, &parts, incoming)?;
     let priority = daemon.node.borrow().service(job.service).priority;
     if !daemon.admits_priority(priority) {
-        return Err(refuse(Code::LowPriority));
+        return Err(refusal_of(Code::LowPriority));
     }
-    let ticket = text(&parts.headers, header::TICKET);
+    let ticket = header_text(&parts.headers, header::TICKET);
     if let Some(ticket) = ticket {
-        let ticket = daemon.ticket_key.verify(ticket).ok_or(refuse(Code::TicketBad))?;
+        let ticket = daemon.ticket_key.verify(ticket).ok_or(refusal_of(Code::TicketBad))?;
         return Ok(run_with_ticket(daemon, job, ticket).await.response);
     }
     if job.repeatable {
@@ -129,28 +132,29 @@
     let once = daemon.node.borrow().service(job.service).once;
     match once {
         OncePolicy::TicketOptional => Ok(forward::run(daemon, job).await.response),
-        OncePolicy::TicketRequired => Err(refuse(Code::TicketNeeded)),
+        OncePolicy::TicketRequired => Err(refusal_of(Code::TicketNeeded)),
         OncePolicy::Claim => {
-            let id = text(&parts.headers, header::REQUEST_ID).filter(|id| is_key(id));
-            let id = id.ok_or(refuse(Code::BadRequest))?.to_owned();
-            with_claim(daemon, job, &id).await
+            let id = header_text(&parts.headers, header::REQUEST_ID)
+                .filter(|id| is_valid_request_id(id));
+            let id = id.ok_or(refusal_of(Code::BadRequest))?.to_owned();
+            run_with_claim(daemon, job, &id).await
         }
     }
 }
 
-/// Makes the job of a request: service, home region, deadline.
-fn job(
+/// Builds the job of a request: finds its service, home region and deadline.
+fn build_job(
     daemon: &Daemon,
     client: SocketAddr,
     parts: &http::request::Parts,
     incoming: Incoming,
 ) -> Result<Job, Refusal> {
     let node = daemon.node.borrow();
-    let host = text(&parts.headers, HOST.as_str()).or(parts.uri.host());
-    let id = node.service_of(text(&parts.headers, header::SERVICE), host)?;
+    let host = header_text(&parts.headers, HOST.as_str()).or(parts.uri.host());
+    let id = node.service_of(header_text(&parts.headers, header::SERVICE), host)?;
     let service = node.service(id);
-    let home = node.home_region(client.ip()).ok_or(refuse(Code::NotReady))?;
-    let deadline = service.deadline.min(timeout(&parts.headers)?);
+    let home = node.home_region(client.ip()).ok_or(refusal_of(Code::NotReady))?;
+    let deadline = service.deadline.min(caller_timeout(&parts.headers)?);
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str());
     let has_body = !incoming.is_end_stream();
     let head = RequestHead {
@@ -159,7 +163,7 @@
         home: node.catalog().regions[home.index()].name.clone(),
         method: parts.method.as_str().to_owned(),
         target: target.to_owned(),
-        headers: forward::pass_on(&parts.headers),
+        headers: forward::end_to_end_headers(&parts.headers),
         has_body,
         deadline,
         patience: 0,
@@ -173,24 +177,24 @@
     })
 }
 
-/// The time that the caller gives, in microseconds.
-fn timeout(headers: &HeaderMap) -> Result<u64, Refusal> {
+/// Timeout that the caller sets in its header, in microseconds; `u64::MAX` if it sets none.
+fn caller_timeout(headers: &HeaderMap) -> Result<u64, Refusal> {
     let Some(value) = headers.get(header::TIMEOUT) else { return Ok(u64::MAX) };
     let millis = value.to_str().ok().and_then(|text| text.parse::<u64>().ok());
-    millis.map(|ms| ms.saturating_mul(MILLI)).ok_or(refuse(Code::BadRequest))
+    millis.map(|ms| ms.saturating_mul(MILLI)).ok_or(refusal_of(Code::BadRequest))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Whether a caller's id can be part of a row's key.
-fn is_key(id: &str) -> bool {
+/// Whether a caller's request id may be used in the key of a claim row.
+fn is_valid_request_id(id: &str) -> bool {
     let fits = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     !id.is_empty() && id.len() <= REQUEST_ID_MAX && id.chars().all(fits)
 }
 
-/// Marks a ticket as ended when this is dropped, also by a cancelled try.
+/// Marks a ticket as used when this is dropped, which also covers a cancelled request.
 struct TicketGuard {
     daemon: Rc<Daemon>,
     id: TicketId,
@@ -203,96 +207,102 @@
     }
 }
 
-/// Runs a ticketed request here if this incarnation issued the ticket, else
-/// brings it to the issuer; a ticket of a past incarnation is never run.
-pub async fn run_with_ticket(daemon: &Rc<Daemon>, job: Job, ticket: Ticket) -> Ended {
-    let is_here = ticket.issuer == *daemon.node.borrow().me();
-    if !is_here {
-        return bring(daemon, job, ticket).await;
+/// Runs a request with a ticket at most once.
+///
+/// It runs here if this incarnation of the host issued the ticket, else it is forwarded to the
+/// issuer. Requests with tickets of past incarnations never run, as it is no longer known whether
+/// they ran before.
+pub async fn run_with_ticket(daemon: &Rc<Daemon>, job: Job, ticket: Ticket) -> Completion {
+    let is_issued_here = ticket.issuer == *daemon.node.borrow().me();
+    if !is_issued_here {
+        return forward_to_issuer(daemon, job, ticket).await;
     }
     let decision = {
         let mut node = daemon.node.borrow_mut();
         node.begin_ticket(clock::now(), &ticket, &job.head.service)
     };
     if let Decision::Answer(code) = decision {
-        return end_with(code);
+        return completed_with(code);
     }
     let mut guard = TicketGuard { daemon: daemon.clone(), id: ticket.id, not_run: false };
-    let ended = forward::run(daemon, job).await;
-    guard.not_run = ended.outcome == Outcome::NotRun;
-    ended
+    let completion = forward::run(daemon, job).await;
+    guard.not_run = completion.outcome == Outcome::NotRun;
+    completion
 }
 
-async fn bring(daemon: &Rc<Daemon>, job: Job, ticket: Ticket) -> Ended {
+/// Forwards a request to the host that issued its ticket, unless that host is gone or restarted.
+async fn forward_to_issuer(daemon: &Rc<Daemon>, job: Job, ticket: Ticket) -> Completion {
     let now = clock::now();
-    let is_there = {
+    let may_reach_issuer = {
         let node = daemon.node.borrow();
         let member = node.members().get(&ticket.issuer.host);
-        // Of a host that is no partner the incarnation may not be known; it
-        // will tell itself that the ticket is not its own.
+        // The incarnation is unknown for hosts that exchange no heartbeats with this one. Such a
+        // host checks itself whether it issued the ticket.
         member
             .is_some_and(|m| m.may_be_live(now) && (!m.is_known() || m.host_ref() == ticket.issuer))
     };
-    if !is_there {
-        return end_with(Code::TicketHostGone);
+    if !may_reach_issuer {
+        return completed_with(Code::TicketHostGone);
     }
     let issuer = ticket.issuer.host.clone();
     let open = Open::Ticketed(ticket, job.head.clone());
-    forward::bring(daemon, job, &issuer, &open).await
+    forward::forward_to_issuer(daemon, job, &issuer, &open).await
 }
 
-fn end_with(code: Code) -> Ended {
+fn completed_with(code: Code) -> Completion {
     let outcome = code.outcome();
-    Ended { response: answer::refusal(refuse(code)), outcome }
+    Completion { response: answer::refusal(refusal_of(code)), outcome }
 }
 
-/// Runs a request under a claim row, which outlives this host.
-async fn with_claim(
+/// Runs a request after claiming its id in the table service, so that the claim outlives this
+/// host. The claim is released if the request did not run.
+async fn run_with_claim(
     daemon: &Rc<Daemon>,
     job: Job,
     id: &str,
 ) -> Result<Response<LocalBody>, Refusal> {
     let key = format!("claims/{}/{id}", job.head.service);
-    let version = claim(daemon, &key, job.head.id).await?;
-    let ended = forward::run(daemon, job).await;
-    if ended.outcome == Outcome::NotRun {
+    let version = acquire_claim(daemon, &key, job.head.id).await?;
+    let completion = forward::run(daemon, job).await;
+    if completion.outcome == Outcome::NotRun {
         let free = json!({ "state": "free" });
         daemon.table.write(&key, &free, version).await;
     }
-    Ok(ended.response)
+    Ok(completion.response)
 }
 
-/// Claims a request; the version of the claim row, or why it is not ours.
-async fn claim(daemon: &Daemon, key: &str, request: u64) -> Result<u64, Refusal> {
+/// Claims a request id. Returns the version of the claim row, or why the id could not be claimed.
+async fn acquire_claim(daemon: &Daemon, key: &str, request: u64) -> Result<u64, Refusal> {
     let by = format!("{}/{request:x}", daemon.node.borrow().me());
     let value = json!({ "state": "claimed", "by": by });
     let mut expect = 0;
-    for _ in 0..CLAIM_TRIES {
+    for _ in 0..CLAIM_ATTEMPTS {
         match daemon.table.write(key, &value, expect).await {
             WriteOutcome::Written(version) => return Ok(version),
             WriteOutcome::Conflict | WriteOutcome::Unknown => {}
-            WriteOutcome::Refused => return Err(refuse(Code::ClaimUnknown)),
+            WriteOutcome::Refused => return Err(refusal_of(Code::ClaimUnknown)),
         }
-        let row = daemon.table.read(key).await.map_err(|_| refuse(Code::ClaimUnknown))?;
+        let row = daemon.table.read(key).await.map_err(|_| refusal_of(Code::ClaimUnknown))?;
         let Some(row) = row else { continue };
         if row.value == value {
             return Ok(row.version);
         }
         if row.value["state"] != "free" {
-            return Err(refuse(Code::ClaimTaken));
+            return Err(refusal_of(Code::ClaimTaken));
         }
         expect = row.version;
         compio::time::sleep(CLAIM_PAUSE).await;
     }
-    Err(refuse(Code::ClaimUnknown))
+    Err(refusal_of(Code::ClaimUnknown))
 }
 
-/// Tries at a claim row before the caller is told that it is unknown.
-const CLAIM_TRIES: u32 = 3;
-/// Pause between two tries.
+/// Attempts to write a claim row before the claim is reported as unknown.
+const CLAIM_ATTEMPTS: u32 = 3;
+/// Pause between two attempts.
 const CLAIM_PAUSE: Duration = Duration::from_millis(20);
 
-/// The job of a ticketed request that another entry host brings.
+/// Builds the job of a request with a ticket that another entry host forwarded. `None` if the
+/// service is unknown here.
 pub fn forwarded_job(daemon: &Daemon, head: RequestHead, body: LocalBody) -> Option<Job> {
     let node = daemon.node.borrow();
     let service: ServiceId = node.catalog().service(&head.service)?;
--- a/elmstreamd/src/forward.rs
+++ b/elmstreamd/src/forward.rs
@@ -1,4 +1,4 @@
-//! A request at the entry host that took it: owners are asked in turn.
+//! Routing of a request at the entry host that took it: owners are tried one after another.
 
 use std::{rc::Rc, time::Duration};
 
@@ -28,7 +28,7 @@
     peers::{self, BodySender},
 };
 
-/// Headers that belong to one connection and are not passed on.
+/// Hop-by-hop headers, which belong to one connection and are not forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -41,171 +41,179 @@
     "upgrade",
 ];
 
-/// Rounds that a request waits through while ownership moves.
-const MOVING_ROUNDS: u32 = 10;
-/// Pause between two of them.
-const MOVING_PAUSE: Duration = Duration::from_millis(50);
-/// Time that a request must have left to wait, in microseconds.
-const MOVING_DEADLINE_MIN: u64 = 200 * MILLI;
-
-/// Longest pause that a request makes before a cap, in microseconds.
-const CAP_PAUSE_MAX: u64 = 30 * MILLI;
-/// Bytes of a refused request that are read and dropped at most.
-const DISCARD_MAX: usize = 64 << 20;
-/// Time that this may take.
-const DISCARD_TIME: Duration = Duration::from_secs(5);
-
-/// A request on its way through this entry host.
+/// Most rounds that are repeated for a request while ownership moves to another host.
+const OWNERSHIP_WAIT_ROUNDS: u32 = 10;
+/// Pause between two such rounds.
+const OWNERSHIP_WAIT_PAUSE: Duration = Duration::from_millis(50);
+/// Remaining time that a request must have for another round, in microseconds.
+const OWNERSHIP_WAIT_TIME_MIN: u64 = 200 * MILLI;
+
+/// Longest time that a request waits for a shift cap or a link limit, in microseconds.
+const CAP_WAIT_MAX: u64 = 30 * MILLI;
+/// Most bytes of a refused request's body that are read and dropped.
+const DISCARD_BYTES_MAX: usize = 64 << 20;
+/// Time after which reading the body of a refused request is given up.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// A request that this entry host is routing.
 pub struct Job {
-    /// The request without its body.
+    /// Method, target, headers and routing data of the request.
     pub head: RequestHead,
-    /// The service.
+    /// Service that the request is for.
     pub service: ServiceId,
-    /// Whether it may run more than once.
+    /// Whether the request may safely run more than once.
     pub repeatable: bool,
-    /// When it must be answered.
+    /// Time by which the request must be answered.
     pub deadline: Time,
-    /// Its body, until it is handed on.
+    /// Body; `None` if the request has none or it was already sent to an owner.
     pub body: Option<LocalBody>,
 }
 
 impl Job {
-    /// Whether its body was handed on, so that nobody else can get it.
-    fn is_spent(&self) -> bool {
+    /// Whether the body was already sent to an owner, so that no other owner can get it.
+    fn is_body_consumed(&self) -> bool {
         self.head.has_body && self.body.is_none()
     }
 }
 
-/// How a request ended.
-pub struct Ended {
-    /// The answer to the caller.
+/// Final result of a request.
+pub struct Completion {
+    /// Response to the caller.
     pub response: Response<LocalBody>,
-    /// What the caller may conclude.
+    /// Whether the request ran, as the response states it.
     pub outcome: Outcome,
 }
 
-/// How one round over the owners ended.
-enum Round {
-    Ended(Ended),
-    /// Nothing was run, and ownership is passing to another host.
-    Moving,
+/// Result of one round over the owners of a route.
+enum RoundResult {
+    Completed(Completion),
+    /// Nothing has run, and ownership of the servers is moving to another host.
+    OwnershipMoving,
 }
 
-/// How one owner's try ended.
-enum Tried {
+/// Result of sending a request to one owner.
+enum AttemptResult {
+    /// The named backend server answered.
     Answered(Response<LocalBody>, Name),
+    /// The request did not run.
     NotRun(Refusal),
+    /// The request may have run.
     Failed(Code),
 }
 
-/// Asks owners in turn until one answers or none is left.
-pub async fn run(daemon: &Rc<Daemon>, mut job: Job) -> Ended {
-    let mut story = RequestTrace {
+/// Runs a request: tries owners one after another until one answers or none is left, and records a
+/// trace.
+pub async fn run(daemon: &Rc<Daemon>, mut job: Job) -> Completion {
+    let mut trace = RequestTrace {
         id: job.head.id,
         service: job.head.service.clone(),
         home: job.head.home.clone(),
         revision: daemon.node.borrow().catalog().revision,
         attempts: Vec::new(),
     };
-    let ended = try_owners(daemon, &mut job, &mut story).await;
+    let completion = try_owners(daemon, &mut job, &mut trace).await;
     if let Some(body) = job.body.take() {
-        // A caller that is still sending must be able to read its answer.
+        // A caller that is still sending its body would not read the response otherwise.
         compio::runtime::spawn(discard(body)).detach();
     }
-    daemon.history.borrow_mut().record(story);
-    ended
+    daemon.history.borrow_mut().record(trace);
+    completion
 }
 
-async fn try_owners(daemon: &Rc<Daemon>, job: &mut Job, story: &mut RequestTrace) -> Ended {
-    for _ in 0..MOVING_ROUNDS {
-        match try_round(daemon, job, story).await {
-            Round::Ended(ended) => return ended,
-            Round::Moving => compio::time::sleep(MOVING_PAUSE).await,
+async fn try_owners(daemon: &Rc<Daemon>, job: &mut Job, trace: &mut RequestTrace) -> Completion {
+    for _ in 0..OWNERSHIP_WAIT_ROUNDS {
+        match try_round(daemon, job, trace).await {
+            RoundResult::Completed(completion) => return completion,
+            RoundResult::OwnershipMoving => compio::time::sleep(OWNERSHIP_WAIT_PAUSE).await,
         }
     }
-    match try_round(daemon, job, story).await {
-        Round::Ended(ended) => ended,
-        Round::Moving => refused(Refusal { code: Code::NoOwner, retry_after: SECOND }),
+    match try_round(daemon, job, trace).await {
+        RoundResult::Completed(completion) => completion,
+        RoundResult::OwnershipMoving => {
+            refused(Refusal { code: Code::NoOwner, retry_after: SECOND })
+        }
     }
 }
 
-/// Asks each owner of one route.
-async fn try_round(daemon: &Rc<Daemon>, job: &mut Job, story: &mut RequestTrace) -> Round {
+/// Tries each owner of one route.
+async fn try_round(daemon: &Rc<Daemon>, job: &mut Job, trace: &mut RequestTrace) -> RoundResult {
     let attempts = match route(daemon, job) {
         Ok(attempts) => attempts,
         Err(refusal) => return conclude(job, refusal, None),
     };
     let mut last = Refusal { code: Code::NoOwner, retry_after: SECOND };
-    // Once a try may have run, no later refusal makes it "not run".
+    // Once an attempt may have run, a later refusal must not be reported as "not run".
     let mut may_have_run = None;
     for attempt in attempts {
-        let left = job.deadline.since(clock::now());
-        if left == 0 {
+        let remaining = job.deadline.since(clock::now());
+        if remaining == 0 {
             last = Refusal { code: Code::DeadlineTooShort, retry_after: 0 };
             break;
         }
-        job.head.deadline = left;
+        job.head.deadline = remaining;
         job.head.patience = attempt.patience;
-        let mut tried = try_one(daemon, job, &attempt).await;
-        if let Some(pause) = short_wait(daemon, job, &tried) {
+        let mut result = try_owner(daemon, job, &attempt).await;
+        if let Some(pause) = cap_wait(daemon, job, &result) {
             compio::time::sleep(pause).await;
-            tried = try_one(daemon, job, &attempt).await;
+            result = try_owner(daemon, job, &attempt).await;
         }
-        story.attempts.push(AttemptRecord {
+        trace.attempts.push(AttemptRecord {
             owner: attempt.owner.host.clone(),
             shifted: attempt.is_shifted(),
-            code: tried.code(),
+            code: result.code(),
         });
-        match tried {
-            Tried::Answered(response, backend) => {
-                return Round::Ended(answered(daemon, job, response, &backend));
+        match result {
+            AttemptResult::Answered(response, backend) => {
+                return RoundResult::Completed(answered(daemon, job, response, &backend));
             }
-            Tried::NotRun(refusal) => {
+            AttemptResult::NotRun(refusal) => {
                 let mut node = daemon.node.borrow_mut();
                 node.refused(clock::now(), &attempt, &job.head.service, &refusal);
                 last = refusal;
             }
-            Tried::Failed(code) => {
+            AttemptResult::Failed(code) => {
                 may_have_run = Some(code);
-                if !may_repeat(daemon, job) {
+                if !take_retry(daemon, job) {
                     break;
                 }
             }
         }
-        if job.is_spent() {
+        if job.is_body_consumed() {
             break;
         }
     }
     conclude(job, last, may_have_run)
 }
 
-/// The pause after which an owner that is at a cap will let the request pass,
-/// if that is soon and the retry budget has it.
-fn short_wait(daemon: &Daemon, job: &Job, tried: &Tried) -> Option<Duration> {
-    let Tried::NotRun(refusal) = tried else { return None };
+/// Wait after which an owner whose shift cap or link limit is used up will admit the request.
+/// `None` if the refusal has another reason, the wait is too long, or the retry budget is used up.
+fn cap_wait(daemon: &Daemon, job: &Job, result: &AttemptResult) -> Option<Duration> {
+    let AttemptResult::NotRun(refusal) = result else { return None };
     let is_cap = matches!(refusal.code, Code::ShiftCapped | Code::LinkLimited);
-    let is_soon = refusal.retry_after <= CAP_PAUSE_MAX;
+    let is_soon = refusal.retry_after <= CAP_WAIT_MAX;
     let may = is_cap && is_soon && daemon.node.borrow_mut().may_retry(job.service);
     may.then(|| Duration::from_micros(refusal.retry_after))
 }
 
-/// The end of a round in which no owner answered.
-fn conclude(job: &Job, last: Refusal, may_have_run: Option<Code>) -> Round {
+/// Result of a round in which no owner answered. `last` is the last refusal, `may_have_run` the
+/// code of an attempt that may have run.
+fn conclude(job: &Job, last: Refusal, may_have_run: Option<Code>) -> RoundResult {
     if let Some(code) = may_have_run {
-        return Round::Ended(failed(code));
+        return RoundResult::Completed(failed(code));
     }
-    let has_time = job.deadline.since(clock::now()) > MOVING_DEADLINE_MIN;
-    match is_moving(last.code) && has_time && !job.is_spent() {
-        true => Round::Moving,
-        false => Round::Ended(refused(last)),
+    let has_time = job.deadline.since(clock::now()) > OWNERSHIP_WAIT_TIME_MIN;
+    match is_ownership_moving(last.code) && has_time && !job.is_body_consumed() {
+        true => RoundResult::OwnershipMoving,
+        false => RoundResult::Completed(refused(last)),
     }
 }
 
-/// Whether a refusal means that ownership is passing to another host.
-fn is_moving(code: Code) -> bool {
+/// Whether a refusal means that ownership may be moving to another host.
+fn is_ownership_moving(code: Code) -> bool {
     matches!(code, Code::NoOwner | Code::LeaseLapsed | Code::PeerUnreachable | Code::Stopping)
 }
 
+/// Owners to try, in order, or why there is none.
 fn route(daemon: &Daemon, job: &Job) -> Result<Vec<Attempt>, Refusal> {
     let now = clock::now();
     let mut node = daemon.node.borrow_mut();
@@ -214,71 +222,78 @@
     node.route(now, job.service, home, job.deadline.since(now))
 }
 
-/// Whether a request that may have run may be tried again.
-fn may_repeat(daemon: &Daemon, job: &Job) -> bool {
-    job.repeatable && !job.is_spent() && daemon.node.borrow_mut().may_retry(job.service)
+/// Whether a request that may have run may be retried; withdraws the retry from the budget.
+fn take_retry(daemon: &Daemon, job: &Job) -> bool {
+    job.repeatable && !job.is_body_consumed() && daemon.node.borrow_mut().may_retry(job.service)
 }
 
-async fn try_one(daemon: &Rc<Daemon>, job: &mut Job, attempt: &Attempt) -> Tried {
+async fn try_owner(daemon: &Rc<Daemon>, job: &mut Job, attempt: &Attempt) -> AttemptResult {
     let is_here = attempt.owner == *daemon.node.borrow().me();
     let owner = &attempt.owner.host;
     daemon.node.borrow_mut().sent(owner, &job.head.service);
-    let tried = match is_here {
-        true => try_here(daemon, job).await,
-        false => try_there(daemon, job, owner).await,
+    let result = match is_here {
+        true => run_locally(daemon, job).await,
+        false => run_remotely(daemon, job, owner).await,
     };
     daemon.node.borrow_mut().answered(owner, &job.head.service);
-    tried
+    result
 }
 
-/// This host is the owner.
-async fn try_here(daemon: &Rc<Daemon>, job: &mut Job) -> Tried {
+/// Runs a request on a backend server that this host owns.
+async fn run_locally(daemon: &Rc<Daemon>, job: &mut Job) -> AttemptResult {
     let guard = match owner::admit(daemon, &job.head).await {
         Ok(guard) => guard,
-        Err(refusal) => return Tried::NotRun(refusal),
+        Err(refusal) => return AttemptResult::NotRun(refusal),
     };
     let body = job.body.take().unwrap_or_else(body::empty);
     match owner::dispatch(guard, &job.head, body).await {
-        DispatchResult::Answered(response, slot) => Tried::Answered(response, slot.backend),
-        DispatchResult::NotRun(refusal) => Tried::NotRun(refusal),
-        DispatchResult::Failed(code) => Tried::Failed(code),
+        DispatchResult::Answered(response, slot) => AttemptResult::Answered(response, slot.backend),
+        DispatchResult::NotRun(refusal) => AttemptResult::NotRun(refusal),
+        DispatchResult::Failed(code) => AttemptResult::Failed(code),
     }
 }
 
-/// Another host is the owner.
-async fn try_there(daemon: &Rc<Daemon>, job: &mut Job, owner: &Name) -> Tried {
+/// Sends a request to the host that owns the backend server.
+async fn run_remotely(daemon: &Rc<Daemon>, job: &mut Job, owner: &Name) -> AttemptResult {
     let open = Open::Request(job.head.clone());
     exchange(daemon, job, owner, &open).await
 }
 
-/// Brings a ticketed request to the host that issued its ticket.
-pub async fn bring(daemon: &Rc<Daemon>, mut job: Job, issuer: &Name, open: &Open) -> Ended {
+/// Forwards a request with a ticket to the host that issued the ticket.
+pub async fn forward_to_issuer(
+    daemon: &Rc<Daemon>,
+    mut job: Job,
+    issuer: &Name,
+    open: &Open,
+) -> Completion {
     match exchange(daemon, &mut job, issuer, open).await {
-        Tried::Answered(response, backend) => answered(daemon, &job, response, &backend),
-        // The issuer may have run it before contact was lost.
-        Tried::NotRun(refusal) if refusal.code == Code::PeerUnreachable => {
+        AttemptResult::Answered(response, backend) => answered(daemon, &job, response, &backend),
+        // The issuer may have run the request earlier, before it became unreachable.
+        AttemptResult::NotRun(refusal) if refusal.code == Code::PeerUnreachable => {
             failed(Code::TicketHostGone)
         }
-        Tried::NotRun(refusal) => refused(refusal),
-        Tried::Failed(code) => failed(code),
+        AttemptResult::NotRun(refusal) => refused(refusal),
+        AttemptResult::Failed(code) => failed(code),
     }
 }
 
-async fn exchange(daemon: &Rc<Daemon>, job: &mut Job, host: &Name, open: &Open) -> Tried {
+/// Sends a request to another entry host and waits for its reply, until the deadline.
+async fn exchange(daemon: &Rc<Daemon>, job: &mut Job, host: &Name, open: &Open) -> AttemptResult {
     let streams = match daemon.peer_address(host) {
         Some(address) => daemon.peers.open(host, address).await,
         None => Err(Code::PeerUnreachable),
     };
     let Ok((send, recv)) = streams else {
         daemon.node.borrow_mut().unreachable(clock::now(), host);
-        return Tried::NotRun(Refusal { code: Code::PeerUnreachable, retry_after: SECOND });
+        return AttemptResult::NotRun(Refusal { code: Code::PeerUnreachable, retry_after: SECOND });
     };
-    let within = Duration::from_micros(job.deadline.since(clock::now()));
-    let exchanging = exchange_on(daemon, job, host, send, recv, open);
-    let timed = compio::time::timeout(within, exchanging).await;
-    timed.unwrap_or(Tried::Failed(Code::DeadlinePassed))
+    let timeout = Duration::from_micros(job.deadline.since(clock::now()));
+    let exchange = exchange_on(daemon, job, host, send, recv, open);
+    let timed = compio::time::timeout(timeout, exchange).await;
+    timed.unwrap_or(AttemptResult::Failed(Code::DeadlinePassed))
 }
 
+/// Sends a request over an open stream and waits for the reply.
 async fn exchange_on(
     daemon: &Rc<Daemon>,
     job: &mut Job,
@@ -286,10 +301,10 @@
     send: SendStream,
     mut recv: RecvStream,
     open: &Open,
-) -> Tried {
+) -> AttemptResult {
     let mut send = BodySender::new(send);
     if daemon.peers.write(send.stream(), open).await.is_err() {
-        return Tried::Failed(Code::PeerLost);
+        return AttemptResult::Failed(Code::PeerLost);
     }
     let mut send = Some(send);
     loop {
@@ -298,48 +313,52 @@
                 let body = job.body.take().unwrap_or_else(body::empty);
                 if let Some(send) = send.take() {
                     compio::runtime::spawn(async move {
-                        // The owner sees the cut; the answer tells the caller.
+                        // If sending fails, the owner sees a reset stream, and the caller gets
+                        // the owner's response.
                         let _ = send.send(body).await;
                     })
                     .detach();
                 }
             }
             Ok(Reply::Answer(head)) => {
-                take_load(daemon, host, &head.load);
+                record_load(daemon, host, &head.load);
                 let backend = head.backend.clone();
                 return match response(head, peers::receive_body(recv)) {
-                    Some(response) => Tried::Answered(response, backend),
-                    None => Tried::Failed(Code::PeerMessage),
+                    Some(response) => AttemptResult::Answered(response, backend),
+                    None => AttemptResult::Failed(Code::PeerMessage),
                 };
             }
             Ok(Reply::Refused(refused)) => {
-                take_load(daemon, host, &refused.load);
+                record_load(daemon, host, &refused.load);
                 return refusal(&refused);
             }
-            Ok(_) => return Tried::Failed(Code::PeerMessage),
-            Err(_) => return Tried::Failed(Code::PeerLost),
+            Ok(_) => return AttemptResult::Failed(Code::PeerMessage),
+            Err(_) => return AttemptResult::Failed(Code::PeerLost),
         }
     }
 }
 
-/// Notes what an owner says of its load with an answer.
-fn take_load(daemon: &Daemon, host: &Name, load: &Option<ServiceLoad>) {
+/// Records the load that a host reports with its reply.
+fn record_load(daemon: &Daemon, host: &Name, load: &Option<ServiceLoad>) {
     if let Some(load) = load {
         daemon.node.borrow_mut().take_load(host, load.clone());
     }
 }
 
-/// An owner's refusal: not run, or a failure whose outcome is unknown.
-fn refusal(refused: &Refused) -> Tried {
+/// Converts a host's refusal: the request did not run, or its outcome is unknown.
+fn refusal(refused: &Refused) -> AttemptResult {
     let Some(code) = Code::from_number(refused.code) else {
-        return Tried::Failed(Code::PeerMessage);
+        return AttemptResult::Failed(Code::PeerMessage);
     };
     match code.outcome() {
-        Outcome::NotRun => Tried::NotRun(Refusal { code, retry_after: refused.retry_after }),
-        _ => Tried::Failed(code),
+        Outcome::NotRun => {
+            AttemptResult::NotRun(Refusal { code, retry_after: refused.retry_after })
+        }
+        _ => AttemptResult::Failed(code),
     }
 }
 
+/// Builds the response from a host's reply; `None` if the reply is malformed.
 fn response(head: AnswerHead, body: LocalBody) -> Option<Response<LocalBody>> {
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(head.status).ok()?;
@@ -351,71 +370,74 @@
     Some(response)
 }
 
+/// Completes a request that a backend server answered.
 fn answered(
     daemon: &Daemon,
     job: &Job,
     mut response: Response<LocalBody>,
     backend: &Name,
-) -> Ended {
+) -> Completion {
     let headers = response.headers_mut();
     for name in HOP_BY_HOP {
         headers.remove(name);
     }
-    // An answer that an issuer passes on keeps the outcome that it stated.
+    // A response that the issuer of a ticket forwards already has an outcome.
     if !headers.contains_key(header::OUTCOME) {
         headers.insert(header::OUTCOME, HeaderValue::from_static(Outcome::Ran.as_str()));
     }
-    let by = format!("{}/{backend}", daemon.settings.name);
-    if let Ok(by) = HeaderValue::try_from(by) {
-        headers.insert(header::SERVED_BY, by);
+    let served_by = format!("{}/{backend}", daemon.settings.name);
+    if let Ok(served_by) = HeaderValue::try_from(served_by) {
+        headers.insert(header::SERVED_BY, served_by);
     }
     if let Ok(id) = HeaderValue::try_from(format!("{:x}", job.head.id)) {
         headers.insert(header::REQUEST, id);
     }
     metrics::counter!("elmstream_requests_total", "outcome" => "ran").increment(1);
-    Ended { response, outcome: Outcome::Ran }
+    Completion { response, outcome: Outcome::Ran }
 }
 
-fn refused(refusal: Refusal) -> Ended {
+/// Completes a request with a refusal, and counts it by outcome.
+fn refused(refusal: Refusal) -> Completion {
     let outcome = refusal.code.outcome();
     metrics::counter!("elmstream_requests_total", "outcome" => outcome.as_str()).increment(1);
-    Ended { response: answer::refusal_with_outcome(refusal, outcome), outcome }
+    Completion { response: answer::refusal_with_outcome(refusal, outcome), outcome }
 }
 
-fn failed(code: Code) -> Ended {
+/// Completes a request with a code, without an owner's refusal.
+fn failed(code: Code) -> Completion {
     refused(Refusal { code, retry_after: SECOND })
 }
 
-impl Tried {
+impl AttemptResult {
     fn code(&self) -> Code {
         match self {
-            Tried::Answered(..) => Code::Ok,
-            Tried::NotRun(refusal) => refusal.code,
-            Tried::Failed(code) => *code,
+            AttemptResult::Answered(..) => Code::Ok,
+            AttemptResult::NotRun(refusal) => refusal.code,
+            AttemptResult::Failed(code) => *code,
         }
     }
 }
 
-/// Reads what a refused caller still sends, within bounds.
+/// Reads and drops the rest of a refused request's body, within limits on bytes and time.
 async fn discard(mut body: LocalBody) {
-    let reading = async {
-        let mut left = DISCARD_MAX;
+    let reading_body = async {
+        let mut remaining = DISCARD_BYTES_MAX;
         while let Some(Ok(frame)) = body.frame().await {
-            left = left.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
-            if left == 0 {
+            remaining = remaining.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
+            if remaining == 0 {
                 return;
             }
         }
     };
-    let _ = compio::time::timeout(DISCARD_TIME, reading).await;
+    let _ = compio::time::timeout(DISCARD_TIMEOUT, reading_body).await;
 }
 
-/// Headers to be passed on.
-pub fn pass_on(headers: &HeaderMap) -> Vec<Header> {
-    let kept = headers.iter().filter(|(name, _)| !HOP_BY_HOP.contains(&name.as_str()));
+/// Headers that are forwarded: all but hop-by-hop headers.
+pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<Header> {
+    let end_to_end = headers.iter().filter(|(name, _)| !HOP_BY_HOP.contains(&name.as_str()));
     let field = |(name, value): (&HeaderName, &HeaderValue)| Header {
         name: name.as_str().to_owned(),
         value: value.as_bytes().to_vec(),
     };
-    kept.map(field).collect()
+    end_to_end.map(field).collect()
 }
--- a/elmstreamd/src/peer_server.rs
+++ b/elmstreamd/src/peer_server.rs
@@ -212,7 +212,7 @@
     let (parts, body) = response.into_parts();
     let head = AnswerHead {
         status: parts.status.as_u16(),
-        headers: forward::pass_on(&parts.headers),
+        headers: forward::end_to_end_headers(&parts.headers),
         backend,
         load: load(daemon, service),
     };
