--- a/elmstreamd/src/lifecycle.rs
+++ b/elmstreamd/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The daemon's start and its planned stop.
+//! Startup of the daemon, and its planned stop.
 
 use std::{fs, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -24,74 +24,74 @@
     telemetry, ticker,
 };
 
-/// Time that a stopping host waits at most for its work to end.
-const STOP_MAX: Duration = Duration::from_secs(3_600);
-/// Pause between two looks at whether the host may exit.
-const STOP_PAUSE: Duration = Duration::from_millis(50);
-/// Time that a stopping host waits for others to take over what it owns.
-const HAND_OVER_MAX: Duration = Duration::from_secs(10);
-/// Time in which the other hosts hear that this one stops.
-const LEAVE_MARGIN: Duration = Duration::from_millis(600);
-/// Time in which the last heartbeats of a stopping host arrive.
-const STOP_LINGER: Duration = Duration::from_millis(300);
-
-/// Why the daemon cannot start.
+/// Longest time that a stopping host waits for its requests to finish.
+const STOP_TIMEOUT: Duration = Duration::from_secs(3_600);
+/// Interval at which a stopping host checks whether it may exit.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time that a stopping host waits for others to take over its backend servers.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time in which the other hosts learn from heartbeats that this one is stopping.
+const STOP_GOSSIP_TIME: Duration = Duration::from_millis(600);
+/// Time that a stopping host leaves its last heartbeats to arrive.
+const LAST_HEARTBEATS_TIME: Duration = Duration::from_millis(300);
+
+/// Reason why the daemon cannot start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The cluster's key cannot be read.
+    /// The file of the cluster key, the certificate or its private key cannot be read.
     #[snafu(display("E3004 cluster.key: {source}"))]
     KeyFile {
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The cluster's key or a certificate cannot be used.
+    /// The cluster key or the certificate for callers is invalid.
     #[snafu(display("E3004 cluster.key or callers.certificate: {source}"))]
     Key {
-        /// The cause.
+        /// Underlying error.
         source: identity::Error,
     },
-    /// An address cannot be listened on.
+    /// A listening address cannot be bound.
     #[snafu(display("E3003 listen.{key}: {source}"))]
     Listen {
-        /// Which address.
+        /// Key of the address in the `listen` settings.
         key: &'static str,
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The platform's client cannot be made.
+    /// The HTTP client for the platform's services cannot be created.
     #[snafu(display("E3003 platform: {source}"))]
     Client {
-        /// The cause.
+        /// Underlying error.
         source: PlatformError,
     },
-    /// The runtime cannot be started.
+    /// The asynchronous runtime cannot be started.
     #[snafu(display("the runtime cannot be started: {source}"))]
     Runtime {
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The signal that asks for a stop cannot be waited for.
-    #[snafu(display("signals cannot be waited for: {source}"))]
+    /// The handler of SIGTERM cannot be installed.
+    #[snafu(display("the signal handler cannot be installed: {source}"))]
     Signal {
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The configuration does not know the failure domain.
-    #[snafu(display("E3005 failure_domain: the configuration knows no failure domain {name:?}"))]
+    /// The configuration in force has no failure domain with the name in the settings.
+    #[snafu(display("E3005 failure_domain: the configuration has no failure domain {name:?}"))]
     Domain {
-        /// The failure domain.
+        /// Name of the failure domain.
         name: String,
     },
 }
 
-/// Runs a daemon until SIGTERM, on this thread.
+/// Runs a daemon on this thread until SIGTERM, and returns after the planned stop.
 pub fn run(settings: Settings) -> Result<(), StartError> {
     let mut terminations = Signals::new(SIGTERM).context(SignalSnafu)?;
     let runtime = compio::runtime::Runtime::new().context(RuntimeSnafu)?;
     runtime.block_on(async {
         let (stopper, stop) = Stopper::new();
         compio::runtime::spawn(async move {
-            // A wait that fails ends the daemon too, as nothing else could stop it.
+            // If waiting fails, the daemon stops as well, as no signal could stop it later.
             let _ = terminations.recv().await;
             stopper.stop();
         })
@@ -100,47 +100,51 @@
     })
 }
 
-/// Runs a daemon until the stop, then drains it.
+/// Runs a daemon until `stop` resolves, then drains it.
+///
+/// Fails if the settings cannot be used, an address cannot be bound, or the configuration does not
+/// have this host's failure domain.
 pub async fn run_until(settings: Settings, stop: Stop) -> Result<(), StartError> {
     telemetry::start();
     clock::uptime_micros();
     let key = fs::read_to_string(&settings.cluster.key).context(KeyFileSnafu)?;
     let identity = Identity::new(&key).context(KeySnafu)?;
     let caller_tls = caller_tls(&settings)?;
-    let callers_at = listen("callers", settings.listen.callers).await?;
-    let operators_at = listen("operators", settings.listen.operators).await?;
-    let metrics_at = match settings.listen.metrics {
+    let callers_listener = listen("callers", settings.listen.callers).await?;
+    let operators_listener = listen("operators", settings.listen.operators).await?;
+    let metrics_listener = match settings.listen.metrics {
         Some(address) => Some(listen("metrics", address).await?),
         None => None,
     };
-    let daemon = build(settings, &identity, &key).await?;
-    // The first look tells whether the failure domain is a known one.
+    let daemon = build_daemon(settings, &identity, &key).await?;
+    // The check of the failure domain needs the configuration.
     configuration::poll(&daemon).await;
     if !daemon.knows_domain() {
         return DomainSnafu { name: daemon.settings.failure_domain.clone() }.fail();
     }
-    let (ended, end) = Stopper::new();
-    spawn(ticker::run(daemon.clone(), end.clone()));
-    spawn(ticker::watch_hosts(daemon.clone(), end.clone()));
-    spawn(ticker::follow_configuration(daemon.clone(), end.clone()));
+    let (tasks_stopper, tasks_stop) = Stopper::new();
+    spawn(ticker::run(daemon.clone(), tasks_stop.clone()));
+    spawn(ticker::watch_hosts(daemon.clone(), tasks_stop.clone()));
+    spawn(ticker::follow_configuration(daemon.clone(), tasks_stop.clone()));
     spawn(peer_server::run(daemon.clone()));
-    spawn(serve_operators(daemon.clone(), operators_at, &identity, end.clone())?);
-    if let Some(listener) = metrics_at {
-        spawn(serve_metrics(listener, end.clone()));
+    spawn(serve_operators(daemon.clone(), operators_listener, &identity, tasks_stop.clone())?);
+    if let Some(listener) = metrics_listener {
+        spawn(serve_metrics(listener, tasks_stop.clone()));
     }
     let (callers_stopper, callers_stop) = Stopper::new();
-    let serving = serve_callers(daemon.clone(), callers_at, caller_tls, callers_stop);
+    let serving = serve_callers(daemon.clone(), callers_listener, caller_tls, callers_stop);
     let serving = compio::runtime::spawn(serving);
     log::info!(host = daemon.settings.name; "the daemon serves");
     stop.await;
     drain(&daemon, callers_stopper, serving).await;
-    ended.stop();
+    tasks_stopper.stop();
     daemon.peers.close().await;
     log::info!("the daemon has stopped");
     Ok(())
 }
 
-/// A planned stop: leave the look-ups, hand over, finish what is in flight.
+/// Planned stop: leave the look-ups, stop taking requests, hand over ownership, and finish the
+/// requests in flight.
 async fn drain(
     daemon: &Rc<Daemon>,
     callers: Stopper,
@@ -149,38 +153,39 @@
     log::info!("a planned stop begins");
     daemon.node.borrow_mut().stop();
     daemon.node.borrow_mut().beat_soon();
-    // Clients may use an answer of a look-up until its time to live is over,
-    // and other hosts may give one until they hear of the stop.
+    // Callers may use the response to a look-up for its time to live, and other hosts name this
+    // host in look-ups until they learn of the stop.
     let ttl = Duration::from_millis(daemon.settings.callers.lookup_ttl_ms);
-    compio::time::sleep(ttl + LEAVE_MARGIN).await;
+    compio::time::sleep(ttl + STOP_GOSSIP_TIME).await;
     callers.stop();
     let finishing = async {
         let _ = serving.await;
-        if compio::time::timeout(HAND_OVER_MAX, handed_over(daemon)).await.is_err() {
-            // The table is out, so nobody can take over yet.
-            log::warn!("ownership was not handed over in {HAND_OVER_MAX:?}");
+        if compio::time::timeout(HANDOVER_TIMEOUT, until_handed_over(daemon)).await.is_err() {
+            // Other hosts cannot take over while the table service is unavailable.
+            log::warn!("ownership was not handed over within {HANDOVER_TIMEOUT:?}");
             daemon.node.borrow_mut().abandon();
         }
         while !daemon.is_idle() {
-            compio::time::sleep(STOP_PAUSE).await;
+            compio::time::sleep(IDLE_CHECK_INTERVAL).await;
         }
     };
-    if compio::time::timeout(STOP_MAX, finishing).await.is_err() {
-        log::warn!("the stop did not finish in {STOP_MAX:?}");
+    if compio::time::timeout(STOP_TIMEOUT, finishing).await.is_err() {
+        log::warn!("requests in flight did not finish within {STOP_TIMEOUT:?}");
     }
-    // The others learn that nothing is owned here before the host is gone.
+    // Other hosts learn that this one owns nothing any more before it exits.
     daemon.node.borrow_mut().beat_soon();
-    compio::time::sleep(STOP_LINGER).await;
+    compio::time::sleep(LAST_HEARTBEATS_TIME).await;
 }
 
-/// Waits until this host owns nothing.
-async fn handed_over(daemon: &Daemon) {
+/// Waits until this host owns no backend server.
+async fn until_handed_over(daemon: &Daemon) {
     while daemon.node.borrow().is_owner(clock::now()) {
-        compio::time::sleep(STOP_PAUSE).await;
+        compio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
 }
 
-async fn build(
+/// Builds the daemon: binds the endpoint for other hosts and creates the platform's clients.
+async fn build_daemon(
     settings: Settings,
     identity: &Identity,
     key: &str,
@@ -200,7 +205,7 @@
     TcpListener::bind(address).await.context(ListenSnafu { key })
 }
 
-/// TLS towards callers, if the settings name a certificate.
+/// TLS acceptor for callers; `None` if the settings have no certificate.
 fn caller_tls(settings: &Settings) -> Result<Option<TlsAcceptor>, StartError> {
     let (Some(chain), Some(key)) = (&settings.callers.certificate, &settings.callers.key) else {
         return Ok(None);
@@ -228,7 +233,7 @@
     let _ = server::serve(listener, None, stop, |_, _| async { Ok(telemetry::page()) }).await;
 }
 
-/// Serves operators over TLS.
+/// Serves the operators' RPCs over HTTP/2 and TLS.
 fn serve_operators(
     daemon: Rc<Daemon>,
     listener: TcpListener,
@@ -241,9 +246,9 @@
     let service = TowerToHyperService::new(OperatorsServer::new(OperatorService::new(daemon)));
     Ok(async move {
         let _ = server::serve(listener, Some(tls), stop, move |_, request| {
-            let answering = service.call(request);
+            let call = service.call(request);
             async move {
-                let response = answering.await?;
+                let response = call.await?;
                 Ok(response.map(elmstream_http::body::boxed))
             }
         })
