--- a/elmstreamd/src/owner.rs
+++ b/elmstreamd/src/owner.rs
@@ -1,4 +1,5 @@
-//! A request at its owner: a slot, the dispatch, the backend server's answer.
+//! A request at the host that owns the backend server: admission to a slot, dispatch, and the
+//! backend server's answer.
 
 use std::{
     rc::Rc,
@@ -22,60 +23,61 @@
 
 use crate::{clock, daemon::Daemon, pool::Connection};
 
-/// How a request ended at its owner.
+/// Result of a request at the owner.
 pub enum DispatchResult {
-    /// The backend server answered; the body may still be on its way.
+    /// The backend server of the slot answered; the body may still be arriving.
     Answered(Response<LocalBody>, Slot),
-    /// No byte reached a backend server, or it said that it ran nothing.
+    /// The request did not run: no byte was sent to a backend server, or the server stated so.
     NotRun(Refusal),
-    /// It may have run.
+    /// The request may have run.
     Failed(Code),
 }
 
-/// Time for which a slot is held after a request was cut, so that the backend
-/// server has seen the cut before the slot's next request comes.
-const CUT_LINGER: Duration = Duration::from_millis(100);
+/// Time for which a slot stays occupied after its request was aborted, so that the backend server
+/// notices the closed connection before it gets the slot's next request.
+const ABORTED_SLOT_HOLD: Duration = Duration::from_millis(100);
 
-/// A slot that is given back when this is dropped.
+/// An occupied slot, which is released when this is dropped.
 pub struct SlotGuard {
     daemon: Rc<Daemon>,
     slot: Slot,
-    began: Time,
-    /// When the request must have ended; the wait for the slot counts.
+    began_at: Time,
+    /// Time by which the request must have ended; it includes the wait for the slot.
     deadline: Time,
-    /// How the run ended; told to the core with the slot.
+    /// Result of the run, reported to the node when the slot is released.
     result: RunResult,
-    /// Whether the backend server may be running the request.
+    /// Whether the backend server may still be running the request.
     running: bool,
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let took = clock::now().since(self.began);
+        let took = clock::now().since(self.began_at);
         let (daemon, slot, result) = (self.daemon.clone(), self.slot.clone(), self.result);
         if !self.running {
-            return give_back(&daemon, &slot, result, took);
+            return release_slot(&daemon, &slot, result, took);
         }
         compio::runtime::spawn(async move {
-            compio::time::sleep(CUT_LINGER).await;
-            give_back(&daemon, &slot, result, took);
+            compio::time::sleep(ABORTED_SLOT_HOLD).await;
+            release_slot(&daemon, &slot, result, took);
         })
         .detach();
     }
 }
 
-fn give_back(daemon: &Daemon, slot: &Slot, result: RunResult, took: u64) {
+/// Releases a slot and wakes the requests that get one. `took` is the run's time in microseconds.
+fn release_slot(daemon: &Daemon, slot: &Slot, result: RunResult, took: u64) {
     let woken = daemon.node.borrow_mut().finish(clock::now(), slot, result, took);
     daemon.wake(&woken);
 }
 
-/// A place in the queue that is given up when this is dropped.
-struct Waiting {
+/// A waiting request's entry in the queue, which is removed when this is dropped.
+struct QueueGuard {
     daemon: Rc<Daemon>,
     number: u64,
 }
 
-impl Drop for Waiting {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         self.daemon.wakers.borrow_mut().remove(&self.number);
         let woken = self.daemon.node.borrow_mut().give_up(clock::now(), self.number);
@@ -83,38 +85,43 @@
     }
 }
 
-/// Gets a slot for a request, or waits for one within its patience.
+/// Gets a slot for a request. If none is free, waits for one for at most `head.patience`.
 pub async fn admit(daemon: &Rc<Daemon>, head: &RequestHead) -> Result<SlotGuard, Refusal> {
     let deadline = clock::now() + head.deadline;
-    let ask = OwnerAsk {
+    let admission_request = OwnerAsk {
         service: &head.service,
         home: &head.home,
         deadline: head.deadline,
         patience: head.patience,
     };
-    let answer = daemon.node.borrow_mut().ask(clock::now(), &ask);
+    let answer = daemon.node.borrow_mut().ask(clock::now(), &admission_request);
     let slot = match answer {
         OwnerAnswer::Run(slot) => slot,
-        OwnerAnswer::Wait(number) => wait(daemon, number, head).await?,
+        OwnerAnswer::Wait(number) => wait_for_slot(daemon, number, head).await?,
         OwnerAnswer::Refuse(refusal) => return Err(refusal),
     };
-    let began = clock::now();
+    let began_at = clock::now();
     let (daemon, result) = (daemon.clone(), RunResult::Cancelled);
-    Ok(SlotGuard { daemon, slot, began, deadline, result, running: false })
+    Ok(SlotGuard { daemon, slot, began_at, deadline, result, running: false })
 }
 
-async fn wait(daemon: &Rc<Daemon>, number: u64, head: &RequestHead) -> Result<Slot, Refusal> {
+/// Waits until the request with this queue number gets a slot.
+async fn wait_for_slot(
+    daemon: &Rc<Daemon>,
+    number: u64,
+    head: &RequestHead,
+) -> Result<Slot, Refusal> {
     let (waker, woken) = oneshot::channel();
     daemon.wakers.borrow_mut().insert(number, waker);
-    let waiting = Waiting { daemon: daemon.clone(), number };
-    let patience = Duration::from_micros(head.patience.min(head.deadline));
-    let _ = compio::time::timeout(patience, woken).await;
+    let queue_guard = QueueGuard { daemon: daemon.clone(), number };
+    let timeout = Duration::from_micros(head.patience.min(head.deadline));
+    let _ = compio::time::timeout(timeout, woken).await;
     let granted = daemon.node.borrow_mut().granted(number);
-    drop(waiting);
+    drop(queue_guard);
     granted.ok_or(Refusal { code: Code::NoCapacity, retry_after: head.patience })
 }
 
-/// Sends the request to the backend server of the slot.
+/// Sends a request to the backend server of its slot and waits for the head of the answer.
 pub async fn dispatch(mut guard: SlotGuard, head: &RequestHead, body: LocalBody) -> DispatchResult {
     let daemon = guard.daemon.clone();
     let Some(address) = daemon.backend_address(&guard.slot) else {
@@ -124,29 +131,29 @@
         guard.result = RunResult::Bad;
         return not_run(Code::BackendConnect);
     };
-    // The wall's time is read first: a pause after it makes the deadline that
-    // the backend server gets earlier, never later.
-    let wall = clock::unix_ms();
+    // The wall clock is read before the span is computed, so that a pause in between makes the
+    // deadline that the backend server gets earlier, never later.
+    let unix_ms_now = clock::unix_ms();
     let span = match daemon.node.borrow().dispatch(clock::now(), &guard.slot, guard.deadline) {
         Ok(span) => span,
         Err(refusal) => return DispatchResult::NotRun(refusal),
     };
-    let until = Instant::now() + Duration::from_micros(span.end);
-    let Some(request) = request(head, body, wall, span) else {
+    let ends_at = Instant::now() + Duration::from_micros(span.end);
+    let Some(request) = request(head, body, unix_ms_now, span) else {
         return not_run(Code::BadRequest);
     };
-    let sending = connection.try_send_request(request);
+    let exchange = connection.try_send_request(request);
     guard.running = true;
-    match compio::time::timeout_at(until, sending).await {
+    match compio::time::timeout_at(ends_at, exchange).await {
         Ok(Ok(response)) if response.headers().contains_key(header::SHED) => {
             guard.result = RunResult::Bad;
             guard.running = false;
             not_run(Code::BackendShed)
         }
-        Ok(Ok(response)) => answered(guard, connection, response, until),
+        Ok(Ok(response)) => answered(guard, connection, response, ends_at),
         Ok(Err(error)) => {
             guard.result = RunResult::Bad;
-            // The request comes back if not a byte of it was written.
+            // The client returns the request if no byte of it was written.
             match error.message().is_some() {
                 true => {
                     guard.running = false;
@@ -166,11 +173,12 @@
     DispatchResult::NotRun(Refusal { code, retry_after: SECOND })
 }
 
-/// The request as the backend server gets it; `wall` is Unix milliseconds.
+/// Builds the request for the backend server, or `None` if the head is malformed. `unix_ms_now` is
+/// the wall clock time from which `span` counts, in milliseconds since the Unix epoch.
 fn request(
     head: &RequestHead,
     body: LocalBody,
-    wall: u64,
+    unix_ms_now: u64,
     span: Span,
 ) -> Option<Request<LocalBody>> {
     let mut request = Request::builder().method(head.method.as_str()).uri(head.target.as_str());
@@ -179,69 +187,71 @@
         let name = HeaderName::try_from(field.name.as_str()).ok()?;
         headers.append(name, HeaderValue::from_bytes(&field.value).ok()?);
     }
-    headers.insert(header::BEGIN_BY, HeaderValue::from(wall + span.begin / MILLI));
-    headers.insert(header::DEADLINE, HeaderValue::from(wall + span.end / MILLI));
+    headers.insert(header::BEGIN_BY, HeaderValue::from(unix_ms_now + span.begin / MILLI));
+    headers.insert(header::DEADLINE, HeaderValue::from(unix_ms_now + span.end / MILLI));
     request.body(body).ok()
 }
 
-/// Hands the answer on; slot and connection are held to the end of its body.
+/// Passes an answer on. The slot and the connection stay occupied until the body has ended.
 fn answered(
     guard: SlotGuard,
     connection: Connection,
     response: Response<Incoming>,
-    until: Instant,
+    ends_at: Instant,
 ) -> DispatchResult {
     let slot = guard.slot.clone();
     let (mut parts, incoming) = response.into_parts();
-    // Only the system itself speaks of outcomes and codes.
+    // Outcome and code are headers of the system; those of a backend server are dropped.
     parts.headers.remove(header::OUTCOME);
     parts.headers.remove(header::CODE);
-    let mut reading = Reading { guard, connection: Some(connection), incoming, until };
-    if reading.incoming.is_end_stream() {
-        reading.finish();
+    let mut answer_body = AnswerBody { guard, connection: Some(connection), incoming, ends_at };
+    if answer_body.incoming.is_end_stream() {
+        answer_body.finish();
         return DispatchResult::Answered(Response::from_parts(parts, body::empty()), slot);
     }
-    let frames = futures_util::stream::unfold(Some(reading), read_frame);
+    let frames = futures_util::stream::unfold(Some(answer_body), read_frame);
     DispatchResult::Answered(Response::from_parts(parts, body::frames(frames)), slot)
 }
 
-/// An answer's body on its way from the backend server.
-struct Reading {
+/// An answer's body that is being read from the backend server.
+struct AnswerBody {
     guard: SlotGuard,
     connection: Option<Connection>,
     incoming: Incoming,
-    until: Instant,
+    ends_at: Instant,
 }
 
-type Step = Option<(Result<Frame<Bytes>, BoxError>, Option<Reading>)>;
+/// Next frame of a body, with the state to go on with.
+type NextFrame = Option<(Result<Frame<Bytes>, BoxError>, Option<AnswerBody>)>;
 
-/// Reads the next frame; a failure or the deadline cuts the body visibly.
-async fn read_frame(reading: Option<Reading>) -> Step {
-    let mut reading = reading?;
-    match compio::time::timeout_at(reading.until, reading.incoming.frame()).await {
-        // The receiver may not ask again once it has all bytes of the length.
-        Ok(Some(Ok(frame))) if reading.incoming.is_end_stream() => {
-            reading.finish();
+/// Reads the next frame. A failure or the deadline ends the body with an error, so that it never
+/// looks complete.
+async fn read_frame(answer_body: Option<AnswerBody>) -> NextFrame {
+    let mut answer_body = answer_body?;
+    match compio::time::timeout_at(answer_body.ends_at, answer_body.incoming.frame()).await {
+        // The receiver may not poll again once it has all bytes of the content length.
+        Ok(Some(Ok(frame))) if answer_body.incoming.is_end_stream() => {
+            answer_body.finish();
             Some((Ok(frame), None))
         }
-        Ok(Some(Ok(frame))) => Some((Ok(frame), Some(reading))),
+        Ok(Some(Ok(frame))) => Some((Ok(frame), Some(answer_body))),
         Ok(None) => {
-            reading.finish();
+            answer_body.finish();
             None
         }
         Ok(Some(Err(error))) => {
-            reading.guard.result = RunResult::Bad;
+            answer_body.guard.result = RunResult::Bad;
             Some((Err(error.into()), None))
         }
         Err(elapsed) => {
-            reading.guard.result = RunResult::Bad;
+            answer_body.guard.result = RunResult::Bad;
             Some((Err(elapsed.into()), None))
         }
     }
 }
 
-impl Reading {
-    /// The body is whole: the connection may carry another request.
+impl AnswerBody {
+    /// Releases the connection for another request, as the body is complete.
     fn finish(&mut self) {
         self.guard.result = RunResult::Good;
         self.guard.running = false;
