--- a/elmstreamd/src/peer_server.rs
+++ b/elmstreamd/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Serves the streams that other entry hosts open.
+//! Server for the QUIC streams that other entry hosts open.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,10 +24,10 @@
     ticker,
 };
 
-/// Time in which a stream must have brought its first message.
+/// Time in which the first message of a stream must have arrived.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Takes connections until the endpoint is closed.
+/// Accepts and serves connections until the endpoint is closed.
 pub async fn run(daemon: Rc<Daemon>) {
     while let Some(connection) = daemon.peers.accept().await {
         compio::runtime::spawn(serve_connection(daemon.clone(), connection)).detach();
@@ -42,18 +42,19 @@
 
 async fn serve_stream(daemon: Rc<Daemon>, send: SendStream, mut recv: RecvStream) {
     let mut send = BodySender::new(send);
-    let _serving = daemon.count_stream();
-    let opening = compio::time::timeout(OPEN_TIMEOUT, daemon.peers.read::<Open>(&mut recv)).await;
-    let reply = match opening {
+    let _stream_count = daemon.count_stream();
+    let first_message =
+        compio::time::timeout(OPEN_TIMEOUT, daemon.peers.read::<Open>(&mut recv)).await;
+    let reply = match first_message {
         Ok(Ok(Open::Request(head))) => return serve_request(&daemon, send, recv, head).await,
         Ok(Ok(Open::Ticketed(ticket, head))) => {
             return serve_ticketed(&daemon, send, recv, ticket, head).await;
         }
         Ok(Ok(Open::Push(push))) => Reply::Pushed(configuration::handle_push(&daemon, push).await),
-        Ok(Ok(open)) => control(&daemon, open),
+        Ok(Ok(open)) => control_reply(&daemon, open),
         Ok(Err(Code::PeerMessage)) => {
-            log::warn!(code = Code::PeerMessage.number(); "a malformed message of another host");
-            malformed()
+            log::warn!(code = Code::PeerMessage.number(); "received a malformed message from another host");
+            malformed_reply()
         }
         _ => return,
     };
@@ -62,51 +63,53 @@
     }
 }
 
-/// Answers a message of control.
-fn control(daemon: &Rc<Daemon>, open: Open) -> Reply {
+/// Returns the reply to a control message: a heartbeat, a fence or a fetch of the configuration.
+fn control_reply(daemon: &Rc<Daemon>, open: Open) -> Reply {
     match open {
-        Open::Heartbeat(beat) => {
-            if beat.revision > daemon.current.borrow().revision {
+        Open::Heartbeat(heartbeat) => {
+            if heartbeat.revision > daemon.current.borrow().revision {
                 daemon.request_poll();
             }
-            let reply = daemon.node.borrow_mut().heartbeat(clock::now(), &beat);
-            // An epoch that was just taken or settled there moves ours forward.
+            let reply = daemon.node.borrow_mut().heartbeat(clock::now(), &heartbeat);
+            // The sender may have just installed or settled an epoch. Ticking now lets this host
+            // proceed without waiting for the next interval.
             ticker::tick(daemon);
             Reply::Heartbeat(reply)
         }
         Open::Fence(fence) => Reply::Fence(daemon.node.borrow_mut().fence(&fence)),
         Open::Fetch => Reply::Configuration(in_force(daemon)),
-        Open::Push(_) | Open::Request(_) | Open::Ticketed(..) => malformed(),
+        Open::Push(_) | Open::Request(_) | Open::Ticketed(..) => malformed_reply(),
     }
 }
 
-fn malformed() -> Reply {
+fn malformed_reply() -> Reply {
     Reply::Refused(Refused { code: Code::PeerMessage.number(), retry_after: 0, load: None })
 }
 
-/// What this host owns of a service now.
-fn load(daemon: &Daemon, service: &str) -> Option<ServiceLoad> {
+/// Load and slots of a service on the backend servers that this host owns.
+fn service_load(daemon: &Daemon, service: &str) -> Option<ServiceLoad> {
     let node = daemon.node.borrow();
     node.catalog().service(service).map(|id| node.load(clock::now(), id))
 }
 
+/// Configuration in force on this host; `None` if there is none.
 fn in_force(daemon: &Daemon) -> Option<Revision> {
     let current = daemon.current.borrow();
     let document = current.configuration.to_text();
     (current.revision > 0).then_some(Revision { revision: current.revision, document })
 }
 
-/// Runs a request as owner; it ends when the asking host turns away.
+/// Runs a request as the owner. It is cancelled if the requesting host stops the stream.
 async fn serve_request(
     daemon: &Rc<Daemon>,
     mut send: BodySender,
     recv: RecvStream,
     head: RequestHead,
 ) {
-    let admitting = owner::admit(daemon, &head).boxed_local();
-    let guard = match until_stopped(&mut send, admitting).await {
+    let admission = owner::admit(daemon, &head).boxed_local();
+    let guard = match until_aborted(&mut send, admission).await {
         Some(Ok(guard)) => guard,
-        Some(Err(refusal)) => return refuse(daemon, send, refusal, &head.service).await,
+        Some(Err(refusal)) => return send_refusal(daemon, send, refusal, &head.service).await,
         None => return,
     };
     let body = match head.has_body {
@@ -114,27 +117,29 @@
             if daemon.peers.write(send.stream(), &Reply::Admitted).await.is_err() {
                 return;
             }
-            cross(daemon, &head, peers::receive_body(recv))
+            limit_on_link(daemon, &head, peers::receive_body(recv))
         }
         false => body::empty(),
     };
-    let running = owner::dispatch(guard, &head, body).boxed_local();
-    match until_stopped(&mut send, running).await {
+    let dispatch = owner::dispatch(guard, &head, body).boxed_local();
+    match until_aborted(&mut send, dispatch).await {
         Some(DispatchResult::Answered(response, slot)) => {
-            let response = response.map(|body| cross(daemon, &head, body));
-            answer(daemon, send, response, slot.backend, &head.service).await;
+            let response = response.map(|body| limit_on_link(daemon, &head, body));
+            send_answer(daemon, send, response, slot.backend, &head.service).await;
+        }
+        Some(DispatchResult::NotRun(refusal)) => {
+            send_refusal(daemon, send, refusal, &head.service).await
         }
-        Some(DispatchResult::NotRun(refusal)) => refuse(daemon, send, refusal, &head.service).await,
         Some(DispatchResult::Failed(code)) => {
             let failed = Refusal { code, retry_after: SECOND };
-            refuse(daemon, send, failed, &head.service).await;
+            send_refusal(daemon, send, failed, &head.service).await;
         }
         None => {}
     }
 }
 
-/// A body that passes the link's limit, if the request is another region's.
-fn cross(daemon: &Rc<Daemon>, head: &RequestHead, body: LocalBody) -> LocalBody {
+/// Limits a body to the rate of the link if the request comes from another region.
+fn limit_on_link(daemon: &Rc<Daemon>, head: &RequestHead, body: LocalBody) -> LocalBody {
     let here = daemon.node.borrow().region_name();
     match here.is_some_and(|here| here != head.home) {
         true => rate_limited(daemon, &head.home, body),
@@ -142,7 +147,7 @@
     }
 }
 
-/// Runs a request under a ticket that this host issued.
+/// Runs a request with a ticket, which another host forwarded to this one as the issuer.
 async fn serve_ticketed(
     daemon: &Rc<Daemon>,
     mut send: BodySender,
@@ -153,33 +158,34 @@
     let (has_body, service) = (head.has_body, head.service.clone());
     let Some(job) = callers::forwarded_job(daemon, head, peers::receive_body(recv)) else {
         let unknown = Refusal { code: Code::UnknownService, retry_after: 0 };
-        return refuse(daemon, send, unknown, &service).await;
+        return send_refusal(daemon, send, unknown, &service).await;
     };
     if has_body && daemon.peers.write(send.stream(), &Reply::Admitted).await.is_err() {
         return;
     }
-    let running = callers::run_with_ticket(daemon, job, ticket).boxed_local();
-    let Some(ended) = until_stopped(&mut send, running).await else { return };
-    match own_code(&ended.response) {
+    let dispatch = callers::run_with_ticket(daemon, job, ticket).boxed_local();
+    let Some(completion) = until_aborted(&mut send, dispatch).await else { return };
+    match system_code(&completion.response) {
         Some(code) => {
             let refusal = Refusal { code, retry_after: SECOND };
-            refuse(daemon, send, refusal, &service).await;
+            send_refusal(daemon, send, refusal, &service).await;
         }
         None => {
             let issuer = daemon.settings.name.as_str().into();
-            answer(daemon, send, ended.response, issuer, &service).await;
+            send_answer(daemon, send, completion.response, issuer, &service).await;
         }
     }
 }
 
-/// The code of an answer that the system made itself.
-fn own_code(response: &Response<LocalBody>) -> Option<Code> {
+/// Code of a response that was generated by the system; `None` for a backend server's answer.
+fn system_code(response: &Response<LocalBody>) -> Option<Code> {
     let number = response.headers().get(header::CODE)?.to_str().ok()?.parse().ok()?;
     Code::from_number(number)
 }
 
-/// Waits for a future, or drops it once the other side stops the stream.
-async fn until_stopped<T>(
+/// Waits for a future. If the other side stops the stream first, drops the future and returns
+/// `None`.
+async fn until_aborted<T>(
     send: &mut BodySender,
     future: impl Future<Output = T> + Unpin,
 ) -> Option<T> {
@@ -190,19 +196,20 @@
     }
 }
 
-async fn refuse(daemon: &Daemon, mut send: BodySender, refusal: Refusal, service: &str) {
+/// Sends a refusal as the last message of a stream.
+async fn send_refusal(daemon: &Daemon, mut send: BodySender, refusal: Refusal, service: &str) {
     let reply = Reply::Refused(Refused {
         code: refusal.code.number(),
         retry_after: refusal.retry_after,
-        load: load(daemon, service),
+        load: service_load(daemon, service),
     });
     if daemon.peers.write(send.stream(), &reply).await.is_ok() {
         send.finish_and_wait().await;
     }
 }
 
-/// Sends an answer and its body; a body that fails cuts the stream.
-async fn answer(
+/// Sends an answer and its body. If the body fails, the stream is reset.
+async fn send_answer(
     daemon: &Daemon,
     mut send: BodySender,
     response: Response<LocalBody>,
@@ -214,7 +221,7 @@
         status: parts.status.as_u16(),
         headers: forward::end_to_end_headers(&parts.headers),
         backend,
-        load: load(daemon, service),
+        load: service_load(daemon, service),
     };
     if daemon.peers.write(send.stream(), &Reply::Answer(head)).await.is_ok() {
         let _ = send.send(body).await;
--- a/elmstreamd/src/peers.rs
+++ b/elmstreamd/src/peers.rs
@@ -1,4 +1,5 @@
-//! Connections between entry hosts: QUIC, both sides proved by the cluster key.
+//! QUIC connections between entry hosts. Both sides prove with a certificate that they have the
+//! cluster key.
 
 use std::{
     cell::{Cell, RefCell},
@@ -27,36 +28,37 @@
 use http_body_util::BodyExt;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Silence after which a connection counts as lost.
-const IDLE: Duration = Duration::from_secs(10);
-/// Time in which a connection must stand; a few round trips between regions.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Pause of those who wait for a connection that is being opened.
-const CONNECTING_PAUSE: Duration = Duration::from_millis(2);
-/// Time in which the other sides learn that this one closes.
-const CLOSE: Duration = Duration::from_secs(1);
-/// Time in which the other side must have got the end of a stream.
-const DELIVER: Duration = Duration::from_secs(5);
-/// Streams that a host may have open at another at a time. The transport keeps
-/// about 80 bytes for each, on every connection, from the start.
+/// Time without packets after which a connection counts as lost.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time in which a connection must be established: a few round trips between regions.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval at which tasks check whether a connection that another task opens is established.
+const CONNECTING_CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Time to wait until the other hosts have learned that this one closes its connections.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time to wait until the other side has received a stream to its end.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Most streams that another host may have open on a connection. The transport allocates about 80
+/// bytes for each of them when a connection is established.
 const STREAMS_MAX: u32 = 1_024;
-/// Bytes that are read from a stream at a time at most.
-const CHUNK_MAX: usize = 64 << 10;
-/// Says on a reset stream that the body was cut.
-const CUT: u32 = 1;
+/// Most bytes that are read from a stream at a time.
+const CHUNK_BYTES_MAX: usize = 64 << 10;
+/// Error code of a stream that is reset because its body is incomplete, and of a connection that is
+/// closed because its host is unreachable.
+const ABORTED_CODE: u32 = 1;
 
-/// Connections to the other entry hosts.
+/// Endpoint of this host, with one connection to each of the other entry hosts.
 #[derive(Debug)]
 pub struct Peers {
     endpoint: Endpoint,
     connections: RefCell<HashMap<Name, Connection>>,
-    /// Hosts to which a connection is being opened.
+    /// Hosts to which a connection is being established.
     connecting: RefCell<HashSet<Name>>,
-    bytes: Cell<u64>,
+    message_bytes: Cell<u64>,
 }
 
 impl Peers {
-    /// Binds the endpoint that both takes and opens connections.
+    /// Binds the endpoint, which both accepts and opens connections.
     pub async fn bind(address: SocketAddr, identity: &Identity) -> io::Result<Peers> {
         let server = identity.peer_server().map_err(io::Error::other)?;
         let client = identity.peer_client().map_err(io::Error::other)?;
@@ -64,20 +66,21 @@
         let mut server = server.with_alpn_protocols(&[ALPN]).build();
         let client = ClientBuilder::new_with_rustls_client_config(client);
         let mut client = client.with_alpn_protocols(&[ALPN]).build();
-        let transport = Arc::new(transport()?);
-        server.transport_config(transport.clone());
-        client.transport_config(transport);
+        let transport_config = Arc::new(transport_config()?);
+        server.transport_config(transport_config.clone());
+        client.transport_config(transport_config);
         let mut endpoint = Endpoint::server(address, server).await?;
         endpoint.default_client_config = Some(client);
         Ok(Peers {
             endpoint,
             connections: RefCell::default(),
             connecting: RefCell::default(),
-            bytes: Cell::new(0),
+            message_bytes: Cell::new(0),
         })
     }
 
-    /// The next connection that another host opens and proves.
+    /// Accepts the next connection of a host with the cluster key. `None` once the endpoint is
+    /// closed.
     pub async fn accept(&self) -> Option<Connection> {
         loop {
             let incoming = self.endpoint.wait_incoming().await?;
@@ -89,70 +92,71 @@
         }
     }
 
-    /// Sends one message and reads its answer, for control.
+    /// Sends a control message on a stream of its own and reads the reply, within a timeout.
     pub async fn exchange(
         &self,
         name: &Name,
         address: SocketAddr,
         open: &Open,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Reply, Code> {
-        let exchanging = async {
+        let exchange = async {
             let (mut send, mut recv) = self.open(name, address).await?;
             self.write(&mut send, open).await?;
             let _ = send.finish();
             self.read(&mut recv).await
         };
-        let timed = compio::time::timeout(within, exchanging).await;
+        let timed = compio::time::timeout(timeout, exchange).await;
         timed.unwrap_or(Err(Code::PeerUnreachable))
     }
 
-    /// Opens a stream to a host, over a connection that stands or a new one.
+    /// Opens a stream to a host, on the existing connection or a new one.
     pub async fn open(
         &self,
         name: &Name,
         address: SocketAddr,
     ) -> Result<(SendStream, RecvStream), Code> {
-        // One connection is opened at a time; the others wait for it.
+        // Only one task opens a connection to a host; the others wait for it.
         while self.connecting.borrow().contains(name) {
-            compio::time::sleep(CONNECTING_PAUSE).await;
+            compio::time::sleep(CONNECTING_CHECK_INTERVAL).await;
         }
-        let standing = self.connections.borrow().get(name).cloned();
-        if let Some(connection) = standing {
+        let existing = self.connections.borrow().get(name).cloned();
+        if let Some(connection) = existing {
             match connection.open_bi() {
                 Ok(streams) => return Ok(streams),
-                // All streams are in use; the connection itself is good.
+                // All streams are in use, but the connection is still open.
                 Err(_) if connection.close_reason().is_none() => return Err(Code::PeerUnreachable),
                 Err(_) => self.disconnect(name),
             }
         }
-        let _connecting = Connecting::new(self, name);
+        let _connecting = ConnectingGuard::new(self, name);
         let connection = self.connect(address).await?;
         let streams = connection.open_bi().map_err(|_| Code::PeerUnreachable)?;
         self.connections.borrow_mut().insert(name.clone(), connection);
         Ok(streams)
     }
 
-    /// Drops the connection to a host that fell silent; requests on it end.
+    /// Closes the connection to a host that is unreachable, which ends the requests on it.
     pub fn disconnect(&self, name: &Name) {
         if let Some(connection) = self.connections.borrow_mut().remove(name) {
-            connection.close(VarInt::from_u32(CUT), b"silent");
+            connection.close(VarInt::from_u32(ABORTED_CODE), b"silent");
         }
     }
 
-    /// Writes a message.
+    /// Writes a message to a stream.
     pub async fn write<T: Serialize>(
         &self,
         send: &mut SendStream,
         message: &T,
     ) -> Result<(), Code> {
-        let coded = peer::encode(message).map_err(|_| Code::PeerMessage)?;
-        self.bytes.set(self.bytes.get() + coded.len() as u64);
-        let BufResult(written, _) = send.write_all(coded).await;
+        let encoded = peer::encode(message).map_err(|_| Code::PeerMessage)?;
+        self.message_bytes.set(self.message_bytes.get() + encoded.len() as u64);
+        let BufResult(written, _) = send.write_all(encoded).await;
         written.map_err(|_| Code::PeerLost)
     }
 
-    /// Reads a message.
+    /// Reads a message from a stream. Fails with [`Code::PeerMessage`] if it is too long or
+    /// malformed.
     pub async fn read<T: DeserializeOwned>(&self, recv: &mut RecvStream) -> Result<T, Code> {
         let BufResult(read, length) = recv.read_exact([0u8; LENGTH_BYTES]).await;
         read.map_err(|_| Code::PeerLost)?;
@@ -160,91 +164,91 @@
         if length > MESSAGE_MAX {
             return Err(Code::PeerMessage);
         }
-        let BufResult(read, coded) = recv.read_exact(Vec::with_capacity(length)).await;
+        let BufResult(read, encoded) = recv.read_exact(Vec::with_capacity(length)).await;
         read.map_err(|_| Code::PeerLost)?;
-        self.bytes.set(self.bytes.get() + coded.len() as u64);
-        peer::decode(&coded).map_err(|_| Code::PeerMessage)
+        self.message_bytes.set(self.message_bytes.get() + encoded.len() as u64);
+        peer::decode(&encoded).map_err(|_| Code::PeerMessage)
     }
 
-    /// Bytes of messages, without bodies, sent and received.
+    /// Bytes of all messages that were sent and received, without bodies.
     pub fn message_bytes(&self) -> u64 {
-        self.bytes.get()
+        self.message_bytes.get()
     }
 
-    /// Closes all connections and waits until the other sides know.
+    /// Closes all connections and waits until the other hosts have been notified.
     pub async fn close(&self) {
         self.endpoint.close(VarInt::from_u32(0), b"stopped");
-        let _ = compio::time::timeout(CLOSE, self.endpoint.clone().shutdown()).await;
+        let _ = compio::time::timeout(CLOSE_TIMEOUT, self.endpoint.clone().shutdown()).await;
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Connection, Code> {
         let connecting = self.endpoint.connect(address, SERVER_NAME, None);
         let connecting = connecting.map_err(|_| Code::PeerUnreachable)?;
-        let timed = compio::time::timeout(CONNECT, connecting).await;
+        let timed = compio::time::timeout(CONNECT_TIMEOUT, connecting).await;
         timed.map_err(|_| Code::PeerUnreachable)?.map_err(|_| Code::PeerUnreachable)
     }
 }
 
-/// Marks a host as being connected to until this is dropped.
-struct Connecting<'a> {
+/// Marks that a connection to a host is being established, until this is dropped.
+struct ConnectingGuard<'a> {
     peers: &'a Peers,
     name: &'a Name,
 }
 
-impl<'a> Connecting<'a> {
-    fn new(peers: &'a Peers, name: &'a Name) -> Connecting<'a> {
+impl<'a> ConnectingGuard<'a> {
+    fn new(peers: &'a Peers, name: &'a Name) -> ConnectingGuard<'a> {
         peers.connecting.borrow_mut().insert(name.clone());
-        Connecting { peers, name }
+        ConnectingGuard { peers, name }
     }
 }
 
-impl Drop for Connecting<'_> {
+impl Drop for ConnectingGuard<'_> {
     fn drop(&mut self) {
         self.peers.connecting.borrow_mut().remove(self.name);
     }
 }
 
-fn transport() -> io::Result<TransportConfig> {
-    let mut transport = TransportConfig::default();
-    let idle = IdleTimeout::try_from(IDLE).map_err(io::Error::other)?;
-    transport.max_idle_timeout(Some(idle));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(STREAMS_MAX));
-    Ok(transport)
+fn transport_config() -> io::Result<TransportConfig> {
+    let mut transport_config = TransportConfig::default();
+    let idle = IdleTimeout::try_from(IDLE_TIMEOUT).map_err(io::Error::other)?;
+    transport_config.max_idle_timeout(Some(idle));
+    transport_config.max_concurrent_bidi_streams(VarInt::from_u32(STREAMS_MAX));
+    Ok(transport_config)
 }
 
-/// The sending side of a stream that carries a body.
+/// Sending side of a stream that carries a body.
 ///
-/// A stream that is dropped would end as if it were whole, so this one is reset
-/// unless it was finished.
+/// A dropped stream would end as if it were complete, so this one is reset on drop unless it was
+/// finished.
 pub struct BodySender(Option<SendStream>);
 
 impl BodySender {
-    /// Wraps a stream.
+    /// Wraps the sending side of a stream.
     pub fn new(send: SendStream) -> BodySender {
         BodySender(Some(send))
     }
 
-    /// The stream, for messages before the body.
+    /// The stream, to write messages before the body.
     pub fn stream(&mut self) -> &mut SendStream {
-        self.0.as_mut().expect("the stream is there until it is finished")
+        self.0.as_mut().expect("the stream is present until it is finished")
     }
 
-    /// Ends the stream as whole.
+    /// Ends the stream as complete.
     pub fn finish(mut self) {
         if let Some(mut send) = self.0.take() {
             let _ = send.finish();
         }
     }
 
-    /// Ends the stream as whole, and waits until the other side has it all.
+    /// Ends the stream as complete, and waits until the other side has received all of it.
     pub async fn finish_and_wait(mut self) {
         if let Some(mut send) = self.0.take() {
             let _ = send.finish();
-            let _ = compio::time::timeout(DELIVER, send.stopped()).await;
+            let _ = compio::time::timeout(DELIVERY_TIMEOUT, send.stopped()).await;
         }
     }
 
-    /// Sends a body to its end; on an error of either side the stream is cut.
+    /// Sends a body to its end. On an error of the body or the stream, the stream is reset.
     pub async fn send(mut self, mut body: LocalBody) -> Result<(), Code> {
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| Code::CallerAborted)?;
@@ -260,16 +264,16 @@
 impl Drop for BodySender {
     fn drop(&mut self) {
         if let Some(mut send) = self.0.take() {
-            let _ = send.reset(VarInt::from_u32(CUT));
+            let _ = send.reset(VarInt::from_u32(ABORTED_CODE));
         }
     }
 }
 
-/// The rest of a stream as a body; a reset stream is a cut body.
+/// Returns the rest of a stream as a body. If the stream is reset, the body ends with an error.
 pub fn receive_body(recv: RecvStream) -> LocalBody {
     let chunks = futures_util::stream::unfold(Some(recv), |recv| async {
         let mut recv = recv?;
-        match recv.read_chunk(CHUNK_MAX, true).await {
+        match recv.read_chunk(CHUNK_BYTES_MAX, true).await {
             Ok(Some(chunk)) => Some((Ok::<Bytes, _>(chunk.bytes), Some(recv))),
             Ok(None) => None,
             Err(error) => Some((Err(error.into()), None)),
