--- a/elmstreamd/src/platform.rs
+++ b/elmstreamd/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's services, one trait each, and their HTTP clients.
+//! The platform's services: table service, object store and host list. Each is a trait, with one
+//! HTTP client that implements all three.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,108 +12,109 @@
 use serde_json::{Value, json};
 use snafu::Snafu;
 
-/// Why a call to the platform gave no result.
+/// Reason why a call to the platform gave no result.
 #[derive(Clone, Debug, Snafu)]
 pub enum PlatformError {
-    /// The service said that it cannot serve now.
+    /// The service answered with an error status.
     #[snafu(display("the platform's service refused the call with status {status}"))]
     Refused {
         /// The HTTP status.
         status: u16,
     },
-    /// No answer came in time, or the connection broke.
+    /// The service could not be reached or did not answer within the timeout.
     #[snafu(display("the platform's service did not answer: {reason}"))]
     NoAnswer {
-        /// What happened.
+        /// Description of the failure.
         reason: String,
     },
-    /// The answer is not of the documented form.
+    /// The body of the answer does not have the documented form.
     #[snafu(display("the platform's answer is malformed: {reason}"))]
     Malformed {
-        /// What is wrong.
+        /// Description of the error.
         reason: String,
     },
 }
 
-/// A row and its version.
+/// A row of the table service, with its version.
 #[derive(Clone, Debug, Deserialize)]
 pub struct VersionedRow {
-    /// Changes with each write.
+    /// Number that changes with each write. 0 stands for a row that does not exist.
     pub version: u64,
-    /// The row.
+    /// Value of the row.
     pub value: Value,
 }
 
-/// The transactional table service.
+/// Table service: rows by key, with compare-and-swap writes.
 #[async_trait(?Send)]
 pub trait TableService {
-    /// Reads a row; `None` is "no such row".
+    /// Reads a row. `None` if there is no such row.
     async fn read(&self, key: &str) -> Result<Option<VersionedRow>, PlatformError>;
 
-    /// Writes a row if its version is `expect`; 0 is "no such row".
+    /// Writes a row if its version is `expect`; 0 means that the row must not exist.
     async fn write(&self, key: &str, value: &Value, expect: u64) -> WriteOutcome;
 }
 
-/// The object store.
+/// Object store: byte strings by key.
 #[async_trait(?Send)]
 pub trait ObjectStore {
-    /// Reads an object; `None` is "no such object".
+    /// Reads an object. `None` if there is no such object.
     async fn get(&self, key: &str) -> Result<Option<Vec<u8>>, PlatformError>;
 
-    /// Writes an object.
+    /// Writes an object, and replaces one with this key.
     async fn put(&self, key: &str, bytes: Vec<u8>) -> Result<(), PlatformError>;
 
-    /// Keys that begin with a prefix, ascending.
+    /// Returns the keys that begin with a prefix, in ascending order.
     async fn list(&self, prefix: &str) -> Result<Vec<String>, PlatformError>;
 }
 
-/// What the host list says.
+/// Content of the host list.
 #[derive(Clone, Debug, Default)]
 pub struct Hosts {
-    /// Entry hosts.
+    /// All entry hosts, leaving ones included.
     pub entry_hosts: Vec<ListedHost>,
-    /// Backend servers that are leaving.
+    /// Names of backend servers that are leaving.
     pub leaving: Vec<Name>,
 }
 
-/// The platform's list of live and leaving hosts.
+/// Host list: the platform's list of entry hosts, and of backend servers that are leaving.
 #[async_trait(?Send)]
 pub trait HostList {
     /// Reads the list.
     async fn hosts(&self) -> Result<Hosts, PlatformError>;
 }
 
-/// All three over HTTP and JSON, as in `docs/PROTOCOLS.md`.
+/// HTTP client of the three services. `docs/PROTOCOLS.md` describes the requests.
 #[derive(Debug)]
 pub struct HttpPlatform {
     client: Client,
     settings: settings::Platform,
 }
 
-struct Answer {
+/// Answer of a service, with its whole body.
+struct HttpAnswer {
     status: StatusCode,
     bytes: Vec<u8>,
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct WriteReply {
     version: u64,
 }
 
 #[derive(Deserialize)]
-struct Keys {
+struct ListReply {
     keys: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct List {
-    entry_hosts: Vec<Entry>,
+struct HostListReply {
+    entry_hosts: Vec<HostEntry>,
     #[serde(default)]
     backend_servers_leaving: Vec<Name>,
 }
 
 #[derive(Deserialize)]
-struct Entry {
+struct HostEntry {
     name: Name,
     failure_domain: Name,
     callers: SocketAddr,
@@ -122,36 +124,37 @@
 }
 
 impl HttpPlatform {
-    /// A client of the services that the settings name.
+    /// Creates a client of the services at the addresses in the settings.
     pub fn new(settings: settings::Platform) -> Result<HttpPlatform, PlatformError> {
         let built = Client::builder().no_proxy().build();
         let client = built.map_err(|e| PlatformError::NoAnswer { reason: e.to_string() })?;
         Ok(HttpPlatform { client, settings })
     }
 
+    /// Sends a request and reads the whole answer, within the timeout of the settings.
     async fn call(
         &self,
         method: Method,
         url: String,
         body: Vec<u8>,
-    ) -> Result<Answer, PlatformError> {
-        let within = Duration::from_millis(self.settings.timeout_ms);
-        let silent = |reason: String| PlatformError::NoAnswer { reason };
-        let sending = async {
-            let request = self.client.request(method, url).map_err(|e| silent(e.to_string()))?;
-            let response = request.body(body).send().await.map_err(|e| silent(e.to_string()))?;
+    ) -> Result<HttpAnswer, PlatformError> {
+        let timeout = Duration::from_millis(self.settings.timeout_ms);
+        let no_answer = |reason: String| PlatformError::NoAnswer { reason };
+        let exchange = async {
+            let request = self.client.request(method, url).map_err(|e| no_answer(e.to_string()))?;
+            let response = request.body(body).send().await.map_err(|e| no_answer(e.to_string()))?;
             let status = response.status();
-            let bytes = response.bytes().await.map_err(|e| silent(e.to_string()))?;
-            Ok(Answer { status, bytes: bytes.to_vec() })
+            let bytes = response.bytes().await.map_err(|e| no_answer(e.to_string()))?;
+            Ok(HttpAnswer { status, bytes: bytes.to_vec() })
         };
-        let timed = compio::time::timeout(within, sending).await;
-        timed.unwrap_or_else(|_| Err(silent(format!("no answer in {within:?}"))))
+        let timed = compio::time::timeout(timeout, exchange).await;
+        timed.unwrap_or_else(|_| Err(no_answer(format!("no answer within {timeout:?}"))))
     }
 }
 
-impl Answer {
-    /// The body of a success, `None` for 404, else an error.
-    fn found(self) -> Result<Option<Vec<u8>>, PlatformError> {
+impl HttpAnswer {
+    /// Returns the body of a success, `None` for status 404, else an error.
+    fn into_body(self) -> Result<Option<Vec<u8>>, PlatformError> {
         match self.status {
             StatusCode::NOT_FOUND => Ok(None),
             status if status.is_success() => Ok(Some(self.bytes)),
@@ -168,8 +171,8 @@
 impl TableService for HttpPlatform {
     async fn read(&self, key: &str) -> Result<Option<VersionedRow>, PlatformError> {
         let url = format!("{}/rows/{key}", self.settings.table);
-        let found = self.call(Method::GET, url, Vec::new()).await?.found()?;
-        found.map(|bytes| parse(&bytes)).transpose()
+        let body = self.call(Method::GET, url, Vec::new()).await?.into_body()?;
+        body.map(|bytes| parse(&bytes)).transpose()
     }
 
     async fn write(&self, key: &str, value: &Value, expect: u64) -> WriteOutcome {
@@ -177,12 +180,12 @@
         let body = json!({ "expect": expect, "value": value }).to_string().into_bytes();
         match self.call(Method::PUT, url, body).await {
             Ok(answer) if answer.status.is_success() => {
-                let written = parse::<Written>(&answer.bytes);
+                let written = parse::<WriteReply>(&answer.bytes);
                 written.map_or(WriteOutcome::Unknown, |w| WriteOutcome::Written(w.version))
             }
             Ok(answer) if answer.status == StatusCode::CONFLICT => WriteOutcome::Conflict,
-            // A client error or an overload answer is the service's own word
-            // that it did not take the write; 5xx of a gateway is not.
+            // With a client error or 503, the service itself states that it did not write. Other
+            // 5xx statuses may come from a gateway after the service wrote.
             Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => WriteOutcome::Refused,
             Ok(answer) if answer.status.is_client_error() => WriteOutcome::Refused,
             _ => WriteOutcome::Unknown,
@@ -194,18 +197,18 @@
 impl ObjectStore for HttpPlatform {
     async fn get(&self, key: &str) -> Result<Option<Vec<u8>>, PlatformError> {
         let url = format!("{}/objects/{key}", self.settings.objects);
-        self.call(Method::GET, url, Vec::new()).await?.found()
+        self.call(Method::GET, url, Vec::new()).await?.into_body()
     }
 
     async fn put(&self, key: &str, bytes: Vec<u8>) -> Result<(), PlatformError> {
         let url = format!("{}/objects/{key}", self.settings.objects);
-        self.call(Method::PUT, url, bytes).await?.found().map(drop)
+        self.call(Method::PUT, url, bytes).await?.into_body().map(drop)
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<String>, PlatformError> {
         let url = format!("{}/objects/?prefix={prefix}", self.settings.objects);
-        let found = self.call(Method::GET, url, Vec::new()).await?.found()?;
-        Ok(parse::<Keys>(&found.unwrap_or_default())?.keys)
+        let body = self.call(Method::GET, url, Vec::new()).await?.into_body()?;
+        Ok(parse::<ListReply>(&body.unwrap_or_default())?.keys)
     }
 }
 
@@ -213,16 +216,16 @@
 impl HostList for HttpPlatform {
     async fn hosts(&self) -> Result<Hosts, PlatformError> {
         let url = self.settings.hosts.clone();
-        let found = self.call(Method::GET, url, Vec::new()).await?.found()?;
-        let list: List = parse(&found.unwrap_or_default())?;
-        let listed = |e: Entry| ListedHost {
+        let body = self.call(Method::GET, url, Vec::new()).await?.into_body()?;
+        let list: HostListReply = parse(&body.unwrap_or_default())?;
+        let listed_host = |e: HostEntry| ListedHost {
             name: e.name,
             domain: e.failure_domain,
             callers: e.callers,
             peers: e.peers,
             leaving: e.leaving,
         };
-        let entry_hosts = list.entry_hosts.into_iter().map(listed).collect();
+        let entry_hosts = list.entry_hosts.into_iter().map(listed_host).collect();
         Ok(Hosts { entry_hosts, leaving: list.backend_servers_leaving })
     }
 }
