--- a/elmstreamd/src/operators.rs
+++ b/elmstreamd/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side: RPCs over HTTP/2 and TLS, a token per operator.
+//! RPCs for operators, over HTTP/2 and TLS. Each operator authenticates with a token of their own.
 
 use std::{net::IpAddr, rc::Rc};
 
@@ -20,35 +20,37 @@
 
 use crate::{audit, clock, configuration, configuration::Decision, daemon::Daemon, telemetry};
 
-/// Audit entries in one reply at most.
-const AUDIT_MAX: u32 = 200;
+/// Most audit entries in one reply.
+const AUDIT_ENTRIES_MAX: u32 = 200;
 
-/// The service. All of it runs on the daemon's thread, which the wrappers check.
+/// Implementation of the RPCs. It must run on the daemon's thread only; the wrappers panic on any
+/// other.
 pub struct OperatorService(SendWrapper<Rc<Daemon>>);
 
 impl OperatorService {
-    /// A service of this daemon.
+    /// Creates the service of a daemon.
     pub fn new(daemon: Rc<Daemon>) -> OperatorService {
         OperatorService(SendWrapper::new(daemon))
     }
 
-    /// The operator's name, if the token is known and the role suffices.
+    /// Returns the operator's name if the token is registered and its role allows the call.
     fn authorize(&self, metadata: &MetadataMap, needed: Role) -> Result<String, Status> {
         let token = metadata.get("authorization").and_then(|value| value.to_str().ok());
         let token = token.and_then(|text| text.strip_prefix("Bearer ")).unwrap_or_default();
         let digest = Sha256::digest(token.as_bytes());
         let hash: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
         let operators = &self.0.settings.operators;
-        let known = operators.iter().find(|o| o.token_sha256.eq_ignore_ascii_case(&hash));
-        let operator = known.ok_or_else(|| status(Code::TokenBad, Status::unauthenticated))?;
+        let registered = operators.iter().find(|o| o.token_sha256.eq_ignore_ascii_case(&hash));
+        let operator =
+            registered.ok_or_else(|| error_status(Code::TokenBad, Status::unauthenticated))?;
         if operator.role < needed {
-            return Err(status(Code::RoleDenied, Status::permission_denied));
+            return Err(error_status(Code::RoleDenied, Status::permission_denied));
         }
         Ok(operator.name.clone())
     }
 }
 
-fn status(code: Code, make: fn(String) -> Status) -> Status {
+fn error_status(code: Code, make: fn(String) -> Status) -> Status {
     make(format!("E{} {}", code.number(), code.text()))
 }
 
@@ -73,24 +75,24 @@
             }
         };
         let daemon = self.0.clone();
-        let applying = SendWrapper::new(async move {
+        let change = SendWrapper::new(async move {
             configuration::apply(&daemon, &operator, request.expected_revision, next).await
         });
-        Ok(apply_reply(applying.await))
+        Ok(apply_reply(change.await))
     }
 
     async fn drain(&self, request: Request<DrainRequest>) -> Result<Response<ApplyReply>, Status> {
         let operator = self.authorize(request.metadata(), Role::Change)?;
         let request = request.into_inner();
-        let next = match drained(&self.0.current.borrow().configuration, &request) {
+        let next = match with_drain(&self.0.current.borrow().configuration, &request) {
             Ok(next) => next,
             Err(decision) => return Ok(apply_reply(decision)),
         };
         let daemon = self.0.clone();
-        let applying = SendWrapper::new(async move {
+        let change = SendWrapper::new(async move {
             configuration::apply(&daemon, &operator, request.expected_revision, next).await
         });
-        Ok(apply_reply(applying.await))
+        Ok(apply_reply(change.await))
     }
 
     async fn get(&self, request: Request<GetRequest>) -> Result<Response<GetReply>, Status> {
@@ -118,11 +120,13 @@
 
     async fn audit(&self, request: Request<AuditRequest>) -> Result<Response<AuditReply>, Status> {
         self.authorize(request.metadata(), Role::Read)?;
-        let limit = request.into_inner().limit.clamp(1, AUDIT_MAX) as usize;
+        let limit = request.into_inner().limit.clamp(1, AUDIT_ENTRIES_MAX) as usize;
         let daemon = self.0.clone();
         let reading = SendWrapper::new(async move { audit::read(&daemon, limit).await });
         let reply = match reading.await {
-            Ok(entries) => AuditReply { code: 0, entries: entries.iter().map(entry).collect() },
+            Ok(entries) => {
+                AuditReply { code: 0, entries: entries.iter().map(audit_entry).collect() }
+            }
             Err(_) => {
                 let code = u32::from(Code::StoreUnavailable.number());
                 AuditReply { code, entries: Vec::new() }
@@ -132,7 +136,7 @@
     }
 }
 
-fn entry(entry: &audit::Entry) -> AuditEntry {
+fn audit_entry(entry: &audit::Entry) -> AuditEntry {
     AuditEntry {
         revision: entry.revision,
         operator: entry.operator.clone(),
@@ -142,8 +146,8 @@
     }
 }
 
-/// The configuration with one drain more or less.
-fn drained(old: &Configuration, request: &DrainRequest) -> Result<Configuration, Decision> {
+/// Returns the configuration with a drain added, or removed if `undrain` is set.
+fn with_drain(old: &Configuration, request: &DrainRequest) -> Result<Configuration, Decision> {
     let kind = match request.kind.as_str() {
         "backend-server" => DrainKind::BackendServer,
         "failure-domain" => DrainKind::FailureDomain,
@@ -171,41 +175,43 @@
         let region = catalog.region_of_domain(domain);
         region.map(|id| catalog.regions[id.index()].name.to_string()).unwrap_or_default()
     };
-    let spread = daemon.propagation.borrow();
-    // Of a host that sends no heartbeats here, the push's answer tells.
-    let revision = |m: &Member| match spread.confirmed.contains(&m.name) {
-        true => m.revision.max(spread.revision),
+    let propagation = daemon.propagation.borrow();
+    // The reply to a push is the only source for hosts that send no heartbeats to this one.
+    let revision = |m: &Member| match propagation.confirmed.contains(&m.name) {
+        true => m.revision.max(propagation.revision),
         false => m.revision,
     };
     let host = |m: &Member| HostStatus {
         name: m.name.to_string(),
         failure_domain: m.domain.to_string(),
         region: region_of(&m.domain),
-        // In a large fleet the platform's list speaks for hosts that send nothing here.
+        // In a large fleet, most hosts send no heartbeats to this one. They count as live by the
+        // platform's host list.
         live: m.is_live(now) || !node.is_small_fleet() && m.may_be_live(now),
         leaving: !m.is_staying(),
         revision: revision(m),
         weight: m.weight,
     };
-    let owned = |(name, grant): (&elmstream::id::Name, &elmstream::allotment::Grant)| Ownership {
-        backend_server: name.to_string(),
-        owner: grant.owner.as_ref().map(ToString::to_string).unwrap_or_default(),
-        draining: catalog
-            .backend(name)
-            .is_some_and(|id| catalog.is_draining(&catalog.backends[id.index()])),
-    };
-    let used = telemetry::process_usage();
+    let ownership_of =
+        |(name, grant): (&elmstream::id::Name, &elmstream::allotment::Grant)| Ownership {
+            backend_server: name.to_string(),
+            owner: grant.owner.as_ref().map(ToString::to_string).unwrap_or_default(),
+            draining: catalog
+                .backend(name)
+                .is_some_and(|id| catalog.is_draining(&catalog.backends[id.index()])),
+        };
+    let usage = telemetry::process_usage();
     StatusReply {
         host: daemon.settings.name.clone(),
         revision: catalog.revision,
         isolated: node.is_isolated(now),
         hosts: node.members().iter().map(host).collect(),
-        services: services(&node, now, &region_of),
-        ownership: node.row().grants.iter().map(owned).collect(),
+        services: service_loads(&node, now, &region_of),
+        ownership: node.row().grants.iter().map(ownership_of).collect(),
         control: Some(ControlUse {
-            processor_us: used.processor_us,
+            processor_us: usage.processor_us,
             uptime_us: clock::uptime_micros(),
-            resident_bytes: used.resident_bytes,
+            resident_bytes: usage.resident_bytes,
             peer_bytes: daemon.peers.message_bytes(),
         }),
         epoch: node.row().epoch,
@@ -214,24 +220,25 @@
     }
 }
 
-/// Load by service and region, from the hosts' reports.
-fn services(
+/// Sums of the loads that live hosts report, by service and region.
+fn service_loads(
     node: &elmstream::node::Node,
     now: elmstream::time::Time,
     region_of: &dyn Fn(&str) -> String,
 ) -> Vec<ServiceStatus> {
-    let mut services: Vec<ServiceStatus> = Vec::new();
+    let mut service_loads: Vec<ServiceStatus> = Vec::new();
     for member in node.members().iter().filter(|m| m.is_live(now)) {
         let region = region_of(&member.domain);
         for load in &member.loads {
-            let same = |s: &&mut ServiceStatus| *s.service == *load.service && s.region == region;
-            if let Some(sum) = services.iter_mut().find(same) {
+            let is_same_group =
+                |s: &&mut ServiceStatus| *s.service == *load.service && s.region == region;
+            if let Some(sum) = service_loads.iter_mut().find(is_same_group) {
                 sum.slots += load.slots;
                 sum.in_flight += load.in_flight;
                 sum.queued += load.queued;
                 continue;
             }
-            services.push(ServiceStatus {
+            service_loads.push(ServiceStatus {
                 service: load.service.to_string(),
                 region: region.clone(),
                 slots: load.slots,
@@ -240,7 +247,7 @@
             });
         }
     }
-    services
+    service_loads
 }
 
 fn explain(daemon: &Daemon, request: &ExplainRequest) -> ExplainReply {
@@ -270,17 +277,20 @@
     let home = node.home_region(client).map(|id| &catalog.regions[id.index()].name);
     let from = match (site, home) {
         (Some(site), Some(home)) => {
-            format!("{client} is of site {}, home region {home}", site.name)
+            format!("{client} is in site {}, home region {home}", site.name)
+        }
+        (None, Some(home)) => {
+            format!("{client} is in no site, home region {home} is this host's region")
         }
-        (None, Some(home)) => format!("{client} is of no site; this host's region {home} is home"),
         _ => return Err(Code::NotReady),
     };
     let chosen =
         choices.iter().map(|c| format!("{} at {}, weight {}", c.host, c.callers, c.weight));
     let left_out = node.members().iter().filter(|m| !choices.iter().any(|c| c.host == m.name));
     let left_out = left_out.map(|m| {
-        let why = if m.is_live(now) { "ranked lower, leaving or drained" } else { "silent" };
-        format!("{} is left out: {why}", m.name)
+        let reason =
+            if m.is_live(now) { "ranked lower, leaving or drained" } else { "unreachable" };
+        format!("{} is not in the answer: {reason}", m.name)
     });
     Ok(std::iter::once(from).chain(chosen).chain(left_out).collect())
 }
