--- a/elmstreamd/src/lib.rs
+++ b/elmstreamd/src/lib.rs
@@ -1,6 +1,6 @@
 //! Entry host daemon that owns backend servers by leases.
 //!
-//! It is a library so that tests can run several daemons in one process, each on its own thread.
+//! It is a library so that several daemons can run in one process, each on its own thread.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
@@ -17,11 +17,11 @@
 pub mod logging;
 pub mod operators;
 pub mod owner;
+pub mod paced;
 pub mod peer_server;
 pub mod peers;
 pub mod platform;
 pub mod pool;
-pub mod rate_limit;
 pub mod signals;
 pub mod telemetry;
 pub mod ticker;
--- a/elmstreamd/src/rate_limit.rs
+++ b/elmstreamd/src/paced.rs
@@ -1,4 +1,4 @@
-//! Bodies that are sent over a link between regions, throttled to the link's limit on bytes a
+//! Pacing of bodies that are sent over a link between regions, to keep the link's limit on bytes a
 //! second.
 
 use std::{rc::Rc, time::Duration};
@@ -15,19 +15,15 @@
 /// Pause before asking again while the link's limit is used up.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// Wraps a body so that its data passes only as fast as the link from region `home` allows.
-pub fn rate_limited(daemon: &Rc<Daemon>, home: &Name, inner: LocalBody) -> LocalBody {
-    let body_state = RateLimitedBody {
-        daemon: daemon.clone(),
-        home: home.clone(),
-        inner,
-        buffered: Bytes::new(),
-    };
-    body::stream(futures_util::stream::unfold(Some(body_state), next_chunk))
+/// Paces a body to the limit of the link from region `home`.
+pub fn paced(daemon: &Rc<Daemon>, home: &Name, inner: LocalBody) -> LocalBody {
+    let paced_body =
+        PacedBody { daemon: daemon.clone(), home: home.clone(), inner, buffered: Bytes::new() };
+    body::stream(futures_util::stream::unfold(Some(paced_body), next_chunk))
 }
 
-/// State of a body that is being sent over a link.
-struct RateLimitedBody {
+/// A body that is being sent over a link.
+struct PacedBody {
     daemon: Rc<Daemon>,
     home: Name,
     inner: LocalBody,
@@ -35,7 +31,7 @@
     buffered: Bytes,
 }
 
-impl RateLimitedBody {
+impl PacedBody {
     /// Takes up to `wanted` bytes from the link's limit; returns how many may be sent now.
     fn take_link_bytes(&self, wanted: u64) -> u64 {
         let mut node = self.daemon.node.borrow_mut();
@@ -45,21 +41,21 @@
 
 /// Returns the next chunk once the limit admits it. An error of the inner body ends this one, too.
 async fn next_chunk(
-    body_state: Option<RateLimitedBody>,
-) -> Option<(Result<Bytes, BoxError>, Option<RateLimitedBody>)> {
-    let mut body_state = body_state?;
-    while body_state.buffered.is_empty() {
-        match body_state.inner.frame().await? {
-            Ok(frame) => body_state.buffered = frame.into_data().unwrap_or_default(),
+    paced_body: Option<PacedBody>,
+) -> Option<(Result<Bytes, BoxError>, Option<PacedBody>)> {
+    let mut paced_body = paced_body?;
+    while paced_body.buffered.is_empty() {
+        match paced_body.inner.frame().await? {
+            Ok(frame) => paced_body.buffered = frame.into_data().unwrap_or_default(),
             Err(error) => return Some((Err(error), None)),
         }
     }
-    let wanted = body_state.buffered.len().min(CHUNK_BYTES_MAX) as u64;
+    let wanted = paced_body.buffered.len().min(CHUNK_BYTES_MAX) as u64;
     loop {
-        let granted = body_state.take_link_bytes(wanted);
+        let granted = paced_body.take_link_bytes(wanted);
         if granted > 0 {
-            let chunk = body_state.buffered.split_to(granted as usize);
-            return Some((Ok(chunk), Some(body_state)));
+            let chunk = paced_body.buffered.split_to(granted as usize);
+            return Some((Ok(chunk), Some(paced_body)));
         }
         compio::time::sleep(RETRY_PAUSE).await;
     }
--- a/elmstreamd/src/peer_server.rs
+++ b/elmstreamd/src/peer_server.rs
@@ -19,8 +19,8 @@
     daemon::Daemon,
     forward,
     owner::{self, DispatchResult},
+    paced::paced,
     peers::{self, BodySender},
-    rate_limit::rate_limited,
     ticker,
 };
 
@@ -142,7 +142,7 @@
 fn limit_on_link(daemon: &Rc<Daemon>, head: &RequestHead, body: LocalBody) -> LocalBody {
     let here = daemon.node.borrow().region_name();
     match here.is_some_and(|here| here != head.home) {
-        true => rate_limited(daemon, &head.home, body),
+        true => paced(daemon, &head.home, body),
         false => body,
     }
 }
