--- a/elmstreamd/tests/faults.rs
+++ b/elmstreamd/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of platform, backend servers, callers and operators, against real
-//! daemons in one process. `docs/FAULTS.md` maps promises to these tests.
+//! Faults of the platform, backend servers, callers and operators, against real daemons in one
+//! process. `docs/FAULTS.md` maps guarantees to these tests.
 
 mod support;
 
@@ -21,26 +21,26 @@
 use http::{Method, Request};
 use support::{request, with_fleet, with_headers};
 
-/// Indexes of the small fleet's backend servers.
-const RELEASE: [usize; 2] = [3, 4];
+/// Indexes of the backend servers of the `release` service in the small fleet.
+const RELEASE_SERVERS: [usize; 2] = [3, 4];
 
-fn down() -> Faults {
+fn unavailable() -> Faults {
     Faults { down: true, ..Faults::default() }
 }
 
-/// Behaviour of both servers of the release service.
-async fn behave(running: &support::Running, behaviour: &Behaviour) {
-    for index in RELEASE {
+/// Sets the behaviour of both servers of the `release` service.
+async fn set_release_behaviour(running: &support::Running, behaviour: &Behaviour) {
+    for index in RELEASE_SERVERS {
         running.fleet.behave(index, behaviour).await.unwrap();
     }
 }
 
-async fn release_runs(running: &support::Running) -> u64 {
-    running.runs(RELEASE[0]).await + running.runs(RELEASE[1]).await
+async fn release_run_count(running: &support::Running) -> u64 {
+    running.runs(RELEASE_SERVERS[0]).await + running.runs(RELEASE_SERVERS[1]).await
 }
 
 #[test]
-fn operators_that_race_get_one_acceptance_and_one_conflict() {
+fn concurrent_changes_get_one_acceptance_and_one_conflict() {
     with_fleet(
         |_| {},
         async |running| {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_is_resolved_by_its_nonce() {
+fn write_with_lost_answer_is_resolved_by_nonce() {
     with_fleet(
         |_| {},
         async |running| {
@@ -68,18 +68,18 @@
 }
 
 #[test]
-fn with_the_platform_down_requests_go_on_and_changes_are_refused() {
+fn platform_outage_refuses_changes_but_not_requests() {
     with_fleet(
         |_| {},
         async |running| {
             for part in ["rows", "objects", "hosts"] {
-                running.fleet.fault(part, &down()).await.unwrap();
+                running.fleet.fault(part, &unavailable()).await.unwrap();
             }
             let reply = running.operator.apply(1, &running.configuration).await.unwrap();
             assert_eq!(reply.code, 2006);
-            let begin = Instant::now();
-            while begin.elapsed() < Duration::from_secs(5) {
-                let answer = running.ask(0, request(Method::GET, "status", "r")).await;
+            let started_at = Instant::now();
+            while started_at.elapsed() < Duration::from_secs(5) {
+                let answer = running.send_to(0, request(Method::GET, "status", "r")).await;
                 assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
                 compio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -88,35 +88,36 @@
 }
 
 #[test]
-fn a_host_that_starts_with_the_table_down_gets_the_configuration_from_a_peer() {
+fn host_started_during_table_outage_fetches_configuration_from_peer() {
     with_fleet(
         |_| {},
         async |running| {
             running.fleet.hosts[2].running.take().unwrap().stop().unwrap();
-            running.fleet.fault("rows", &down()).await.unwrap();
-            running.fleet.fault("objects", &down()).await.unwrap();
+            running.fleet.fault("rows", &unavailable()).await.unwrap();
+            running.fleet.fault("objects", &unavailable()).await.unwrap();
             running.fleet.restart_host(2);
             let mut operator = Operator::connect(&running.fleet, 2).await.unwrap();
             let wait = Duration::from_secs(8);
-            let taken = operator.wait(wait, "the peers' revision", |s| s.revision == 1).await;
-            assert!(taken.is_ok(), "{taken:?}");
-            let answer = running.ask(2, request(Method::GET, "status", "r")).await;
+            let fetched =
+                operator.wait(wait, "the revision of the other hosts", |s| s.revision == 1).await;
+            assert!(fetched.is_ok(), "{fetched:?}");
+            let answer = running.send_to(2, request(Method::GET, "status", "r")).await;
             assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
         },
     );
 }
 
-/// Calls in a second that the platform takes while all hosts come back.
-const SCARCE: u32 = 5;
+/// Calls a second that the platform serves while all hosts restart.
+const CALLS_PER_SECOND: u32 = 5;
 
 #[test]
-fn all_hosts_restarted_at_once_recover_from_a_platform_with_a_rate_limit() {
+fn simultaneous_restart_recovers_with_rate_limited_platform() {
     with_fleet(
         |_| {},
         async |running| {
-            let scarce = Faults { calls_per_second: SCARCE, ..Faults::default() };
+            let rate_limited = Faults { calls_per_second: CALLS_PER_SECOND, ..Faults::default() };
             for part in ["rows", "objects", "hosts"] {
-                running.fleet.fault(part, &scarce).await.unwrap();
+                running.fleet.fault(part, &rate_limited).await.unwrap();
             }
             for host in &mut running.fleet.hosts {
                 host.running.as_mut().unwrap().ask_stop();
@@ -131,19 +132,20 @@
             let all: u32 = running.configuration.backend_servers.iter().map(|b| b.slots).sum();
             let wait = Duration::from_secs(20);
             let recovered = |s: &_| in_force(s, 1, 3) && slots(s) == all;
-            let took = operator.wait(wait, "all is owned again", recovered).await.unwrap();
-            println!("recovered after {took:?} with {SCARCE} calls a second");
-            let answer = running.ask(2, request(Method::GET, "status", "r")).await;
+            let recovery_time =
+                operator.wait(wait, "all servers are owned again", recovered).await.unwrap();
+            println!("recovered after {recovery_time:?} with {CALLS_PER_SECOND} calls a second");
+            let answer = running.send_to(2, request(Method::GET, "status", "r")).await;
             assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
         },
     );
 }
 
 #[test]
-fn a_body_crosses_a_link_at_its_limit() {
+fn body_over_link_keeps_its_byte_limit() {
     const LIMIT: u64 = 400_000;
     let bounded = |c: &mut elmstream_config::Configuration| {
-        // The service's only server stands in the south; callers are the north's.
+        // The service's only server is in the south; the callers are in the north.
         c.backend_servers.retain(|b| b.name != "release-1");
         c.sites.push(Site {
             name: "town".into(),
@@ -163,56 +165,60 @@
             .header("host", "test")
             .header("elmstream-service", "release")
             .body(body::full(vec![7u8; LIMIT as usize]));
-        let begin = Instant::now();
-        let answer = running.ask(0, upload.unwrap()).await;
+        let started_at = Instant::now();
+        let answer = running.send_to(0, upload.unwrap()).await;
         assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
-        // One service of three has a server in the south, and its owner has all
-        // parts of its caps: it may use the whole limit, less the bucket's depth.
-        assert!(begin.elapsed() > Duration::from_millis(900), "{:?}", begin.elapsed());
-        assert!(begin.elapsed() < Duration::from_secs(2), "{:?}", begin.elapsed());
+        // Only one of three services has a server in the south, and one host owns it, so the host
+        // may use the whole limit. The bucket's depth is sent at once.
+        assert!(started_at.elapsed() > Duration::from_millis(900), "{:?}", started_at.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
     });
 }
 
 #[test]
-fn a_cut_answer_is_never_taken_as_whole() {
+fn truncated_answer_is_never_passed_on_as_complete() {
     with_fleet(
         |_| {},
         async |running| {
             let truncate = Behaviour { truncate: true, ..Behaviour::default() };
-            behave(running, &truncate).await;
+            set_release_behaviour(running, &truncate).await;
             for host in 0..3 {
-                let answer = running.ask(host, request(Method::POST, "release", "cut")).await;
-                assert_eq!(answer.body, None, "the cut is visible through host {host}");
+                let answer = running.send_to(host, request(Method::POST, "release", "cut")).await;
+                assert_eq!(answer.body, None, "the truncation is visible through host {host}");
             }
         },
     );
 }
 
 #[test]
-fn a_server_that_sheds_gives_not_run_and_one_that_hangs_gives_unknown() {
+fn shed_request_is_not_run_and_hung_request_is_unknown() {
     with_fleet(
         |_| {},
         async |running| {
-            behave(running, &Behaviour { shed: true, ..Behaviour::default() }).await;
-            let answer = running.ask(0, request(Method::POST, "release", "shed")).await;
+            set_release_behaviour(running, &Behaviour { shed: true, ..Behaviour::default() }).await;
+            let answer = running.send_to(0, request(Method::POST, "release", "shed")).await;
             assert_eq!(answer.code(), Some(1113), "{answer:?}");
             assert_eq!(answer.header("elmstream-outcome"), Some("not-run"));
             assert!(answer.header("retry-after").is_some());
-            assert_eq!(release_runs(running).await, 0);
+            assert_eq!(release_run_count(running).await, 0);
 
-            behave(running, &Behaviour { hung: true, ..Behaviour::default() }).await;
-            let begin = Instant::now();
+            set_release_behaviour(running, &Behaviour { hung: true, ..Behaviour::default() }).await;
+            let started_at = Instant::now();
             let hung = with_headers(Method::POST, "release", &[("elmstream-timeout-ms", "300")]);
-            let answer = running.ask(0, hung).await;
+            let answer = running.send_to(0, hung).await;
             assert_eq!(answer.header("elmstream-outcome"), Some("unknown"), "{answer:?}");
-            assert!(begin.elapsed() < Duration::from_millis(1_500), "{:?}", begin.elapsed());
-            assert_eq!(release_runs(running).await, 1, "it was dispatched once");
+            assert!(
+                started_at.elapsed() < Duration::from_millis(1_500),
+                "{:?}",
+                started_at.elapsed()
+            );
+            assert_eq!(release_run_count(running).await, 1, "the request was dispatched once");
         },
     );
 }
 
-/// A ticket of an entry host for a service.
-async fn ticket(running: &support::Running, host: usize, service: &str) -> String {
+/// Gets a ticket for a service from an entry host.
+async fn issue_ticket(running: &support::Running, host: usize, service: &str) -> String {
     let address = running.fleet.hosts[host].settings.listen.callers;
     let page = get(address, &format!("/v1/lookup?service={service}&tickets=1")).await.unwrap();
     let answer: serde_json::Value = serde_json::from_slice(&page).unwrap();
@@ -220,73 +226,74 @@
 }
 
 #[test]
-fn a_second_try_with_a_ticket_never_runs_again() {
+fn repeated_request_with_ticket_never_runs_again() {
     with_fleet(
         |_| {},
         async |running| {
-            let ticket = ticket(running, 0, "release").await;
-            let try_it = || with_headers(Method::POST, "release", &[("elmstream-ticket", &ticket)]);
-            let first = running.ask(1, try_it()).await;
+            let ticket = issue_ticket(running, 0, "release").await;
+            let ticketed_request =
+                || with_headers(Method::POST, "release", &[("elmstream-ticket", &ticket)]);
+            let first = running.send_to(1, ticketed_request()).await;
             assert_eq!(
                 first.header("elmstream-outcome"),
                 Some("ran"),
-                "brought to host 0: {first:?}"
+                "forwarded to host 0: {first:?}"
             );
             for host in 0..3 {
-                let again = running.ask(host, try_it()).await;
-                assert_eq!(again.code(), Some(1305), "{again:?}");
-                assert_eq!(again.header("elmstream-outcome"), Some("unknown"));
+                let repeated = running.send_to(host, ticketed_request()).await;
+                assert_eq!(repeated.code(), Some(1305), "{repeated:?}");
+                assert_eq!(repeated.header("elmstream-outcome"), Some("unknown"));
             }
-            assert_eq!(release_runs(running).await, 1);
+            assert_eq!(release_run_count(running).await, 1);
 
             running.fleet.hosts[0].running.take().unwrap().stop().unwrap();
-            let again = running.ask(1, try_it()).await;
-            assert_eq!(again.code(), Some(1304), "the issuer is gone: {again:?}");
-            assert_eq!(release_runs(running).await, 1);
+            let repeated = running.send_to(1, ticketed_request()).await;
+            assert_eq!(repeated.code(), Some(1304), "the issuer is gone: {repeated:?}");
+            assert_eq!(release_run_count(running).await, 1);
             let forged = ticket.replacen(|c: char| c.is_ascii_digit(), "a", 1);
             let bad = with_headers(Method::POST, "release", &[("elmstream-ticket", &forged)]);
-            assert_eq!(running.ask(1, bad).await.code(), Some(1301));
+            assert_eq!(running.send_to(1, bad).await.code(), Some(1301));
         },
     );
 }
 
 #[test]
-fn a_claim_row_lets_one_try_run_and_a_refused_one_be_tried_again() {
+fn claimed_request_runs_once_and_refused_one_can_be_retried() {
     let claim = |c: &mut elmstream_config::Configuration| c.services[1].once = Once::Claim;
     with_fleet(claim, async |running| {
-        let nameless = with_headers(Method::POST, "release", &[]);
-        assert_eq!(running.ask(0, nameless).await.code(), Some(1001));
+        let without_request_id = with_headers(Method::POST, "release", &[]);
+        assert_eq!(running.send_to(0, without_request_id).await.code(), Some(1001));
 
-        behave(running, &Behaviour { shed: true, ..Behaviour::default() }).await;
-        let refused = running.ask(0, request(Method::POST, "release", "o-1")).await;
+        set_release_behaviour(running, &Behaviour { shed: true, ..Behaviour::default() }).await;
+        let refused = running.send_to(0, request(Method::POST, "release", "o-1")).await;
         assert_eq!(refused.header("elmstream-outcome"), Some("not-run"));
-        behave(running, &Behaviour::default()).await;
+        set_release_behaviour(running, &Behaviour::default()).await;
 
         let faults = Faults { lose_answers: 1, ..Faults::default() };
         running.fleet.fault("rows", &faults).await.unwrap();
-        let ran = running.ask(1, request(Method::POST, "release", "o-1")).await;
+        let ran = running.send_to(1, request(Method::POST, "release", "o-1")).await;
         assert_eq!(ran.header("elmstream-outcome"), Some("ran"), "{ran:?}");
-        let again = running.ask(0, request(Method::POST, "release", "o-1")).await;
-        assert_eq!(again.code(), Some(1306));
-        assert_eq!(release_runs(running).await, 1);
+        let repeated = running.send_to(0, request(Method::POST, "release", "o-1")).await;
+        assert_eq!(repeated.code(), Some(1306));
+        assert_eq!(release_run_count(running).await, 1);
 
-        running.fleet.fault("rows", &down()).await.unwrap();
-        let unknown = running.ask(0, request(Method::POST, "release", "o-2")).await;
+        running.fleet.fault("rows", &unavailable()).await.unwrap();
+        let unknown = running.send_to(0, request(Method::POST, "release", "o-2")).await;
         assert_eq!(unknown.code(), Some(1307));
-        assert_eq!(release_runs(running).await, 1, "nothing runs without its claim");
+        assert_eq!(release_run_count(running).await, 1, "a request without a claim must not run");
     });
 }
 
 #[test]
-fn bad_input_gets_its_code_and_the_daemon_stays_up() {
+fn invalid_input_gets_its_code_and_daemon_keeps_running() {
     with_fleet(
         |_| {},
         async |running| {
             let callers = running.fleet.hosts[0].settings.listen.callers;
-            let unknown = running.ask(0, request(Method::GET, "nobody", "r")).await;
+            let unknown = running.send_to(0, request(Method::GET, "nobody", "r")).await;
             assert_eq!(unknown.code(), Some(1002));
             let timeout = with_headers(Method::GET, "status", &[("elmstream-timeout-ms", "soon")]);
-            assert_eq!(running.ask(0, timeout).await.code(), Some(1001));
+            assert_eq!(running.send_to(0, timeout).await.code(), Some(1001));
             let giant = "x".repeat(200_000);
             let giant = with_headers(Method::GET, "status", &[("giant", &giant)]);
             assert_eq!(send(callers, giant).await.map(|a| a.status).unwrap_or(431), 431);
@@ -298,20 +305,20 @@
                 .header("content-length", "100")
                 .body(body::stream(futures_util::stream::iter(chunks)))
                 .unwrap();
-            assert!(send(callers, short).await.is_err(), "the caller cut its own request");
+            assert!(send(callers, short).await.is_err(), "the caller aborted its own request");
 
             let mut stream = compio::net::TcpStream::connect(callers).await.unwrap();
             use compio::io::AsyncWriteExt;
             stream.write_all("NONSENSE\r\n\r\n").await.unwrap();
 
-            let after = running.ask(0, request(Method::GET, "status", "r")).await;
+            let after = running.send_to(0, request(Method::GET, "status", "r")).await;
             assert_eq!(after.header("elmstream-outcome"), Some("ran"), "{after:?}");
         },
     );
 }
 
 #[test]
-fn a_wrong_token_and_a_bad_configuration_change_nothing() {
+fn wrong_token_and_invalid_configuration_change_nothing() {
     with_fleet(
         |_| {},
         async |running| {
@@ -334,7 +341,7 @@
 }
 
 #[test]
-fn a_host_without_the_cluster_key_gets_nothing() {
+fn host_without_cluster_key_is_refused() {
     with_fleet(
         |_| {},
         async |running| {
@@ -355,7 +362,7 @@
 }
 
 #[test]
-fn a_tool_with_another_authority_trusts_no_host() {
+fn operator_with_other_authority_trusts_no_host() {
     with_fleet(
         |_| {},
         async |running| {
--- a/elmstreamd/tests/support/mod.rs
+++ b/elmstreamd/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet for tests, and requests to it.
+//! Runs tests against a small fleet, and sends requests to it.
 
 use std::{
     env,
@@ -18,17 +18,17 @@
 use elmstream_standin::platform::Faults;
 use http::{Method, Request};
 
-/// A running fleet and its operator.
+/// A running fleet with a connected operator.
 pub struct Running {
     pub fleet: Fleet,
     pub operator: Operator,
     pub configuration: elmstream_config::Configuration,
 }
 
-/// Writes each panic past the harness's capture.
+/// Writes panic messages to standard error, past the capture of the test harness.
 ///
-/// The runtime aborts the process when a panic unwinds through one of its
-/// handles, and what was captured up to then would be lost with it.
+/// The runtime aborts the process when a panic unwinds through one of its handles, and captured
+/// output would be lost.
 pub fn show_panics() {
     panic::set_hook(Box::new(|panic| {
         let name = thread::current().name().unwrap_or("a thread").to_owned();
@@ -36,7 +36,7 @@
     }));
 }
 
-/// Runs a test against a fleet of its own, and stops the fleet.
+/// Starts a fleet with a changed configuration, runs a test against it, and stops it.
 pub fn with_fleet(
     change: impl FnOnce(&mut elmstream_config::Configuration),
     test: impl AsyncFnOnce(&mut Running),
@@ -61,24 +61,28 @@
 }
 
 impl Running {
-    /// Sends a request to an entry host.
-    pub async fn ask(&self, host: usize, request: Request<elmstream_http::LocalBody>) -> Answer {
+    /// Sends a request to the entry host with this index.
+    pub async fn send_to(
+        &self,
+        host: usize,
+        request: Request<elmstream_http::LocalBody>,
+    ) -> Answer {
         let address = self.fleet.hosts[host].settings.listen.callers;
         send(address, request).await.unwrap()
     }
 
-    /// Runs of a backend server so far.
+    /// Number of requests that a backend server has run.
     pub async fn runs(&self, backend: usize) -> u64 {
         self.fleet.seen(backend).await.unwrap().runs
     }
 }
 
-/// A request for a service.
+/// Builds a request to a service with a request id.
 pub fn request(method: Method, service: &str, id: &str) -> Request<elmstream_http::LocalBody> {
     with_headers(method, service, &[("elmstream-request-id", id)])
 }
 
-/// A request for a service with more headers.
+/// Builds a request to a service with additional headers.
 pub fn with_headers(
     method: Method,
     service: &str,
