--- a/elmstreamd/tests/processes.rs
+++ b/elmstreamd/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Kills, freezes and planned stops of real processes.
+//! Kills, freezes and planned stops of daemons that run as processes.
 
 #[allow(dead_code)]
 mod support;
@@ -28,13 +28,14 @@
 };
 use http::{Method, Request};
 
-/// Four hosts of one region, so that three witnesses are named.
-const HOSTS: [(&str, &str); 4] =
+/// Four hosts of one region, with their failure domains: enough for three witnesses.
+const ENTRY_HOSTS: [(&str, &str); 4] =
     [("p1", "north-a"), ("p2", "north-b"), ("p3", "north-a"), ("p4", "north-b")];
-/// Time for a takeover: silence, a swap, a lease of waiting, and a margin.
-const TAKEOVER_MAX: Duration = Duration::from_secs(10);
+/// Time for a takeover: detecting the failure, swapping the allotment row, waiting for the lease to
+/// expire, and a margin.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Daemons as processes. They are killed when this is dropped.
+/// A fleet whose daemons run as processes, which are killed when this is dropped.
 struct Processes {
     fleet: Option<Fleet>,
     daemons: Daemons,
@@ -53,26 +54,31 @@
 }
 
 impl Processes {
-    /// Four hosts of one region, each of which owns a server.
+    /// Starts four hosts of one region and waits until each owns a server.
     async fn start() -> Processes {
-        Processes::start_changed(|_| {}).await
+        Processes::start_with_change(|_| {}).await
     }
 
-    /// The same, with a change of the configuration.
-    async fn start_changed(change: impl FnOnce(&mut Configuration)) -> Processes {
+    /// Starts four hosts of one region with a changed configuration.
+    async fn start_with_change(change: impl FnOnce(&mut Configuration)) -> Processes {
         let one_region = |c: &mut Configuration| {
             c.backend_servers.retain(|b| b.failure_domain != "south-a");
             change(c);
         };
-        let mut processes = Processes::start_with(&HOSTS, one_region).await;
-        let each_owns = |s: &StatusReply| {
+        let mut processes = Processes::start_with(&ENTRY_HOSTS, one_region).await;
+        let each_owns_a_server = |s: &StatusReply| {
             let owns = |host: &str| s.ownership.iter().any(|o| o.owner.starts_with(host));
-            s.settled && HOSTS.iter().all(|(host, _)| owns(&format!("{host}#")))
+            s.settled && ENTRY_HOSTS.iter().all(|(host, _)| owns(&format!("{host}#")))
         };
-        processes.operator.wait(TAKEOVER_MAX, "each host owns one", each_owns).await.unwrap();
+        processes
+            .operator
+            .wait(TAKEOVER_TIMEOUT, "each host owns a server", each_owns_a_server)
+            .await
+            .unwrap();
         processes
     }
 
+    /// Starts the given hosts with a changed configuration.
     async fn start_with(
         hosts: &[(&str, &str)],
         change: impl FnOnce(&mut Configuration),
@@ -102,28 +108,29 @@
         self.daemons.signal(host, name).unwrap();
     }
 
-    /// Waits until none of a host's servers is named as its own any more.
+    /// Waits until a host owns no server any more and all slots have an owner; returns the time
+    /// that it took.
     async fn wait_taken_over(&mut self, host: usize) -> Duration {
-        let name = format!("{}#", HOSTS[host].0);
+        let name = format!("{}#", ENTRY_HOSTS[host].0);
         let wanted = small::SLOTS * 4;
         let taken = |s: &StatusReply| {
-            let named = s.ownership.iter().any(|o| o.owner.starts_with(&name));
+            let still_owner = s.ownership.iter().any(|o| o.owner.starts_with(&name));
             let slots: u32 = s.services.iter().map(|s| s.slots).sum();
-            !named && s.settled && slots == wanted
+            !still_owner && s.settled && slots == wanted
         };
-        self.operator.wait(TAKEOVER_MAX, "takeover", taken).await.unwrap()
+        self.operator.wait(TAKEOVER_TIMEOUT, "takeover", taken).await.unwrap()
     }
 
-    /// A host besides the operator's, and the index of the server it owns.
-    async fn owner(&mut self) -> (usize, usize) {
+    /// A host other than the operator's, and the index of the server that it owns.
+    async fn choose_victim(&mut self) -> (usize, usize) {
         let status = self.operator.status().await.unwrap();
-        // It stands in north-a, whose servers' services end requests before a
-        // takeover; an uploading one of north-b would hand them to the new owner.
+        // The host is in north-a, where requests of the servers' services end before a takeover. A
+        // server of north-b for uploads would still run them for the new owner.
         let victim = 2;
-        let name = format!("{}#", HOSTS[victim].0);
+        let name = format!("{}#", ENTRY_HOSTS[victim].0);
         let owned = status.ownership.iter().find(|o| o.owner.starts_with(&name)).unwrap();
         let server = small::BACKENDS.iter().position(|b| b.0 == owned.backend_server).unwrap();
-        assert_eq!(small::BACKENDS[server].2, HOSTS[victim].1);
+        assert_eq!(small::BACKENDS[server].2, ENTRY_HOSTS[victim].1);
         (victim, server)
     }
 }
@@ -137,90 +144,100 @@
         .unwrap()
 }
 
-/// Requests that even a busy machine has to get through while the owner is dead.
-const ASKED_MIN: u32 = 10;
+/// Requests that must have been sent while the owner is dead, even on a busy machine.
+const SENT_MIN: u32 = 10;
 
 #[test]
-fn a_killed_host_is_taken_over_and_the_others_serve_on() {
+fn killed_host_is_taken_over_while_others_serve() {
     Runtime::new().unwrap().block_on(async {
         let mut processes = Processes::start().await;
-        let (victim, _) = processes.owner().await;
-        let begin = Instant::now();
+        let (victim, _) = processes.choose_victim().await;
+        let started_at = Instant::now();
         processes.signal(victim, "-KILL");
-        let (mut ran, mut asked) = (0, 0);
-        while begin.elapsed() < Duration::from_secs(2) {
-            asked += 1;
+        let (mut ran, mut sent) = (0, 0);
+        while started_at.elapsed() < Duration::from_secs(2) {
+            sent += 1;
             let callers = processes.fleet().hosts[0].settings.listen.callers;
             let get = Request::get("/").header("host", "t").header("elmstream-service", "status");
             let answer = send(callers, get.body(body::empty()).unwrap()).await.unwrap();
             ran += u32::from(answer.header("elmstream-outcome") == Some("ran"));
             compio::time::sleep(Duration::from_millis(20)).await;
         }
-        // A part, as on a busy machine fewer requests fit into the time.
-        let served = asked >= ASKED_MIN && ran * 3 > asked;
-        assert!(served, "{ran} of {asked} requests ran while the owner was dead");
-        let took = processes.wait_taken_over(victim).await + Duration::from_secs(2);
-        println!("taken over after {took:?}");
+        // Only a third must run, as fewer requests fit into the time on a busy machine.
+        let served = sent >= SENT_MIN && ran * 3 > sent;
+        assert!(served, "{ran} of {sent} requests ran while the owner was dead");
+        let takeover_time = processes.wait_taken_over(victim).await + Duration::from_secs(2);
+        println!("taken over after {takeover_time:?}");
     });
 }
 
-/// Requests that are sent through the host that is frozen: more than its slots.
-const LATE: u32 = 20;
-/// Time that each of them runs, in milliseconds: so long that most still wait
-/// when the host is frozen.
+/// Requests that are sent to the host before it is frozen: more than it has slots.
+const LATE_REQUESTS: u32 = 20;
+/// Time that each of these requests runs, in milliseconds: long enough that most of them are still
+/// queued when the host is frozen.
 const LATE_RUN_MS: u64 = 1_500;
-/// Time for a host that woke to do what it still would.
-const AWAKE: Duration = Duration::from_secs(2);
+/// Time in which a host that woke up would run the requests that it still has.
+const TIME_AFTER_WAKING: Duration = Duration::from_secs(2);
 
-/// What the backend servers saw of a host that was frozen and woke.
-struct Woken {
+/// What the backend servers saw of a host that was frozen and woke up.
+struct FreezeObservation {
     /// Time from the first request to the freeze.
-    frozen_after: Duration,
-    /// What each server saw until the host was taken over.
+    freeze_delay: Duration,
+    /// What each server had seen when the host was taken over.
     before: Vec<Seen>,
-    /// The same once the host had been awake for a while.
+    /// What each server had seen after the host had been awake for a while.
     after: Vec<Seen>,
 }
 
-impl Woken {
-    /// Freezes `victim` once so many of its requests run and the others wait,
-    /// and wakes it after it was taken over.
-    async fn of(processes: &mut Processes, victim: usize, service: &str, running: u32) -> Woken {
+impl FreezeObservation {
+    /// Freezes `victim` once `running` of its requests run and the others wait, and wakes it after
+    /// it was taken over.
+    async fn freeze(
+        processes: &mut Processes,
+        victim: usize,
+        service: &str,
+        running: u32,
+    ) -> FreezeObservation {
         for index in 0..small::BACKENDS.len() {
             let slow = Behaviour { run_ms: LATE_RUN_MS, ..Behaviour::default() };
             processes.fleet().behave(index, &slow).await.unwrap();
         }
-        let begin = Instant::now();
+        let started_at = Instant::now();
         let callers = processes.fleet().hosts[victim].settings.listen.callers;
-        for number in 0..LATE {
+        for number in 0..LATE_REQUESTS {
             let request = post(service, &format!("late-{number}"));
             compio::runtime::spawn(async move {
                 let _ = send(callers, request).await;
             })
             .detach();
         }
-        // One that is still on its way would be new to the host when it wakes.
-        let all_there = |s: &StatusReply| {
-            let is_there = |s: &ServiceStatus| s.in_flight == running && s.queued == LATE - running;
-            s.services.iter().any(|s| s.service == service && is_there(s))
+        // A request that arrives after the freeze would be a new one to the host when it wakes.
+        let all_arrived = |s: &StatusReply| {
+            let has_arrived =
+                |s: &ServiceStatus| s.in_flight == running && s.queued == LATE_REQUESTS - running;
+            s.services.iter().any(|s| s.service == service && has_arrived(s))
         };
-        processes.operator.wait(TAKEOVER_MAX, "all there", all_there).await.unwrap();
+        processes
+            .operator
+            .wait(TAKEOVER_TIMEOUT, "all requests arrived", all_arrived)
+            .await
+            .unwrap();
         processes.signal(victim, "-STOP");
-        let frozen_after = begin.elapsed();
+        let freeze_delay = started_at.elapsed();
         processes.wait_taken_over(victim).await;
-        let before = all_seen(processes.fleet()).await;
+        let before = seen_by_all(processes.fleet()).await;
         processes.signal(victim, "-CONT");
-        compio::time::sleep(AWAKE).await;
-        let after = all_seen(processes.fleet()).await;
-        Woken { frozen_after, before, after }
+        compio::time::sleep(TIME_AFTER_WAKING).await;
+        let after = seen_by_all(processes.fleet()).await;
+        FreezeObservation { freeze_delay, before, after }
     }
 
-    /// What holds however the requests lay: nothing runs after the host woke, no
-    /// server gets more than its slots, and none of the requests runs twice.
+    /// Checks what must hold wherever the requests were queued: nothing runs after the host woke up,
+    /// no server gets more requests than it has slots, and no request runs twice.
     fn check(&self, service: &str) {
         let runs = |seen: &[Seen]| seen.iter().map(|s| s.runs).collect::<Vec<_>>();
         let (before, after) = (runs(&self.before), runs(&self.after));
-        assert_eq!(after, before, "the late holder of {service} ran nothing after it woke");
+        assert_eq!(after, before, "the former owner of {service} must run nothing after waking");
         let mut runs_of = HashMap::<&String, u32>::new();
         for seen in &self.after {
             assert!(seen.in_flight_max <= small::SLOTS, "{seen:?}");
@@ -229,12 +246,12 @@
                 *runs_of.entry(id).or_default() += runs;
             }
         }
-        // A server knows only its own; a second run may be another's.
+        // Each server only counts its own runs, so runs of a request are summed over all servers.
         assert!(runs_of.values().all(|&runs| runs == 1), "{runs_of:?}");
     }
 }
 
-async fn all_seen(fleet: &Fleet) -> Vec<Seen> {
+async fn seen_by_all(fleet: &Fleet) -> Vec<Seen> {
     let mut all = Vec::new();
     for index in 0..small::BACKENDS.len() {
         all.push(fleet.seen(index).await.unwrap());
@@ -242,64 +259,73 @@
     all
 }
 
-/// Lets a backend server serve another service.
-fn serve(c: &mut Configuration, server: &str, service: &str) {
+/// Assigns a backend server to another service.
+fn set_service(c: &mut Configuration, server: &str, service: &str) {
     let server = c.backend_servers.iter_mut().find(|b| b.name == server).unwrap();
     server.service = service.into();
 }
 
-/// The frozen host owns the only server of its service, so all requests wait there.
+/// Guards against a host that runs queued requests after it was frozen, taken over and woken.
 ///
-/// With a second owner in the region, 12 runs were counted for 4: the host had
-/// heard of that owner and sent it some of the requests; four of them ran there
-/// at once and four more after the freeze, as a live owner runs what it admitted.
+/// The frozen host owns the only server of its service, so that all requests wait there. With a
+/// second owner in the region, the host would forward some of the requests to it, and that owner
+/// would run them during the freeze, so that more than the host's 4 running requests are counted.
 #[test]
-fn a_frozen_host_that_wakes_runs_nothing_more() {
+fn frozen_host_runs_nothing_after_waking() {
     Runtime::new().unwrap().block_on(async {
-        let alone = |c: &mut Configuration| serve(c, "status-2", "intake");
-        let mut processes = Processes::start_changed(alone).await;
-        let (victim, server) = processes.owner().await;
+        let sole_owner = |c: &mut Configuration| set_service(c, "status-2", "intake");
+        let mut processes = Processes::start_with_change(sole_owner).await;
+        let (victim, server) = processes.choose_victim().await;
         let service = small::BACKENDS[server].1;
-        let woken = Woken::of(&mut processes, victim, service, small::SLOTS).await;
-        woken.check(service);
-        let mut only_running = vec![0; small::BACKENDS.len()];
-        only_running[server] = u64::from(small::SLOTS);
-        let before: Vec<u64> = woken.before.iter().map(|s| s.runs).collect();
-        let after = woken.frozen_after;
-        assert_eq!(before, only_running, "what ran when it froze, {after:?} after the first");
+        let observation =
+            FreezeObservation::freeze(&mut processes, victim, service, small::SLOTS).await;
+        observation.check(service);
+        let mut expected_runs = vec![0; small::BACKENDS.len()];
+        expected_runs[server] = u64::from(small::SLOTS);
+        let before: Vec<u64> = observation.before.iter().map(|s| s.runs).collect();
+        let after = observation.freeze_delay;
+        assert_eq!(
+            before, expected_runs,
+            "requests that ran before the freeze, {after:?} after the first request"
+        );
     });
 }
 
-/// The frozen host passed a part of its requests on to another owner, which goes
-/// on to run what it admitted; what waits at the frozen host itself never runs.
+/// Guards against requests that run twice, or late, if a host is frozen after it forwarded some of
+/// them. The other owner goes on to run what it admitted; requests that wait at the frozen host
+/// itself never run.
 #[test]
-fn what_a_frozen_host_passed_on_runs_once_and_the_rest_never() {
+fn requests_forwarded_by_frozen_host_run_once_and_queued_ones_never() {
     Runtime::new().unwrap().block_on(async {
-        let of_two_owners = |c: &mut Configuration| {
-            serve(c, "status-2", "intake");
-            serve(c, "release-1", "status");
+        let two_owners = |c: &mut Configuration| {
+            set_service(c, "status-2", "intake");
+            set_service(c, "release-1", "status");
         };
-        let mut processes = Processes::start_changed(of_two_owners).await;
-        let (victim, server) = processes.owner().await;
-        // A host that has not heard of the other owner keeps all for itself.
+        let mut processes = Processes::start_with_change(two_owners).await;
+        let (victim, server) = processes.choose_victim().await;
+        // The host forwards requests only once it has learned of the other owner.
         let mut at_victim = Operator::connect(processes.fleet(), victim).await.unwrap();
         let both_known = |s: &StatusReply| {
             s.services.iter().any(|s| s.service == "status" && s.slots == 2 * small::SLOTS)
         };
-        at_victim.wait(TAKEOVER_MAX, "both owners known", both_known).await.unwrap();
-        let woken = Woken::of(&mut processes, victim, "status", 2 * small::SLOTS).await;
-        woken.check("status");
-        let (own, after) = (woken.before[server].runs, woken.frozen_after);
+        at_victim.wait(TAKEOVER_TIMEOUT, "both owners known", both_known).await.unwrap();
+        let observation =
+            FreezeObservation::freeze(&mut processes, victim, "status", 2 * small::SLOTS).await;
+        observation.check("status");
+        let (own, after) = (observation.before[server].runs, observation.freeze_delay);
         let running = u64::from(small::SLOTS);
-        assert_eq!(own, running, "what ran there when it froze, {after:?} after the first");
+        assert_eq!(
+            own, running,
+            "requests that ran there before the freeze, {after:?} after the first request"
+        );
     });
 }
 
 #[test]
-fn a_planned_stop_cuts_nothing_and_exits_with_0() {
+fn planned_stop_aborts_no_request_and_exits_with_0() {
     Runtime::new().unwrap().block_on(async {
         let mut processes = Processes::start().await;
-        let (victim, server) = processes.owner().await;
+        let (victim, server) = processes.choose_victim().await;
         let service = small::BACKENDS[server].1;
         let load = Load {
             ask: processes.fleet().hosts.iter().map(|h| h.settings.listen.callers).collect(),
@@ -321,18 +347,19 @@
     });
 }
 
-/// Hosts of two regions; the operator's stands in the one that lives on.
+/// Hosts of two regions, with their failure domains. The operator's host is in the region that does
+/// not fail.
 const TWO_REGIONS: [(&str, &str); 4] =
     [("s1", "south-a"), ("s2", "south-a"), ("n1", "north-a"), ("n2", "north-b")];
-/// Requests a second that the callers of the north send.
-const DEMAND: u32 = 280;
-/// Requests in any second that may shift from north to south.
+/// Requests a second that the callers of region `north` send.
+const REQUESTS_PER_SECOND: u32 = 280;
+/// Most requests a second that may shift from `north` to `south`.
 const SHIFT_CAP: u32 = 150;
-/// Time in which the shift must stand.
-const SHIFT_IN: Duration = Duration::from_secs(5);
+/// Time in which the shift must have reached its full rate.
+const SHIFT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Demand of the north at 70% of its 400 requests a second: two servers of four
-/// slots, 20 ms a request. South has as much, and nothing to do.
+/// Two servers of four slots in `north`, which run 400 requests of 20 ms a second, 70% of which
+/// [`REQUESTS_PER_SECOND`] uses. `south` has as many slots and no load of its own.
 fn two_regions(c: &mut Configuration) {
     c.backend_servers.retain(|b| b.service == "status");
     let mut second = c.backend_servers[2].clone();
@@ -349,36 +376,39 @@
 }
 
 #[test]
-fn a_region_that_fails_at_70_percent_shifts_up_to_the_cap() {
+fn region_failing_at_70_percent_load_shifts_up_to_the_cap() {
     Runtime::new().unwrap().block_on(async {
         let processes = Processes::start_with(&TWO_REGIONS, two_regions).await;
         for index in 0..3 {
             let slow = Behaviour { run_ms: 20, ..Behaviour::default() };
             processes.fleet().behave(index, &slow).await.unwrap();
         }
-        let ask = |hosts: &[usize]| {
+        let caller_addresses = |hosts: &[usize]| {
             let address = |&h: &usize| processes.fleet().hosts[h].settings.listen.callers;
             hosts.iter().map(address).collect::<Vec<_>>()
         };
         let load = |prefix: &str, seconds, targets| Load {
             targets,
             service: "status".into(),
-            per_second: DEMAND,
+            per_second: REQUESTS_PER_SECOND,
             duration: Duration::from_secs(seconds),
             method: Method::POST,
             body_bytes: 10,
             prefix: prefix.into(),
             ..Load::default()
         };
-        // Callers use the south's entry hosts, so that only the servers' region
-        // fails for them, and none of their own connections.
-        let before = caller::run(load("before", 3, ask(&[0, 1]))).await.summary();
+        // Callers use the entry hosts of `south`, so that they lose the servers of `north` but none
+        // of their own connections.
+        let before = caller::run(load("before", 3, caller_addresses(&[0, 1]))).await.summary();
         assert_eq!(before.whole, before.sent, "{before:?}");
         processes.signal(2, "-KILL");
         processes.signal(3, "-KILL");
-        let during = caller::run(load("during", SHIFT_IN.as_secs(), ask(&[0, 1]))).await.summary();
+        let during =
+            caller::run(load("during", SHIFT_TIMEOUT.as_secs(), caller_addresses(&[0, 1])))
+                .await
+                .summary();
         let seen_before = processes.fleet().seen(2).await.unwrap();
-        let after = caller::run(load("after", 5, ask(&[0, 1]))).await.summary();
+        let after = caller::run(load("after", 5, caller_addresses(&[0, 1]))).await.summary();
         let seen = processes.fleet().seen(2).await.unwrap();
         let rate = (seen.runs - seen_before.runs) as f64 / 5.0;
         println!("in the first 5 s: {during:?}\nafter them: {after:?}\nshifts a second: {rate}");
