--- a/elmctl/src/explain.rs
+++ b/elmctl/src/explain.rs
@@ -1,72 +1,76 @@
-//! Tells from a host's log why a request ended as it did.
+//! Explains from a host's event log why a request ended as it did.
 //!
-//! A log holds JSON lines (docs/OPERATIONS.md lists them); whatever a collector of
-//! logs put before the brace of a line is left out. What the host wrote of the
-//! request comes first, then what it believed of the servers that it tried and of
-//! what it depends on, with the time before the request's end.
+//! The log has JSON lines, which docs/OPERATIONS.md lists. Text before the opening brace of a line,
+//! such as that of a log collector, is ignored. The explanation has the lines of the request itself
+//! first, then the state changes of the servers that it was sent to and of what else the host
+//! depends on, with their times relative to the request's end.
 
 use elmstream::code::Code;
 use serde_json::Value;
 
-/// How long before and after the end of a request a belief is of interest.
-const BEFORE_MS: i64 = 60_000;
-const AFTER_MS: i64 = 10_000;
-/// Beliefs that are printed at most; the last ones count.
-const BELIEFS: usize = 16;
+/// Time before the end of a request from which state changes are shown, in milliseconds.
+const WINDOW_BEFORE_MS: i64 = 60_000;
+/// Time after the end of a request up to which state changes are shown, in milliseconds.
+const WINDOW_AFTER_MS: i64 = 10_000;
+/// Most state changes that are shown; the last ones are kept.
+const STATE_CHANGES_MAX: usize = 16;
 
-/// One line of a log.
+/// Line of a log: time in milliseconds since the Unix epoch, event name, and all fields.
 #[derive(Clone, Debug)]
 struct Line {
-    at: i64,
+    unix_ms: i64,
     event: String,
     fields: Value,
 }
 
-/// What the log says of a request, or of the roll-outs of a service; none if it knows neither.
+/// Explains a request by its id, or the roll-outs of a service by its name, in lines of text.
+/// `None` if the log has neither.
 pub fn explain<'a>(log: impl Iterator<Item = &'a str>, request: &str) -> Option<Vec<String>> {
     let lines: Vec<Line> = log.filter_map(parse).collect();
     let own: Vec<&Line> = lines.iter().filter(|line| line.fields["id"] == request).collect();
-    let Some(last) = own.last() else { return rollouts(&lines, request) };
-    let mut told = Vec::new();
+    let Some(last) = own.last() else { return explain_rollouts(&lines, request) };
+    let mut explanation = Vec::new();
     for line in &own {
-        told.extend(of_request(line));
+        explanation.extend(describe_request(line));
     }
-    told.push(format!("cause: {}", cause(last)));
-    let servers = servers(last);
-    let beliefs = lines.iter().filter(|line| bears(line, last, &servers));
-    let beliefs: Vec<String> = beliefs.map(|line| belief(line, last.at)).collect();
-    let skipped = beliefs.len().saturating_sub(BELIEFS);
-    told.push(match beliefs.is_empty() {
-        true => "the log says nothing else that bears on it".to_owned(),
-        false => "what the host believed, and when against the request's end:".to_owned(),
+    explanation.push(format!("cause: {}", describe_cause(last)));
+    let servers = tried_servers(last);
+    let state_changes = lines.iter().filter(|line| is_relevant(line, last, &servers));
+    let state_changes: Vec<String> =
+        state_changes.map(|line| state_change(line, last.unix_ms)).collect();
+    let omitted = state_changes.len().saturating_sub(STATE_CHANGES_MAX);
+    explanation.push(match state_changes.is_empty() {
+        true => "the log has no related state changes".to_owned(),
+        false => "related state changes, relative to the request's end:".to_owned(),
     });
-    told.extend(beliefs.into_iter().skip(skipped));
-    Some(told)
+    explanation.extend(state_changes.into_iter().skip(omitted));
+    Some(explanation)
 }
 
-/// What the log says of the roll-outs of a service; none if it knows of none.
-fn rollouts(lines: &[Line], service: &str) -> Option<Vec<String>> {
+/// Explains the roll-outs of a service. `None` if the log has none.
+fn explain_rollouts(lines: &[Line], service: &str) -> Option<Vec<String>> {
     let own: Vec<&Line> = lines
         .iter()
         .filter(|line| line.event.starts_with("rollout") && line.fields["service"] == service)
         .collect();
     let last = own.last()?;
-    let mut told: Vec<String> = own.iter().map(|line| belief(line, last.at)).collect();
-    told.drain(..told.len().saturating_sub(BELIEFS));
-    told.extend(own.iter().rev().find_map(|line| rollback(&line.fields)));
-    Some(told)
+    let mut explanation: Vec<String> =
+        own.iter().map(|line| state_change(line, last.unix_ms)).collect();
+    explanation.drain(..explanation.len().saturating_sub(STATE_CHANGES_MAX));
+    explanation.extend(own.iter().rev().find_map(|line| rollback_cause(&line.fields)));
+    Some(explanation)
 }
 
-/// Why a version was turned away, in words; none if the line does not tell.
-fn rollback(fields: &Value) -> Option<String> {
+/// Describes why a version was rolled back. `None` if the line is not about a roll-back.
+fn rollback_cause(fields: &Value) -> Option<String> {
     if fields["stage"] != "rolled_back" || fields["order"].is_null() {
         return None;
     }
     let Some(cause) = fields["cause"].as_object() else {
         let (good, bad) = (&fields["good"], &fields["bad"]);
         return Some(format!(
-            "cause: time was nearly over, and {good} good and {bad} bad answers were too few to \
-             trust the version, or its servers had too few slots"
+            "cause: the time limit was near, and {good} good and {bad} bad answers were too few to \
+             accept the version, or its servers had too few slots"
         ));
     };
     let usual = cause.get("usual").and_then(Value::as_f64).unwrap_or(0.0) * 100.0;
@@ -76,62 +80,66 @@
         _ => "over all routes".to_owned(),
     };
     Some(format!(
-        "cause: {} of {} answers of {} of its servers {route} failed or were slow, where {usual:.0}% \
-         count as usual by the other versions",
+        "cause: {} of {} answers of {} of its servers {route} failed or were slow; {usual:.0}% is \
+         usual for the other versions",
         field("bad"),
         field("bad").as_u64().unwrap_or(0) + field("good").as_u64().unwrap_or(0),
         field("servers"),
     ))
 }
 
+/// Parses a line of a log. `None` if it has no event with a time.
 fn parse(text: &str) -> Option<Line> {
     let fields: Value = serde_json::from_str(&text[text.find('{')?..]).ok()?;
-    let at = fields["unix_ms"].as_i64()?;
+    let unix_ms = fields["unix_ms"].as_i64()?;
     let event = fields["event"].as_str()?.to_owned();
-    Some(Line { at, event, fields })
+    Some(Line { unix_ms, event, fields })
 }
 
-/// The request's own line, in words.
-fn of_request(line: &Line) -> Vec<String> {
+/// Describes a line of the request itself.
+fn describe_request(line: &Line) -> Vec<String> {
     let fields = &line.fields;
-    let mut told = vec![format!(
+    let mut explanation = vec![format!(
         "{} with status {} after {} ms ({})",
         line.event,
         fields["status"],
         fields["took_ms"],
         code(fields)
     )];
-    told.push(format!(
-        "  route {}, service {}, configuration {}, the store confirmed {} ms before",
+    explanation.push(format!(
+        "  route {}, service {}, configuration {}, last confirmed by the store {} ms before",
         fields["route"], fields["service"], fields["version"], fields["stale_ms"]
     ));
     if let Some(workspace) = fields["workspace"].as_str().filter(|name| !name.is_empty()) {
-        told.push(format!("  of workspace {workspace}"));
+        explanation.push(format!("  of workspace {workspace}"));
     }
     if let Some(rate) = fields["rate_per_s"].as_f64() {
         let (burst, retry) = (&fields["burst"], &fields["retry_ms"]);
-        told.push(format!("  limit {rate} a second and {burst} on top, come back in {retry} ms"));
+        explanation.push(format!(
+            "  limit {rate} a second with a burst of {burst}, retry after {retry} ms"
+        ));
     }
     if let Some(ended) = fields["servers_ended"].as_u64() {
         let (ago, own) = (&fields["last_s_ago"], &fields["own"]);
-        told.push(format!(
-            "  {ended} servers ended under it, the last one {ago} s before; seen by this host: {own}"
+        explanation.push(format!(
+            "  {ended} servers crashed under it, the last one {ago} s before; seen by this host: {own}"
         ));
     }
     if let Some(servers) = fields["servers"].as_u64() {
         let load = &fields["load_percent"];
-        told.push(format!("  {servers} servers weighed, {load}% of their slots occupied"));
+        explanation
+            .push(format!("  {servers} servers considered, {load}% of their slots occupied"));
     }
     if let Some(spared) = fields["spared"].as_u64().filter(|spared| *spared > 0) {
-        told.push(format!("  {spared} servers left out for their rest or their limit"));
+        explanation.push(format!("  {spared} servers left out because of back-off or their limit"));
     }
     for tried in fields["tried"].as_array().into_iter().flatten() {
-        told.push(format!(
+        explanation.push(format!(
             "  sent to {}: {} after {} ms, {} requests there",
             tried["server"], tried["outcome"], tried["ms"], tried["occupied"]
         ));
     }
-    told
+    explanation
 }
 
 fn code(fields: &Value) -> String {
@@ -142,8 +150,8 @@
     }
 }
 
-/// The cause in one sentence.
-fn cause(line: &Line) -> String {
+/// Describes the cause in one sentence, given the last line of a request.
+fn describe_cause(line: &Line) -> String {
     let fields = &line.fields;
     let outcomes: Vec<&str> = fields["tried"]
         .as_array()
@@ -153,64 +161,76 @@
         .collect();
     let text = match (line.event.as_str(), outcomes.last().copied()) {
         ("refused", _) if fields["reason"] == "NoServer" => {
-            "no server of the service may be used: all are gone, leaving, evacuated or unreachable"
+            "no server of the service can be used: all are gone, leaving, evacuated or unreachable"
         }
         ("refused", _) if fields["reason"] == "Spared" => {
-            "each server that may take it asked this host for rest, or named a limit of which \
-             this host's part is used up"
+            "each server that could run it asked this host for a back-off, or set a limit of which \
+             this host's share is used up"
         }
         ("refused", _) => {
-            "at each server that may take it the wait would have outlasted the route's objective"
+            "at each server that could run it the wait would have exceeded the route's objective"
         }
         ("no_route", _) if fields["status"] == 503 => {
-            "no route fits, but what this host knew was old, so it said that it cannot tell"
+            "no route matches, but this host's configuration was stale, so it could not answer 404"
         }
-        ("no_route", _) => "no route of the configuration in force here fits",
+        ("no_route", _) => "no route of the configuration in force here matches",
         ("denied", _) if fields["status"] == 503 => {
-            "no key that it shows is known, but what this host knew was old, so it cannot tell"
+            "no presented key is known, but this host's configuration was stale, so it could not \
+             deny the request"
         }
         ("denied", _) => {
-            "the route asks for a key, and the configuration in force here lets none in"
+            "the route requires a key that the configuration in force here accepts, and the request \
+             has none"
         }
         ("harmful", _) => {
-            "servers ended one after another under requests with this content, so no other gets it"
+            "servers crashed one after another under requests with this content, so it is refused"
         }
         ("limited", _) if fields["status"] == 503 => {
-            "the host had just started and did not know the others yet, so it kept no limit"
+            "the host had just started and did not know the others yet, so it could not keep the \
+             limit"
+        }
+        ("limited", _) => "its workspace is over its limit, which counts the requests at all hosts",
+        ("left", _) => "the caller closed the connection before the answer arrived",
+        ("ended", _) => "the host was stopped, and the request had not ended within the grace time",
+        ("answered", _) => "a server answered; the status is the server's",
+        ("unknown", Some("silent")) => "the server did not answer within the request's time",
+        ("unknown", Some("server_ended")) => {
+            "the server crashed while it ran the request; it may have run"
         }
-        ("limited", _) => "its workspace is over its limit, which all hosts keep together",
-        ("left", _) => "the caller left before the answer came",
-        ("ended", _) => "the host was stopped, and its grace time was over before the request was",
-        ("answered", _) => "a server answered; the status is its own",
-        ("unknown", Some("silent")) => "the server did not answer in the request's time",
-        ("unknown", Some("server_ended")) => "the server ended under it; it may have run",
         ("unknown", Some("broken")) => {
-            "the connection broke, or the answer was cut or another request's; it may have run"
+            "the connection broke, or the answer was truncated or belonged to another request; it \
+             may have run"
+        }
+        (_, Some("no_connection")) => "the server accepted no connection; it did not run",
+        (_, Some("not_sent")) => {
+            "its time ran out before a connection was established; it did not run"
         }
-        (_, Some("no_connection")) => "the server took no connection; it did not run",
-        (_, Some("not_sent")) => "its time was over before a connection came up; it did not run",
-        (_, Some("full")) => "the server said that it is full; it did not run",
+        (_, Some("full")) => "the server reported that it is full; it did not run",
         (_, Some("elsewhere")) => "another server has the address now; it did not run",
         ("not_run_budget", _) => "servers did not run it, and the retry budget was used up",
-        _ => "its lines tell all that is known",
+        _ => "unknown; see the lines of the request above",
     };
     text.to_owned()
 }
 
-fn servers(line: &Line) -> Vec<String> {
+/// Servers that the request was sent to.
+fn tried_servers(line: &Line) -> Vec<String> {
     let tried = line.fields["tried"].as_array().into_iter().flatten();
     tried.filter_map(|tried| tried["server"].as_str().map(str::to_owned)).collect()
 }
 
-/// Whether a line tells what a request rested on, whose last line is given.
-fn bears(line: &Line, request: &Line, servers: &[String]) -> bool {
-    if line.at < request.at - BEFORE_MS || line.at > request.at + AFTER_MS {
+/// Whether a line is a state change that may have affected a request, given the last line of the
+/// request and the servers that it was sent to.
+fn is_relevant(line: &Line, request: &Line, servers: &[String]) -> bool {
+    if line.unix_ms < request.unix_ms - WINDOW_BEFORE_MS
+        || line.unix_ms > request.unix_ms + WINDOW_AFTER_MS
+    {
         return false;
     }
-    let named = |value: &Value| value.as_str().is_some_and(|id| servers.iter().any(|s| s == id));
+    let is_tried = |value: &Value| value.as_str().is_some_and(|id| servers.iter().any(|s| s == id));
     match line.event.as_str() {
-        "server" => named(&line.fields["server"]),
-        "servers" => line.fields["lost"].as_array().into_iter().flatten().any(named),
+        "server" => is_tried(&line.fields["server"]),
+        "servers" => line.fields["lost"].as_array().into_iter().flatten().any(is_tried),
         "host_heard" | "host_lost" | "refused" | "answered" | "unknown" | "left" | "ended"
         | "no_route" | "denied" | "limited" | "harmful" => false,
         "refuses" | "server_ended" | "let_in_again" => {
@@ -220,13 +240,14 @@
     }
 }
 
-fn belief(line: &Line, at: i64) -> String {
+/// Describes a state change, with its time relative to `unix_ms`.
+fn state_change(line: &Line, unix_ms: i64) -> String {
     let mut fields = line.fields.clone();
     if let Some(fields) = fields.as_object_mut() {
-        for known in ["unix_ms", "event", "lost", "dropped"] {
-            fields.remove(known);
+        for shown_elsewhere in ["unix_ms", "event", "lost", "dropped"] {
+            fields.remove(shown_elsewhere);
         }
     }
-    let seconds = (line.at - at) as f64 / 1_000.0;
+    let seconds = (line.unix_ms - unix_ms) as f64 / 1_000.0;
     format!("  {seconds:+.1} s {} {fields}", line.event)
 }
