--- a/elmctl/src/cli.rs
+++ b/elmctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The tool's command line.
+//! Command-line options and commands of the tool. Their doc comments are its help text.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -8,38 +8,38 @@
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 pub struct Options {
-    /// How an entry host is reached
+    /// Connection to an entry host
     #[bpaf(external)]
     pub connection: Connection,
-    /// What to do
+    /// Command to run
     #[bpaf(external)]
     pub command: Command,
 }
 
-/// How an entry host is reached.
+/// Connection to an entry host. Commands that contact a host need all three options.
 #[derive(Bpaf, Clone, Debug)]
 pub struct Connection {
-    /// An entry host's operators' address
+    /// Address of an entry host for operators
     #[bpaf(env("ELMSTREAM_OPERATORS"), argument("ADDRESS"), optional)]
     pub host: Option<SocketAddr>,
-    /// File with the cluster authority's certificate, PEM
+    /// File with the certificate of the cluster authority, PEM
     #[bpaf(env("ELMSTREAM_AUTHORITY"), argument("FILE"), optional)]
     pub authority: Option<PathBuf>,
-    /// File with the operator's token
+    /// File with the token of the operator
     #[bpaf(env("ELMSTREAM_TOKEN_FILE"), argument("FILE"), optional)]
     pub token_file: Option<PathBuf>,
 }
 
-/// What to do.
+/// Commands of the tool.
 #[derive(Bpaf, Clone, Debug)]
 pub enum Command {
     /// Replace the configuration
     #[bpaf(command)]
     Apply {
-        /// The revision that the change is based on
+        /// Revision that the change is based on; the change is refused if it is not the newest one
         #[bpaf(argument("REVISION"))]
         expect: u64,
-        /// Wait until it is in force on every live host
+        /// Wait until the change is in force on every live host
         wait: bool,
         /// File with the configuration, JSON
         #[bpaf(positional("FILE"))]
@@ -48,14 +48,14 @@
     /// Print the configuration in force
     #[bpaf(command)]
     Get,
-    /// Show what a file would change
+    /// Show the difference between a file and the configuration in force
     #[bpaf(command)]
     Diff {
         /// File with the configuration, JSON
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Check a configuration without any host
+    /// Check a configuration file without contacting a host
     #[bpaf(command)]
     Check {
         /// File with the configuration, JSON
@@ -65,64 +65,63 @@
     /// Drain a backend server, failure domain, region or entry host
     #[bpaf(command)]
     Drain {
-        /// backend-server, failure-domain, region or entry-host
+        /// Kind of the target: backend-server, failure-domain, region or entry-host
         #[bpaf(positional("KIND"))]
         kind: String,
-        /// Its name
+        /// Name of the target
         #[bpaf(positional("NAME"))]
         name: String,
     },
     /// End a drain
     #[bpaf(command)]
     Undrain {
-        /// backend-server, failure-domain, region or entry-host
+        /// Kind of the target: backend-server, failure-domain, region or entry-host
         #[bpaf(positional("KIND"))]
         kind: String,
-        /// Its name
+        /// Name of the target
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Show hosts, services, owners and what control uses
+    /// Show hosts, services, owners and the resources that the daemon uses
     #[bpaf(command)]
     Status {
-        /// Print JSON
+        /// Print as JSON
         json: bool,
     },
-    /// Tell why a request went where it did
+    /// Explain how a request was routed and why it ended as it did
     #[bpaf(command)]
     Explain {
-        /// A host's log to look the request up in, instead of asking a host; - for
-        /// standard input
+        /// Find the request in this log of a host, instead of asking a host; - for standard input
         #[bpaf(argument("FILE"), optional)]
         log: Option<PathBuf>,
-        /// The value of elmstream-request in the answer
+        /// Value of the header elmstream-request in the answer
         #[bpaf(positional("REQUEST"))]
         request: String,
     },
-    /// Tell what a look-up answers to a client, and why
+    /// Explain the answer to a client's look-up
     #[bpaf(command)]
     Lookup {
-        /// The service
+        /// Name of the service
         #[bpaf(positional("SERVICE"))]
         service: String,
-        /// The client's IP number
+        /// IP address of the client
         #[bpaf(positional("CLIENT"))]
         client: String,
     },
     /// Print the audit trail, newest first
     #[bpaf(command)]
     Audit {
-        /// Entries at most
+        /// Maximum number of entries
         #[bpaf(fallback(20), argument("COUNT"))]
         limit: u32,
     },
-    /// Make a cluster key and its authority's certificate
+    /// Create a cluster key and the certificate of its authority
     #[bpaf(command("new-key"))]
     NewKey {
-        /// File for the key, PEM; must not exist
+        /// File to write the key to, PEM; it must not exist
         #[bpaf(positional("KEY"))]
         key: PathBuf,
-        /// File for the certificate, PEM; must not exist
+        /// File to write the certificate to, PEM; it must not exist
         #[bpaf(positional("CERTIFICATE"))]
         certificate: PathBuf,
     },
--- a/elmctl/src/command.rs
+++ b/elmctl/src/command.rs
@@ -1,4 +1,4 @@
-//! Carries out one command.
+//! Execution of the commands.
 
 use std::{
     fs::{self, OpenOptions},
@@ -27,31 +27,32 @@
     explain, output,
 };
 
-/// Time to wait for a change to be in force everywhere.
-const WAIT_MAX: Duration = Duration::from_secs(30);
-/// Pause between two looks.
-const WAIT_PAUSE: Duration = Duration::from_millis(100);
-/// Name of a log that is read from standard input.
+/// Longest time to wait until a change is in force on every live host.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the status is polled meanwhile.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
-/// Mode of the key's file: for its owner only.
+/// Mode of the key file: only its owner may read it.
 const KEY_MODE: u32 = 0o600;
-/// Mode of the certificate's file.
+/// Mode of the certificate file, which everyone may read.
 const CERTIFICATE_MODE: u32 = 0o644;
 
-/// Carries out the command of the options.
+/// Runs the command of the options, and prints its result to standard output.
 pub async fn run(options: Options) -> Result<(), Error> {
     match options.command {
         Command::Check { file } => {
             read_configuration(&file)?;
-            println!("the configuration is good");
+            println!("the configuration is valid");
             Ok(())
         }
         Command::NewKey { key, certificate } => new_key(&key, &certificate),
-        Command::Explain { log: Some(log), request } => explain_by_log(&log, &request),
+        Command::Explain { log: Some(log), request } => explain_from_log(&log, &request),
         command => run_remote(&options.connection, command).await,
     }
 }
 
+/// Runs a command that contacts an entry host.
 async fn run_remote(connection: &Connection, command: Command) -> Result<(), Error> {
     let (client, token) = connection::connect(connection).await?;
     let mut session = Session { client, token };
@@ -73,13 +74,14 @@
     }
 }
 
-/// A connection and the token that goes with each call.
+/// Connection to an entry host, with the token that authenticates each call.
 struct Session {
     client: Client,
     token: AsciiMetadataValue,
 }
 
 impl Session {
+    /// Builds a request with the token.
     fn request<T>(&self, message: T) -> Request<T> {
         let mut request = Request::new(message);
         request.metadata_mut().insert("authorization", self.token.clone());
@@ -90,7 +92,7 @@
         let document = read_configuration(file)?.to_text();
         let request = self.request(ApplyRequest { expected_revision: expect, document });
         let reply = self.client.apply(request).await.map_err(refused)?.into_inner();
-        self.decided(reply, wait).await
+        self.handle_decision(reply, wait).await
     }
 
     async fn drain(&mut self, kind: String, name: String, undrain: bool) -> Result<(), Error> {
@@ -98,11 +100,12 @@
         let request = DrainRequest { expected_revision, kind, name, undrain };
         let request = self.request(request);
         let reply = self.client.drain(request).await.map_err(refused)?.into_inner();
-        self.decided(reply, true).await
+        self.handle_decision(reply, true).await
     }
 
-    /// Tells how a change was decided, and waits until it is in force.
-    async fn decided(&mut self, reply: ApplyReply, wait: bool) -> Result<(), Error> {
+    /// Prints that a change was accepted, or fails with its code. If `wait` is set, waits until the
+    /// change is in force.
+    async fn handle_decision(&mut self, reply: ApplyReply, wait: bool) -> Result<(), Error> {
         if reply.code != u32::from(Code::Ok.number()) {
             let message = format!("{} (revision {})", reply.message, reply.revision);
             return Err(error::coded(reply.code, message));
@@ -111,23 +114,27 @@
         if wait { self.wait_in_force(reply.revision).await } else { Ok(()) }
     }
 
+    /// Waits until a revision is in force on every live host, and prints the progress.
     async fn wait_in_force(&mut self, revision: u64) -> Result<(), Error> {
-        let begin = Instant::now();
-        let mut told = None;
-        while begin.elapsed() < WAIT_MAX {
+        let started_at = Instant::now();
+        let mut last_printed = None;
+        while started_at.elapsed() < WAIT_TIMEOUT {
             let status = self.status().await?;
             let live = status.hosts.iter().filter(|h| h.live);
             let total = live.clone().count();
-            let done = live.filter(|h| h.revision >= revision).count();
-            if told != Some((done, total)) {
-                println!("in force on {done} of {total} hosts after {:?}", begin.elapsed());
-                told = Some((done, total));
+            let confirmed = live.filter(|h| h.revision >= revision).count();
+            if last_printed != Some((confirmed, total)) {
+                println!(
+                    "in force on {confirmed} of {total} hosts after {:?}",
+                    started_at.elapsed()
+                );
+                last_printed = Some((confirmed, total));
             }
-            // A host that has just started may not know any host yet.
-            if done == total && total > 0 {
+            // A host that has just started may not know any live host yet.
+            if confirmed == total && total > 0 {
                 return Ok(());
             }
-            compio::time::sleep(WAIT_PAUSE).await;
+            compio::time::sleep(STATUS_POLL_INTERVAL).await;
         }
         let message = Code::WaitTimeout.text().to_owned();
         Err(error::coded(u32::from(Code::WaitTimeout.number()), message))
@@ -172,8 +179,8 @@
         let request = self.request(request);
         let reply = self.client.explain(request).await.map_err(refused)?.into_inner();
         if reply.code != 0 {
-            let known = u16::try_from(reply.code).ok().and_then(Code::from_number);
-            let message = known.map_or("", Code::text).to_owned();
+            let reply_code = u16::try_from(reply.code).ok().and_then(Code::from_number);
+            let message = reply_code.map_or("", Code::text).to_owned();
             return Err(error::coded(reply.code, message));
         }
         reply.lines.iter().for_each(|line| println!("{line}"));
@@ -200,18 +207,18 @@
     Configuration::parse(&text).context(ConfigurationSnafu)
 }
 
-/// Tells from a host's log why a request ended as it did.
-fn explain_by_log(log: &Path, request: &str) -> Result<(), Error> {
+/// Explains from a host's log why a request ended as it did. The log may have invalid UTF-8.
+fn explain_from_log(log: &Path, request: &str) -> Result<(), Error> {
     let text = match log == Path::new(STANDARD_INPUT) {
         true => io::read_to_string(io::stdin()),
         false => fs::read(log).map(|bytes| String::from_utf8_lossy(&bytes).into_owned()),
     };
     let text = text.context(FileSnafu { path: log })?;
-    let Some(told) = explain::explain(text.lines(), request) else {
+    let Some(lines) = explain::explain(text.lines(), request) else {
         let message = Code::NotFound.text().to_owned();
         return Err(error::coded(u32::from(Code::NotFound.number()), message));
     };
-    told.iter().for_each(|line| println!("{line}"));
+    lines.iter().for_each(|line| println!("{line}"));
     Ok(())
 }
 
@@ -222,7 +229,7 @@
     write_new(certificate, &certificate_pem, CERTIFICATE_MODE)
 }
 
-/// Writes a file that must not exist yet.
+/// Writes a new file; fails if it exists.
 fn write_new(path: &Path, text: &str, mode: u32) -> Result<(), Error> {
     let file = OpenOptions::new().write(true).create_new(true).mode(mode).open(path);
     let mut file = file.context(FileSnafu { path })?;
--- a/elmctl/src/connection.rs
+++ b/elmctl/src/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to an entry host's operators' address: HTTP/2 over TLS.
+//! Connection to an entry host's address for operators: gRPC over HTTP/2 and TLS.
 
 use std::{fs, future::Future, path::Path, pin::Pin, sync::Arc, time::Duration};
 
@@ -20,13 +20,13 @@
     error::{Error, FileSnafu, IdentitySnafu, MissingSnafu},
 };
 
-/// Time in which a connection must stand.
-const CONNECT: Duration = Duration::from_secs(5);
+/// Time in which the TCP connection must be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A client of one entry host.
+/// RPC client of one entry host.
 pub type Client = OperatorsClient<Channel>;
 
-/// Carries calls over one HTTP/2 connection.
+/// Transport that sends calls over one HTTP/2 connection.
 #[derive(Clone)]
 pub struct Channel(SendRequest<Body>);
 
@@ -47,14 +47,15 @@
     }
 }
 
-/// Connects as the options say. The token goes with each call.
+/// Connects to the host in the options. Returns the client and the value of the `authorization`
+/// header for each call. Fails if an option is missing or the host cannot be reached.
 pub async fn connect(options: &Connection) -> Result<(Client, AsciiMetadataValue), Error> {
     let address = options.host.ok_or(MissingSnafu { option: "host" }.build())?;
     let authority = read(options.authority.as_deref(), "authority")?;
     let token = read(options.token_file.as_deref(), "token-file")?;
     let mut config = client_of_authority(&authority).context(IdentitySnafu)?;
     config.alpn_protocols = vec![b"h2".to_vec()];
-    let connecting = compio::time::timeout(CONNECT, TcpStream::connect(address));
+    let connecting = compio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.map_err(unreachable)?.map_err(unreachable)?;
     stream.set_nodelay(true).map_err(unreachable)?;
     let connector = TlsConnector::from(Arc::new(config));
@@ -63,7 +64,7 @@
         hyper::client::conn::http2::handshake(LocalExecutor, HyperStream::new_tls(stream));
     let (sender, connection) = handshake.await.map_err(unreachable)?;
     compio::runtime::spawn(async move {
-        // A call in flight tells of the connection's error.
+        // An error of the connection is reported by the calls in flight.
         let _ = connection.await;
     })
     .detach();
--- a/elmctl/src/error.rs
+++ b/elmctl/src/error.rs
@@ -1,6 +1,6 @@
-//! Errors of the tool, each with its number, and the exit statuses.
+//! Errors of the tool with their numbers, and exit statuses.
 
-// The variants' texts say what their fields are.
+// The display texts of the variants explain their fields.
 #![allow(missing_docs)]
 
 use std::{io, path::PathBuf};
@@ -8,44 +8,44 @@
 use elmstream::code::Code;
 use snafu::Snafu;
 
-/// Exit status for bad usage or a bad file.
+/// Exit status for wrong usage or an invalid file.
 const EXIT_USAGE: u8 = 2;
-/// Exit status for a conflict with another change.
+/// Exit status for a change that conflicts with another one.
 const EXIT_CONFLICT: u8 = 3;
-/// Exit status where it is not known whether a change took effect.
+/// Exit status if it is unknown whether a change took effect.
 const EXIT_UNKNOWN: u8 = 4;
-/// Exit status for everything else.
+/// Exit status for all other errors.
 const EXIT_FAILURE: u8 = 1;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
     /// A file cannot be read or written.
     #[snafu(display("E4003 {}: {source}", path.display()))]
     File { path: PathBuf, source: io::Error },
-    /// A configuration does not pass its checks.
+    /// A configuration is invalid.
     #[snafu(display("{source}"))]
     Configuration { source: elmstream_config::Error },
-    /// An option that the command needs is missing.
-    #[snafu(display("E4003 the option --{option} is needed"))]
+    /// A required option is missing or has an unusable value.
+    #[snafu(display("E4003 the option --{option} is required"))]
     Missing { option: &'static str },
     /// A key or certificate cannot be used.
     #[snafu(display("E4003 {source}"))]
     Identity { source: elmstream_proto::identity::Error },
     /// The entry host cannot be reached.
-    #[snafu(display("E4001 the operators' address cannot be reached: {reason}"))]
+    #[snafu(display("E4001 the entry host cannot be reached: {reason}"))]
     Unreachable { reason: String },
-    /// The daemon refused the call or its reply was malformed.
+    /// The daemon refused the call, or its reply was malformed.
     #[snafu(display("{reason}"))]
     Refused { reason: String },
-    /// The daemon answered with a code.
+    /// The daemon replied with an error code.
     #[snafu(display("E{} {message}", code.number()))]
     Coded { code: Code, message: String },
 }
 
 impl Error {
-    /// The process's exit status.
+    /// Exit status of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::File { .. } | Error::Configuration { .. } | Error::Missing { .. } => EXIT_USAGE,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The code with this number, as an error with its message.
+/// Builds the error for a code number; an unknown number becomes [`Code::OperatorReply`].
 pub fn coded(number: u32, message: String) -> Error {
     let code = u16::try_from(number).ok().and_then(Code::from_number);
     Error::Coded { code: code.unwrap_or(Code::OperatorReply), message }
--- a/elmctl/src/lib.rs
+++ b/elmctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command-line tool, as a library.
+//! Command-line tool for operators, as a library so that tests can call its parts.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmctl/src/main.rs
+++ b/elmctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one command of the operators' tool.
+//! Program that runs one command of the operators' tool.
 
 use std::process::ExitCode;
 
--- a/elmctl/src/output.rs
+++ b/elmctl/src/output.rs
@@ -1,9 +1,9 @@
-//! How replies are printed.
+//! Printing of replies, as text or JSON.
 
 use elmstream_proto::operators::{AuditEntry, StatusReply};
 use serde_json::{Value, json};
 
-/// Prints the state for people.
+/// Prints the status as text.
 pub fn status(status: &StatusReply) {
     let isolated = if status.isolated { ", MAY BE BEHIND" } else { "" };
     println!("{}: revision {}{isolated}", status.host, status.revision);
@@ -45,7 +45,7 @@
     }
 }
 
-/// The state as JSON.
+/// Returns the status as a JSON object.
 pub fn status_json(status: &StatusReply) -> Value {
     let hosts = status.hosts.iter().map(|h| {
         json!({"name": h.name, "region": h.region, "failure_domain": h.failure_domain,
@@ -70,7 +70,7 @@
     })
 }
 
-/// Prints one entry of the audit trail.
+/// Prints an entry of the audit trail and the edits of its change.
 pub fn audit_entry(entry: &AuditEntry) {
     let result = if entry.code == 0 { "accepted".into() } else { format!("E{}", entry.code) };
     println!("{} revision {} by {}: {result}", entry.unix_ms, entry.revision, entry.operator);
