--- a/elmctl/src/cli.rs
+++ b/elmctl/src/cli.rs
@@ -19,7 +19,7 @@
 /// Connection to an entry host. Commands that contact a host need all three options.
 #[derive(Bpaf, Clone, Debug)]
 pub struct Connection {
-    /// Address of an entry host for operators
+    /// Address at which an entry host serves operators
     #[bpaf(env("ELMSTREAM_OPERATORS"), argument("ADDRESS"), optional)]
     pub host: Option<SocketAddr>,
     /// File with the certificate of the cluster authority, PEM
@@ -30,7 +30,7 @@
     pub token_file: Option<PathBuf>,
 }
 
-/// Commands of the tool.
+/// Command to run.
 #[derive(Bpaf, Clone, Debug)]
 pub enum Command {
     /// Replace the configuration
@@ -94,7 +94,8 @@
         /// Find the request in this log of a host, instead of asking a host; - for standard input
         #[bpaf(argument("FILE"), optional)]
         log: Option<PathBuf>,
-        /// Value of the header elmstream-request in the answer
+        /// Value of the header elmstream-request in the answer; with --log also the name of a
+        /// service, to explain its roll-outs
         #[bpaf(positional("REQUEST"))]
         request: String,
     },
--- a/elmstreamd/src/daemon.rs
+++ b/elmstreamd/src/daemon.rs
@@ -68,7 +68,7 @@
     peer_streams: Rc<Cell<u32>>,
     poll_requested: Cell<bool>,
     poll_waker: RefCell<Option<oneshot::Sender<()>>>,
-    knows_domain: Cell<bool>,
+    is_domain_configured: Cell<bool>,
 }
 
 /// Counts a request or a stream as in flight until this is dropped.
@@ -120,14 +120,14 @@
             peer_streams: Rc::default(),
             poll_requested: Cell::new(false),
             poll_waker: RefCell::new(None),
-            knows_domain: Cell::new(true),
+            is_domain_configured: Cell::new(true),
             settings,
         }
     }
 
     /// Whether the configuration in force has this host's failure domain; true if none is in force.
-    pub fn knows_domain(&self) -> bool {
-        self.knows_domain.get()
+    pub fn is_domain_configured(&self) -> bool {
+        self.is_domain_configured.get()
     }
 
     /// Counts a request as in flight, or refuses it if the host is at its limit.
@@ -243,9 +243,9 @@
 
     /// Updates whether the configuration has this host's failure domain, and logs an error if not.
     pub fn check_domain(&self) {
-        let known = self.node.borrow().region().is_some();
-        self.knows_domain.set(known);
-        if !known {
+        let configured = self.node.borrow().region().is_some();
+        self.is_domain_configured.set(configured);
+        if !configured {
             let code = Code::SettingsDomain;
             log::error!(code = code.number(), failure_domain = self.settings.failure_domain;
                 "{}", code.text());
--- a/elmstreamd/src/lifecycle.rs
+++ b/elmstreamd/src/lifecycle.rs
@@ -119,7 +119,7 @@
     let daemon = build_daemon(settings, &identity, &key).await?;
     // The check of the failure domain needs the configuration.
     configuration::poll(&daemon).await;
-    if !daemon.knows_domain() {
+    if !daemon.is_domain_configured() {
         return DomainSnafu { name: daemon.settings.failure_domain.clone() }.fail();
     }
     let (tasks_stopper, tasks_stop) = Stopper::new();
--- a/elmstreamd/src/waits.rs
+++ b/elmstreamd/src/waits.rs
@@ -14,7 +14,7 @@
 /// Longest time that a wait goes without reading the clock, and so the most by which it ends late
 /// after a suspension. Most requests are answered sooner and so cost no extra wake-up of the
 /// runtime.
-pub const SLICE: Duration = Duration::from_millis(200);
+pub const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Extra time after a suspension in which the runtime can read what arrived during it.
 const WAKE_GRACE: Duration = Duration::from_millis(20);
 
@@ -40,7 +40,7 @@
     let mut future = pin!(future);
     loop {
         let began = now();
-        let slice = SLICE.min(Duration::from_micros(until.since(began)));
+        let slice = CLOCK_CHECK_INTERVAL.min(Duration::from_micros(until.since(began)));
         let pause = pin!(compio::time::sleep(slice));
         if let Either::Left((result, _)) = select(future.as_mut(), pause).await {
             return Some(result);
--- a/elmstreamd/tests/waits.rs
+++ b/elmstreamd/tests/waits.rs
@@ -10,10 +10,10 @@
 use elmstream::time::{SECOND, Time};
 use elmstreamd::{
     clock,
-    waits::{SLICE, within_by_clock},
+    waits::{CLOCK_CHECK_INTERVAL, within_by_clock},
 };
 
-/// Most by which a wait may end late, beyond its slice.
+/// Most by which a wait may end late, beyond the interval at which it reads the clock.
 const LATENESS_MAX: Duration = Duration::from_millis(150);
 /// Time from the start of a wait to the simulated suspension.
 const SUSPENDED_AT: Duration = Duration::from_millis(50);
@@ -44,7 +44,7 @@
         let (result, elapsed) = run_timed(within_by_clock(suspended_clock(seconds), until, never));
         assert!(result.is_none());
         assert!(
-            elapsed < SUSPENDED_AT + SLICE + LATENESS_MAX,
+            elapsed < SUSPENDED_AT + CLOCK_CHECK_INTERVAL + LATENESS_MAX,
             "suspended for {seconds} s: it took {elapsed:?}"
         );
     }
@@ -53,7 +53,7 @@
 #[test]
 fn unexpired_wait_goes_on_after_suspension() {
     let answer = async {
-        compio::time::sleep(SLICE * 2).await;
+        compio::time::sleep(CLOCK_CHECK_INTERVAL * 2).await;
         7
     };
     let (result, _) = run_timed(within_by_clock(suspended_clock(2), Time(10 * SECOND), answer));
@@ -66,7 +66,7 @@
     let was_read_in_future = was_read.clone();
     // The answer is only read in a later turn of the runtime.
     let answer = async move {
-        compio::time::sleep(SLICE).await;
+        compio::time::sleep(CLOCK_CHECK_INTERVAL).await;
         compio::time::sleep(Duration::from_millis(1)).await;
         was_read_in_future.set(true);
         7
