--- a/elmstreamd/src/answer.rs
+++ b/elmstreamd/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the system itself makes.
+//! Responses that the daemon itself generates, as opposed to those of backend servers.
 
 use elmstream::{
     code::{Code, Outcome},
@@ -10,13 +10,15 @@
 use http::{HeaderValue, Response, StatusCode, header::RETRY_AFTER};
 use serde::Serialize;
 
-/// An answer for a refusal, with the outcome that goes with its code.
+/// Builds the response to a refused request, with the default outcome of the refusal's code.
 pub fn refusal(refusal: Refusal) -> Response<LocalBody> {
-    with_outcome(refusal, refusal.code.outcome())
+    refusal_with_outcome(refusal, refusal.code.outcome())
 }
 
-/// An answer for a refusal, with a stated outcome.
-pub fn with_outcome(refusal: Refusal, outcome: Outcome) -> Response<LocalBody> {
+/// Builds the response to a refused request, with the given outcome in its outcome header.
+///
+/// The response carries `Retry-After` in whole seconds, at least 1, if waiting may help.
+pub fn refusal_with_outcome(refusal: Refusal, outcome: Outcome) -> Response<LocalBody> {
     let code = refusal.code;
     let text = format!("E{} {}\n", code.number(), code.text());
     let mut response = Response::new(body::full(text));
@@ -33,15 +35,15 @@
     response
 }
 
-/// An answer for a code that waiting does not mend.
-pub fn code(code: Code) -> Response<LocalBody> {
+/// Builds the response for a code whose cause does not go away by waiting.
+pub fn for_code(code: Code) -> Response<LocalBody> {
     refusal(Refusal { code, retry_after: 0 })
 }
 
-/// An answer with a JSON body.
+/// Builds a response with status 200 and `value` as its JSON body.
 pub fn json<T: Serialize>(value: &T) -> Response<LocalBody> {
     let Ok(text) = serde_json::to_vec(value) else {
-        return code(Code::BadRequest);
+        return for_code(Code::BadRequest);
     };
     let mut response = Response::new(body::full(text));
     let json = HeaderValue::from_static("application/json");
