--- a/elmstream_edge/src/access.rs
+++ b/elmstream_edge/src/access.rs
@@ -7,8 +7,8 @@
 use elmstream_steer::{
     key::KeyDigest,
     model::Route,
-    quota::Ruling,
-    workspaces::{Denial, Member, Shown},
+    quota::QuotaDecision,
+    workspaces::{Denial, PresentedKey, WorkspaceEntry},
 };
 use elmstreamd::clock;
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header, request};
@@ -22,21 +22,21 @@
 
 /// The workspace of a request that counts against its limit; given back when this is
 /// dropped unless a server may have run the request.
-pub struct Counted {
+pub struct AdmittedRequest {
     edge: Rc<Edge>,
     /// The workspace.
-    pub member: Rc<Member>,
+    pub member: Rc<WorkspaceEntry>,
     /// Whether a server may have run it.
     pub may_have_run: Cell<bool>,
 }
 
-impl fmt::Debug for Counted {
+impl fmt::Debug for AdmittedRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_tuple("Counted").field(&self.member.workspace.name).finish()
+        f.debug_tuple("AdmittedRequest").field(&self.member.workspace.name).finish()
     }
 }
 
-impl Counted {
+impl AdmittedRequest {
     /// The request is sent to a server; it counts once more if an earlier one may have
     /// run it.
     pub fn sent(&self) {
@@ -54,7 +54,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         if !self.may_have_run.get() {
             self.edge.steer.borrow_mut().not_run(clock::now(), &self.member);
@@ -67,11 +67,11 @@
 /// # Errors
 ///
 /// The answer to a request that is not let in.
-pub fn check(
+pub fn authorize(
     edge: &Rc<Edge>,
     head: &request::Parts,
     route: &Route,
-) -> Result<Option<Counted>, Box<Response<LocalBody>>> {
+) -> Result<Option<AdmittedRequest>, Box<Response<LocalBody>>> {
     let now = clock::now();
     let shown = shown(&edge.settings.headers, &head.headers);
     let let_in = edge.steer.borrow().let_in(now, route, shown);
@@ -82,15 +82,15 @@
     };
     let ruling = edge.steer.borrow_mut().rule(now, &member);
     match ruling {
-        Ruling::Within => {
+        QuotaDecision::Within => {
             let edge = Rc::clone(edge);
-            Ok(Some(Counted { edge, member, may_have_run: Cell::new(false) }))
+            Ok(Some(AdmittedRequest { edge, member, may_have_run: Cell::new(false) }))
         }
-        Ruling::Over { retry_ms } => {
+        QuotaDecision::Over { retry_ms } => {
             let code = Code::WorkspaceLimit;
             Err(Box::new(held_back(edge, head, (route, &member), code, retry_ms)))
         }
-        Ruling::Unready => {
+        QuotaDecision::Unready => {
             let code = Code::NotReady;
             Err(Box::new(held_back(edge, head, (route, &member), code, UNREADY_RETRY_MS)))
         }
@@ -98,12 +98,12 @@
 }
 
 /// What a request shows of a key.
-fn shown(names: &HeaderNames, headers: &HeaderMap) -> Shown {
+fn shown(names: &HeaderNames, headers: &HeaderMap) -> PresentedKey {
     let mut values = headers.get_all(&names.key).iter();
     match (values.next(), values.next()) {
-        (None, _) => Shown::Nothing,
-        (Some(value), None) => key(names, value).map_or(Shown::Unclear, Shown::Key),
-        (Some(_), Some(_)) => Shown::Unclear,
+        (None, _) => PresentedKey::Nothing,
+        (Some(value), None) => key(names, value).map_or(PresentedKey::Unclear, PresentedKey::Key),
+        (Some(_), Some(_)) => PresentedKey::Unclear,
     }
 }
 
@@ -148,7 +148,7 @@
 fn held_back(
     edge: &Edge,
     head: &request::Parts,
-    (route, member): (&Route, &Member),
+    (route, member): (&Route, &WorkspaceEntry),
     code: Code,
     retry_ms: u64,
 ) -> Response<LocalBody> {
--- a/elmstream_edge/src/callers.rs
+++ b/elmstream_edge/src/callers.rs
@@ -13,7 +13,7 @@
     code::Code,
     time::{MILLI, Time},
 };
-use elmstream_http::{LocalBody, Stop, body, server::Cut};
+use elmstream_http::{LocalBody, Stop, body, server::Aborted};
 use elmstream_steer::{hash, model::Route, routes};
 use elmstreamd::clock;
 use futures_util::future::{Either, select};
@@ -23,10 +23,10 @@
 use serde_json::json;
 
 use crate::{
-    access::{self, Counted},
-    content::Contents,
+    access::{self, AdmittedRequest},
     edge::Edge,
     forward, headers,
+    request_digest::RequestDigests,
 };
 
 /// When to come back to a host that knows no configuration yet, or an old one.
@@ -36,7 +36,7 @@
 
 /// How far a request has come, for the answer that it gets if its host ends.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct RequestProgress {
     /// Whether a server may have run it.
     pub may_have_run: Cell<bool>,
     /// Whether the host has ended it.
@@ -45,7 +45,7 @@
 
 /// A caller's request that may be sent on.
 #[derive(Debug)]
-pub struct Call {
+pub struct CallerRequest {
     /// Its id; empty if the caller gave none.
     pub id: String,
     /// Where it came from.
@@ -73,18 +73,18 @@
     /// Whether its caller has most likely been refused before.
     pub returning: bool,
     /// Its workspace; none if its route asks for no key.
-    pub workspace: Option<Counted>,
+    pub workspace: Option<AdmittedRequest>,
     /// How far it has come.
-    pub progress: Rc<Progress>,
+    pub progress: Rc<RequestProgress>,
     /// Its digests, once they were asked for.
-    pub contents: OnceCell<Contents>,
+    pub contents: OnceCell<RequestDigests>,
 }
 
-impl Call {
+impl CallerRequest {
     /// Digests of what makes it the same as another one; made only if they are asked for,
     /// as they take all of the body.
-    pub fn contents(&self, edge: &Edge) -> &Contents {
-        self.contents.get_or_init(|| Contents::of(&edge.settings.content.secret, self))
+    pub fn contents(&self, edge: &Edge) -> &RequestDigests {
+        self.contents.get_or_init(|| RequestDigests::of(&edge.settings.content.secret, self))
     }
 
     /// Name of its workspace; empty for none.
@@ -113,10 +113,10 @@
     ending: Stop,
     caller: IpAddr,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let came = clock::now();
     let id = request.headers().get(&edge.settings.headers.request_id).cloned();
-    let progress = Rc::new(Progress::default());
+    let progress = Rc::new(RequestProgress::default());
     let answering = {
         let serving = pin!(answer(&edge, (caller, request), came, progress.clone()));
         // The end is looked at first, so that nothing is sent to a server after it.
@@ -136,7 +136,7 @@
     edge: &Edge,
     id: Option<&HeaderValue>,
     came: Time,
-    progress: &Progress,
+    progress: &RequestProgress,
 ) -> Response<LocalBody> {
     let code = match progress.may_have_run.get() {
         true => Code::StoppedRunning,
@@ -160,16 +160,16 @@
     edge: &Rc<Edge>,
     (caller, request): (IpAddr, Request<Incoming>),
     came: Time,
-    progress: Rc<Progress>,
-) -> Result<Response<LocalBody>, Cut> {
+    progress: Rc<RequestProgress>,
+) -> Result<Response<LocalBody>, Aborted> {
     let (head, incoming) = request.into_parts();
     let route = match find(edge, &head) {
         Ok(route) => route,
-        Err(Missing::Configuration) => return Ok(refuse(Code::NotReady, UNREADY_RETRY_MS)),
-        Err(Missing::Unsure) => return Ok(refuse(Code::RoutesStale, UNREADY_RETRY_MS)),
-        Err(Missing::Route) => return Ok(plain(Code::UnknownService, StatusCode::NOT_FOUND)),
+        Err(RouteError::Configuration) => return Ok(refuse(Code::NotReady, UNREADY_RETRY_MS)),
+        Err(RouteError::Unsure) => return Ok(refuse(Code::RoutesStale, UNREADY_RETRY_MS)),
+        Err(RouteError::Route) => return Ok(plain(Code::UnknownService, StatusCode::NOT_FOUND)),
     };
-    let workspace = match access::check(edge, &head, &route) {
+    let workspace = match access::authorize(edge, &head, &route) {
         Ok(workspace) => workspace,
         Err(answer) => return Ok(*answer),
     };
@@ -180,14 +180,14 @@
             return Ok(plain(Code::BadRequest, StatusCode::PAYLOAD_TOO_LARGE));
         }
         // The caller broke off, so nobody reads an answer.
-        Err(_) => return Err(Cut),
+        Err(_) => return Err(Aborted),
     };
     let call = call(edge, (caller, head), (route, workspace), body, came, progress);
     Ok(forward::run(edge, &call).await)
 }
 
 /// Why a request has no route.
-enum Missing {
+enum RouteError {
     /// No configuration is known yet.
     Configuration,
     /// No route of the configuration fits.
@@ -197,10 +197,10 @@
 }
 
 /// The route of a request, or why there is none.
-fn find(edge: &Edge, head: &request::Parts) -> Result<Rc<Route>, Missing> {
+fn find(edge: &Edge, head: &request::Parts) -> Result<Rc<Route>, RouteError> {
     let steer = edge.steer.borrow();
     if steer.version().is_none() {
-        return Err(Missing::Configuration);
+        return Err(RouteError::Configuration);
     }
     let host = head.uri.host().or_else(|| headers::text(&head.headers, &header::HOST));
     let host = host.unwrap_or_default();
@@ -209,8 +209,8 @@
     }
     let now = clock::now();
     let (missing, code) = match steer.vouches(now) {
-        true => (Missing::Route, Code::UnknownService),
-        false => (Missing::Unsure, Code::RoutesStale),
+        true => (RouteError::Route, Code::UnknownService),
+        false => (RouteError::Unsure, Code::RoutesStale),
     };
     let id = headers::text(&head.headers, &edge.settings.headers.request_id);
     let fields = json!({
@@ -224,11 +224,11 @@
 fn call(
     edge: &Edge,
     (caller, head): (IpAddr, request::Parts),
-    (route, workspace): (Rc<Route>, Option<Counted>),
+    (route, workspace): (Rc<Route>, Option<AdmittedRequest>),
     body: Bytes,
     came: Time,
-    progress: Rc<Progress>,
-) -> Call {
+    progress: Rc<RequestProgress>,
+) -> CallerRequest {
     let names = &edge.settings.headers;
     let mut kept = head.headers;
     let id = headers::text(&kept, &names.request_id).unwrap_or_default().to_owned();
@@ -245,7 +245,7 @@
     let until = came + waits.min(route.timeout_ms) * MILLI;
     let returning = edge.steer.borrow_mut().returns(came, &route.name, waits);
     let (method, headers) = (head.method, kept);
-    Call {
+    CallerRequest {
         id,
         caller,
         route,
@@ -266,7 +266,7 @@
 }
 
 /// Takes the key out of what servers get, and sets the workspace's name.
-fn set_workspace(edge: &Edge, headers: &mut HeaderMap, workspace: Option<&Counted>) {
+fn set_workspace(edge: &Edge, headers: &mut HeaderMap, workspace: Option<&AdmittedRequest>) {
     let names = &edge.settings.headers;
     headers.remove(&names.workspace);
     if !edge.steer.borrow().workspaces().is_empty() {
--- a/elmstream_edge/src/gate.rs
+++ b/elmstream_edge/src/concurrency_limit.rs
@@ -4,29 +4,29 @@
 
 /// Lets a bounded number through at once.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct ConcurrencyLimit {
     free: Rc<Cell<usize>>,
 }
 
 /// A place that is given back when this is dropped.
 #[derive(Debug)]
-pub struct Pass(Rc<Cell<usize>>);
+pub struct Permit(Rc<Cell<usize>>);
 
-impl Gate {
+impl ConcurrencyLimit {
     /// A gate for so many at once.
-    pub fn new(places: usize) -> Gate {
-        Gate { free: Rc::new(Cell::new(places)) }
+    pub fn new(places: usize) -> ConcurrencyLimit {
+        ConcurrencyLimit { free: Rc::new(Cell::new(places)) }
     }
 
     /// A place, if one is free.
-    pub fn enter(&self) -> Option<Pass> {
+    pub fn enter(&self) -> Option<Permit> {
         let left = self.free.get().checked_sub(1)?;
         self.free.set(left);
-        Some(Pass(self.free.clone()))
+        Some(Permit(self.free.clone()))
     }
 }
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
--- a/elmstream_edge/src/connections.rs
+++ b/elmstream_edge/src/connections.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use elmstream_http::{Notice, server};
+use elmstream_http::{StopNotice, server};
 use serde_json::{Value, json};
 
 use crate::Edge;
@@ -20,13 +20,13 @@
 
 /// Callers' connections as the stop found them.
 #[derive(Debug, Default)]
-pub(crate) struct Open {
+pub(crate) struct OpenConnections {
     states: RefCell<BTreeMap<&'static str, u32>>,
     queued: Cell<u32>,
 }
 
-impl Open {
-    fn add(&self, stopped: server::Stopped) {
+impl OpenConnections {
+    fn add(&self, stopped: server::StoppedConnection) {
         let state = stopped.state.name();
         metrics::counter!("elmstream_stop_connections", "state" => state).increment(1);
         *self.states.borrow_mut().entry(state).or_default() += 1;
@@ -45,7 +45,11 @@
 }
 
 /// How callers are served.
-pub(crate) fn caller_options(edge: &Rc<Edge>, notice: &Notice, open: &Rc<Open>) -> server::Options {
+pub(crate) fn caller_options(
+    edge: &Rc<Edge>,
+    notice: &StopNotice,
+    open: &Rc<OpenConnections>,
+) -> server::Options {
     let (edge, open) = (edge.clone(), open.clone());
     let rest = move || rest(Duration::from_millis(edge.steer.borrow().limits().idle_timeout_ms));
     server::Options {
--- a/elmstream_edge/src/edge.rs
+++ b/elmstream_edge/src/edge.rs
@@ -9,13 +9,13 @@
 
 use elmstream_steer::{
     Steer, settings,
-    steer::{Change, Returned, State},
-    view::Key,
+    steer::{ServerState, StateChange, StoreRestored},
+    view::RowKey,
 };
 use elmstreamd::clock;
 use serde_json::{Value, json};
 
-use crate::{backend::Pool, journal::Journal, rollout, settings::Settings};
+use crate::{backend::Pool, event_log::EventLog, rollout, settings::Settings};
 
 /// More servers than these that change at once are written in one line.
 const SERVERS_EACH: usize = 12;
@@ -32,7 +32,7 @@
     /// Connections to backend servers.
     pub pool: Pool,
     /// What it writes.
-    pub journal: Journal,
+    pub journal: EventLog,
     /// The list of refused requests is to be read again.
     pub(crate) relist: Cell<bool>,
 }
@@ -40,12 +40,12 @@
 impl Edge {
     /// A host that has just started.
     pub fn new(settings: Settings) -> Rc<Edge> {
-        let journal = Journal::start(&settings.logging);
+        let journal = EventLog::start(&settings.logging);
         Edge::writing(settings, journal)
     }
 
     /// The same with a journal of its own.
-    pub fn writing(settings: Settings, journal: Journal) -> Rc<Edge> {
+    pub fn writing(settings: Settings, journal: EventLog) -> Rc<Edge> {
         let steer = Steer::new(
             settings::Settings {
                 host: settings.host.clone(),
@@ -94,9 +94,9 @@
     }
 
     /// Writes down that the store has come back from a copy, and what holds on against it.
-    fn store_returned(&self, from: &str, returned: &Returned) {
-        let Returned { table, before, version, changed, held } = returned;
-        let rows: Vec<String> = held.iter().take(SERVERS_NAMED).map(Key::to_string).collect();
+    fn store_returned(&self, from: &str, returned: &StoreRestored) {
+        let StoreRestored { table, before, version, changed, held } = returned;
+        let rows: Vec<String> = held.iter().take(SERVERS_NAMED).map(RowKey::to_string).collect();
         let fields = json!({
             "table": table, "era": version.era, "era_before": before.era,
             "version": version.count, "version_before": before.count,
@@ -107,43 +107,45 @@
 
     /// Writes down what the host has come to believe, and from whom, and leaves the
     /// connections to servers that are another start now.
-    pub fn note(&self, from: &str, changes: &[Change]) {
+    pub fn note(&self, from: &str, changes: &[StateChange]) {
         for change in changes {
-            if let Change::Server(id, State::Restarted | State::Unreadable) = change {
+            if let StateChange::Server(id, ServerState::Restarted | ServerState::Unreadable) =
+                change
+            {
                 self.pool.distrust(id);
             }
         }
-        let servers = changes.iter().filter(|change| matches!(change, Change::Server(..)));
+        let servers = changes.iter().filter(|change| matches!(change, StateChange::Server(..)));
         let many = servers.count() > SERVERS_EACH;
         if many {
             self.journal.write("servers", servers_at_once(from, changes));
         }
         for change in changes {
             match change {
-                Change::Configuration(version) => {
+                StateChange::Configuration(version) => {
                     self.journal.write("configuration", json!({"version": version, "from": from}));
                 }
-                Change::Evacuation(domain, begins) => {
+                StateChange::Evacuation(domain, begins) => {
                     let fields = json!({"domain": domain, "begins": begins, "from": from});
                     self.journal.write("evacuation", fields);
                 }
-                Change::Server(..) if many => {}
-                Change::Server(id, state) => {
+                StateChange::Server(..) if many => {}
+                StateChange::Server(id, state) => {
                     let fields = json!({"server": id, "state": state.name(), "from": from});
                     self.journal.belief("server", fields);
                 }
-                Change::HostLost(host) => {
+                StateChange::HostLost(host) => {
                     self.journal.belief("host_lost", json!({"host": host}));
                 }
-                Change::StoreReturned(returned) => self.store_returned(from, returned),
-                Change::Rollout { service, target, stage } => {
-                    let stage = stage.map(rollout::told);
+                StateChange::StoreReturned(returned) => self.store_returned(from, returned),
+                StateChange::Rollout { service, target, stage } => {
+                    let stage = stage.map(rollout::stage_text);
                     let fields = json!({
                         "service": service, "target": target, "stage": stage, "from": from,
                     });
                     self.journal.write("rollout", fields);
                 }
-                Change::HoldEnded(key) => {
+                StateChange::HoldEnded(key) => {
                     self.journal.write("hold_ended", json!({"row": key.to_string()}));
                 }
             }
@@ -153,13 +155,13 @@
 
 /// Many servers that changed at once in one line: how many by state, and which of
 /// them may no longer be used.
-fn servers_at_once(from: &str, changes: &[Change]) -> Value {
+fn servers_at_once(from: &str, changes: &[StateChange]) -> Value {
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     let mut lost: Vec<&str> = Vec::new();
     for change in changes {
-        let Change::Server(id, state) = change else { continue };
+        let StateChange::Server(id, state) = change else { continue };
         *counts.entry(state.name()).or_default() += 1;
-        if !matches!(state, State::Ready | State::Answers | State::Restarted)
+        if !matches!(state, ServerState::Ready | ServerState::Answers | ServerState::Restarted)
             && lost.len() < SERVERS_NAMED
         {
             lost.push(id);
--- a/elmstream_edge/src/journal.rs
+++ b/elmstream_edge/src/event_log.rs
@@ -25,7 +25,7 @@
 
 /// Writes lines; cheap to call.
 #[derive(Debug)]
-pub struct Journal {
+pub struct EventLog {
     lines: RefCell<Option<SyncSender<String>>>,
     /// Tells that all lines have been written.
     written: Receiver<()>,
@@ -61,14 +61,14 @@
     }
 }
 
-impl Journal {
+impl EventLog {
     /// Starts the writing thread.
-    pub fn start(logging: &Logging) -> Journal {
-        Journal::to(logging, stdout())
+    pub fn start(logging: &Logging) -> EventLog {
+        EventLog::to(logging, stdout())
     }
 
     /// The same, to another output than standard output.
-    pub fn to(logging: &Logging, output: impl Write + Send + 'static) -> Journal {
+    pub fn to(logging: &Logging, output: impl Write + Send + 'static) -> EventLog {
         let (lines, queue) = sync_channel(QUEUE);
         let (done, written) = sync_channel(1);
         // Without the thread all lines are dropped and counted.
@@ -76,7 +76,7 @@
             write(&queue, output);
             let _ = done.send(());
         });
-        Journal {
+        EventLog {
             lines: RefCell::new(Some(lines)),
             written,
             requests: Rate::new(logging.lines_per_s),
--- a/elmstream_edge/src/fetches.rs
+++ b/elmstream_edge/src/fetch_schedule.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure: beats, ends of fetches and time come in, the next host to ask goes out. The
 //! time to the rows must be bounded whatever a few hosts do: one that is mute costs
-//! [`HEDGE`] once, and from then on nothing, as it is asked beside the others only.
+//! [`HEDGE_DELAY`] once, and from then on nothing, as it is asked beside the others only.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,23 +10,23 @@
 };
 
 use elmstream::time::{MILLI, SECOND, Time};
-use elmstream_steer::{beat::Known, hash, view::Table};
+use elmstream_steer::{hash, heartbeat::TableStatus, view::Table};
 
 /// Time after which a further host is asked while a fetch goes on, in microseconds: a
 /// connection and an answer between regions 70 ms apart take about as long.
-pub const HEDGE: u64 = 150 * MILLI;
+pub const HEDGE_DELAY: u64 = 150 * MILLI;
 /// Hosts that are asked for a table at once, of those whose fetches do not fail, and
-/// as many of those whose do. With [`HEDGE`] between them three mute ones leave a
+/// as many of those whose do. With [`HEDGE_DELAY`] between them three mute ones leave a
 /// place for a fourth after 450 ms.
-pub const AT_ONCE: usize = 4;
+pub const MAX_CONCURRENT_FETCHES: usize = 4;
 /// For so long after a fetch from it failed a host is not asked while others offer
 /// news: a cut or a restart lasts seconds.
-pub const HOLD_BACK: u64 = 5 * SECOND;
+pub const FAILED_HOST_PAUSE: u64 = 5 * SECOND;
 /// A host that turned a fetch away, or failed, is not asked again sooner than this.
-pub const AGAIN: u64 = 100 * MILLI;
-/// Up to so much is added to [`AGAIN`], other at each host and time, so that those
+pub const RETRY_PAUSE: u64 = 100 * MILLI;
+/// Up to so much is added to [`RETRY_PAUSE`], other at each host and time, so that those
 /// who were turned away together do not come back together.
-pub const AGAIN_SPREAD: u64 = 200 * MILLI;
+pub const RETRY_JITTER: u64 = 200 * MILLI;
 /// An offer is good for so long after the beat that showed it; in a large fleet a
 /// host's next beat comes after seconds.
 const OFFER: u64 = 3 * SECOND;
@@ -37,7 +37,7 @@
 
 /// What a fetch came to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum FetchOutcome {
     /// Rows came.
     Told,
     /// The host serves too many others; it is sound.
@@ -46,13 +46,13 @@
     Failed,
 }
 
-impl End {
+impl FetchOutcome {
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            End::Told => "told",
-            End::Refused => "refused",
-            End::Failed => "failed",
+            FetchOutcome::Told => "told",
+            FetchOutcome::Refused => "refused",
+            FetchOutcome::Failed => "failed",
         }
     }
 }
@@ -61,42 +61,42 @@
 #[derive(Clone, Copy, Debug)]
 struct Offer {
     /// How far the host knows the table.
-    known: Known,
+    known: TableStatus,
     heard: Time,
     not_before: Time,
 }
 
 /// A fetch under way.
 #[derive(Clone, Copy, Debug)]
-struct UnderWay {
+struct ActiveFetch {
     began: Time,
     doubted: bool,
 }
 
 /// Offers and fetches of one table.
 #[derive(Debug, Default)]
-struct Desk {
+struct TableFetches {
     offers: BTreeMap<SocketAddr, Offer>,
-    under_way: BTreeMap<SocketAddr, UnderWay>,
+    under_way: BTreeMap<SocketAddr, ActiveFetch>,
 }
 
 /// Chooses whom to ask for rows.
 #[derive(Debug, Default)]
-pub struct Fetches {
+pub struct FetchSchedule {
     seed: u64,
-    desks: [Desk; 3],
+    desks: [TableFetches; 3],
     /// When the last fetch from a host failed; none since has come to a good end.
     failed: HashMap<SocketAddr, Time>,
 }
 
-impl Fetches {
+impl FetchSchedule {
     /// Nothing is offered yet; `seed` differs between hosts.
-    pub fn new(seed: u64) -> Fetches {
-        Fetches { seed, ..Fetches::default() }
+    pub fn new(seed: u64) -> FetchSchedule {
+        FetchSchedule { seed, ..FetchSchedule::default() }
     }
 
     /// A beat shows how far a host knows a table.
-    pub fn offer(&mut self, now: Time, table: Table, host: SocketAddr, known: &Known) {
+    pub fn offer(&mut self, now: Time, table: Table, host: SocketAddr, known: &TableStatus) {
         let offers = &mut self.desks[table as usize].offers;
         let new = Offer { known: *known, heard: now, not_before: now };
         let offer = offers.entry(host).or_insert(new);
@@ -119,7 +119,7 @@
         &mut self,
         now: Time,
         table: Table,
-        wants: impl Fn(&Known) -> bool,
+        wants: impl Fn(&TableStatus) -> bool,
     ) -> Option<SocketAddr> {
         self.failed.retain(|_, at| now.since(*at) < FORGET);
         let desk = &mut self.desks[table as usize];
@@ -129,41 +129,42 @@
             None => desk.doubted(now, &self.failed)?,
         };
         let doubted = self.failed.contains_key(&host);
-        desk.under_way.insert(host, UnderWay { began: now, doubted });
+        desk.under_way.insert(host, ActiveFetch { began: now, doubted });
         Some(host)
     }
 
     /// A fetch has ended; when the host may be asked again.
-    pub fn ended(&mut self, now: Time, table: Table, host: SocketAddr, end: End) -> Time {
-        let again = now + AGAIN + hash::pair(self.seed, now.0) % AGAIN_SPREAD;
+    pub fn ended(&mut self, now: Time, table: Table, host: SocketAddr, end: FetchOutcome) -> Time {
+        let again = now + RETRY_PAUSE + hash::combine(self.seed, now.0) % RETRY_JITTER;
         let desk = &mut self.desks[table as usize];
         desk.under_way.remove(&host);
         match end {
             // A later beat shows whether it knows still more.
-            End::Told => {
+            FetchOutcome::Told => {
                 desk.offers.remove(&host);
             }
-            End::Refused | End::Failed => {
+            FetchOutcome::Refused | FetchOutcome::Failed => {
                 if let Some(offer) = desk.offers.get_mut(&host) {
                     offer.not_before = again;
                 }
             }
         }
         match end {
-            End::Told | End::Refused => self.failed.remove(&host),
-            End::Failed => self.failed.insert(host, now),
+            FetchOutcome::Told | FetchOutcome::Refused => self.failed.remove(&host),
+            FetchOutcome::Failed => self.failed.insert(host, now),
         };
         again
     }
 }
 
-impl Desk {
+impl TableFetches {
     /// Whether one more host of a kind may be asked.
     fn free(&self, now: Time, doubted: bool) -> bool {
         let kind = self.under_way.values().filter(|fetch| fetch.doubted == doubted);
         let began: Vec<Time> = kind.map(|fetch| fetch.began).collect();
         let last = began.iter().max();
-        began.len() < AT_ONCE && last.is_none_or(|last| now.since(*last) >= HEDGE)
+        began.len() < MAX_CONCURRENT_FETCHES
+            && last.is_none_or(|last| now.since(*last) >= HEDGE_DELAY)
     }
 
     /// Offers of hosts that may be asked.
@@ -190,7 +191,7 @@
         }
         let others = self.offers.keys().any(|host| !failed.contains_key(host));
         let offers = self.open(now).filter_map(|(host, _)| Some((*host, *failed.get(host)?)));
-        let offers = offers.filter(|(_, at)| !others || now.since(*at) >= HOLD_BACK);
+        let offers = offers.filter(|(_, at)| !others || now.since(*at) >= FAILED_HOST_PAUSE);
         offers.min_by_key(|(_, at)| *at).map(|(host, _)| host)
     }
 }
--- a/elmstream_edge/src/forward.rs
+++ b/elmstream_edge/src/forward.rs
@@ -6,10 +6,10 @@
 use elmstream::{code::Code, time::MILLI};
 use elmstream_http::{LocalBody, body};
 use elmstream_steer::{
-    Ask, Choice, Refusal,
-    choose::Reason,
-    model::Repeat,
-    servers::{Index, Outcome},
+    Pick, PickRequest, Refusal,
+    model::Repeatability,
+    pick::RefusalReason,
+    servers::{Outcome, ServerIndex},
 };
 use elmstreamd::{clock, waits};
 use http::{HeaderValue, Request, Response, StatusCode, header, response};
@@ -17,11 +17,11 @@
 
 use crate::{
     backend::{self, Exchange},
-    callers::{self, Call},
+    callers::{self, CallerRequest},
     edge::Edge,
-    harm::{self, Suspected},
     headers,
-    hints::Hints,
+    poison::{self, SuspectedServer},
+    server_hints::Hints,
 };
 
 /// Time that must be left for a request to be sent at all.
@@ -33,7 +33,7 @@
 /// Servers that a request was sent to, and what became of it there.
 #[derive(Debug, Default)]
 struct Tried {
-    servers: Vec<Index>,
+    servers: Vec<ServerIndex>,
     /// Their ids, what they came to, and after how many microseconds.
     notes: Vec<(String, Outcome, u64)>,
 }
@@ -53,8 +53,8 @@
 /// A request that counts as sent, until this is dropped.
 struct InFlight<'a> {
     edge: &'a Rc<Edge>,
-    call: &'a Call,
-    index: Index,
+    call: &'a CallerRequest,
+    index: ServerIndex,
     outcome: Outcome,
 }
 
@@ -75,16 +75,16 @@
 }
 
 /// Sends a request on, and gives its final answer.
-pub async fn run(edge: &Rc<Edge>, call: &Call) -> Response<LocalBody> {
+pub async fn run(edge: &Rc<Edge>, call: &CallerRequest) -> Response<LocalBody> {
     edge.steer.borrow_mut().earn(clock::now(), &call.service);
     let mut tried = Tried::default();
     let mut unknown = false;
     let mut failed = None;
     while tried.servers.len() < call.route.attempts.max(1) as usize && call.left() > LEAST {
         let again = !tried.servers.is_empty();
-        if let Some(known) = harm::known(edge, call) {
+        if let Some(known) = poison::known(edge, call) {
             if !unknown && failed.is_none() {
-                return harm::refuse(edge, call, &known);
+                return poison::refuse(edge, call, &known);
             }
             // It was sent before that was known, so it may have run.
             break;
@@ -94,7 +94,7 @@
         let homes =
             call.workspace.as_ref().map(|counted| counted.member.workspace.homes.as_slice());
         let homes = homes.unwrap_or_default();
-        let ask = Ask { route, service, key, tried: &tried.servers, returning, homes };
+        let ask = PickRequest { route, service, key, tried: &tried.servers, returning, homes };
         let index = match choose(edge, &ask, again) {
             Ok(index) => index,
             Err(refusal) if again => {
@@ -104,42 +104,47 @@
         };
         match attempt(edge, call, index, &mut tried).await {
             Try::Answer(parts, body) => return answer(edge, call, &tried, parts, body),
-            Try::Failed(parts, body) if call.route.repeat == Repeat::Safe => {
+            Try::Failed(parts, body) if call.route.repeat == Repeatability::Safe => {
                 failed = Some((parts, body));
             }
             Try::Failed(parts, body) => return answer(edge, call, &tried, parts, body),
             Try::NotRun => {}
             Try::Unknown => unknown = true,
         }
-        if unknown && call.route.repeat == Repeat::Once {
+        if unknown && call.route.repeat == Repeatability::Once {
             break;
         }
     }
-    let refusal = Refusal::of(Reason::Tries, AGAIN_MS);
+    let refusal = Refusal::of(RefusalReason::Tries, AGAIN_MS);
     give_up(edge, call, &tried, unknown, failed, refusal)
 }
 
 /// The next server; a further one must be within the retry budget.
-fn choose(edge: &Rc<Edge>, ask: &Ask<'_>, again: bool) -> Result<Index, Refusal> {
+fn choose(edge: &Rc<Edge>, ask: &PickRequest<'_>, again: bool) -> Result<ServerIndex, Refusal> {
     let mut steer = edge.steer.borrow_mut();
     if again && !steer.affords(ask.service) {
         metrics::counter!("elmstream_retries_denied").increment(1);
-        return Err(Refusal::of(Reason::Budget, AGAIN_MS));
+        return Err(Refusal::of(RefusalReason::Budget, AGAIN_MS));
     }
     match steer.send(clock::now(), ask) {
-        Choice::Send(index) => {
+        Pick::Send(index) => {
             // Only what is sent is spent.
             if again {
                 steer.repeat(ask.service);
             }
             Ok(index)
         }
-        Choice::Refuse(refusal) => Err(refusal),
+        Pick::Refuse(refusal) => Err(refusal),
     }
 }
 
 /// Sends a request to one server.
-async fn attempt(edge: &Rc<Edge>, call: &Call, index: Index, tried: &mut Tried) -> Try {
+async fn attempt(
+    edge: &Rc<Edge>,
+    call: &CallerRequest,
+    index: ServerIndex,
+    tried: &mut Tried,
+) -> Try {
     let mut flight = InFlight { edge, call, index, outcome: Outcome::Left };
     tried.servers.push(index);
     let target = {
@@ -152,7 +157,7 @@
         return Try::NotRun;
     };
     let sent = clock::now();
-    let generations = harm::generations(edge, call);
+    let generations = poison::generations(edge, call);
     let knew = call.keyed && edge.steer.borrow_mut().learn(sent, index, call.key);
     let had_run = call.progress.may_have_run.replace(true);
     if let Some(counted) = &call.workspace {
@@ -169,8 +174,8 @@
             if let Some(head) = head.filter(|head| echoes(edge, call, head)) {
                 Hints::read(&edge.settings.headers, &head).take(edge, index);
             }
-            let server = Suspected { id: id.clone(), address, start };
-            match harm::ended(edge, call, server, generations).await {
+            let server = SuspectedServer { id: id.clone(), address, start };
+            match poison::ended(edge, call, server, generations).await {
                 true => (Outcome::Ended, Try::Unknown),
                 false => (Outcome::Unknown, Try::Unknown),
             }
@@ -198,7 +203,12 @@
 
 /// The request as the server gets it; none if no time is left for it, or the server has
 /// said meanwhile that it wants none.
-fn request(edge: &Edge, call: &Call, index: Index, id: &str) -> Option<Request<LocalBody>> {
+fn request(
+    edge: &Edge,
+    call: &CallerRequest,
+    index: ServerIndex,
+    id: &str,
+) -> Option<Request<LocalBody>> {
     if call.left() <= LEAST || !edge.steer.borrow().lets_go(clock::now(), index) {
         return None;
     }
@@ -214,7 +224,7 @@
 }
 
 /// Whether an answer names the request that it is for, and that is this one.
-fn echoes(edge: &Edge, call: &Call, head: &response::Parts) -> bool {
+fn echoes(edge: &Edge, call: &CallerRequest, head: &response::Parts) -> bool {
     headers::text(&head.headers, &edge.settings.headers.request_id) == Some(call.id.as_str())
 }
 
@@ -223,7 +233,7 @@
 /// No outcome is told if the request was answered.
 fn judge(
     edge: &Edge,
-    call: &Call,
+    call: &CallerRequest,
     id: &str,
     parts: response::Parts,
     body: Bytes,
@@ -248,7 +258,7 @@
         edge.pool.distrust(id);
         return (Some(Outcome::Unknown), Try::Unknown);
     }
-    harm::answered(edge, call);
+    poison::answered(edge, call);
     if parts.status.is_server_error() {
         return (Some(Outcome::Failed), Try::Failed(parts, body));
     }
@@ -258,7 +268,7 @@
 /// The server's answer, for the caller.
 fn answer(
     edge: &Edge,
-    call: &Call,
+    call: &CallerRequest,
     tried: &Tried,
     mut parts: response::Parts,
     bytes: Bytes,
@@ -274,7 +284,7 @@
 }
 
 /// The request is refused before it was sent.
-fn refused(edge: &Edge, call: &Call, refusal: Refusal) -> Response<LocalBody> {
+fn refused(edge: &Edge, call: &CallerRequest, refusal: Refusal) -> Response<LocalBody> {
     let took = clock::now().since(call.came);
     metrics::counter!("elmstream_requests", "outcome" => "refused").increment(1);
     let code = code(refusal.reason, &Tried::default());
@@ -294,20 +304,20 @@
 }
 
 /// The result code of a request that no server ran.
-fn code(reason: Reason, tried: &Tried) -> Code {
+fn code(reason: RefusalReason, tried: &Tried) -> Code {
     let last = tried.notes.last().map(|(_, outcome, _)| *outcome);
     match reason {
-        Reason::NoServer | Reason::Spared | Reason::Full => Code::NoCapacity,
-        Reason::Budget => Code::RetryBudget,
-        Reason::Tries if last == Some(Outcome::NoConnection) => Code::BackendConnect,
-        Reason::Tries => Code::BackendShed,
+        RefusalReason::NoServer | RefusalReason::Spared | RefusalReason::Full => Code::NoCapacity,
+        RefusalReason::Budget => Code::RetryBudget,
+        RefusalReason::Tries if last == Some(Outcome::NoConnection) => Code::BackendConnect,
+        RefusalReason::Tries => Code::BackendShed,
     }
 }
 
 /// No further server is asked.
 fn give_up(
     edge: &Edge,
-    call: &Call,
+    call: &CallerRequest,
     tried: &Tried,
     unknown: bool,
     failed: Option<(response::Parts, Bytes)>,
@@ -336,7 +346,7 @@
 
 fn log(
     edge: &Edge,
-    call: &Call,
+    call: &CallerRequest,
     tried: &Tried,
     event: &str,
     answer: (Code, StatusCode),
--- a/elmstream_edge/src/registry.rs
+++ b/elmstream_edge/src/host_registry.rs
@@ -2,17 +2,17 @@
 
 use std::{rc::Rc, time::Duration};
 
-use elmstream_steer::registry::Edit;
+use elmstream_steer::host_registry::RegistryEdit;
 use elmstreamd::clock;
 use serde_json::json;
 
-use crate::{Edge, Source, SourceError, source::Hosts};
+use crate::{Edge, SourceError, StoreSource, store_source::HostList};
 
 /// Pause between two looks at whether it is this host's turn.
 const LOOK: Duration = Duration::from_millis(60);
 
 /// Runs until the process ends.
-pub(crate) async fn run<S: Source>(edge: Rc<Edge>, source: Rc<S>) {
+pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     loop {
         compio::time::sleep(LOOK).await;
         if !edge.steer.borrow().must_list(clock::now()) {
@@ -27,8 +27,8 @@
 }
 
 /// Reads the list, and changes it if that is this host's.
-async fn look<S: Source>(edge: &Edge, source: &S) -> Result<(), SourceError> {
-    let Hosts { listed, unreadable } = source.hosts().await?;
+async fn look<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
+    let HostList { listed, unreadable } = source.hosts().await?;
     edge.unreadable("hosts", &unreadable);
     let edit = edge.steer.borrow_mut().listed(clock::now(), &listed);
     if edit.is_empty() {
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-fn told(edge: &Edge, edit: &Edit) {
+fn told(edge: &Edge, edit: &RegistryEdit) {
     let fields = json!({"listed": edit.put.len(), "removed": edit.remove});
     edge.journal.write("registry", fields);
 }
--- a/elmstream_edge/src/lib.rs
+++ b/elmstream_edge/src/lib.rs
@@ -1,34 +1,35 @@
 //! An entry host that sends to any backend server.
 //!
 //! [`Edge`] holds the decisions of `elmstream_steer` and connects them: callers
-//! (`callers`, `access`, `forward`), backend servers (`backend`, `hints`), the other hosts (`peers`, `fetch`)
-//! and the store (`reader`, `rollout`, over a [`Source`] that an adapter brings).
+//! (`callers`, `access`, `forward`), backend servers (`backend`, `server_hints`), the other
+//! hosts (`peers`, `table_fetch`) and the store (`store_reader`, `rollout`, over a
+//! [`StoreSource`] that an adapter brings).
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
 pub mod access;
 pub mod backend;
 pub mod callers;
+pub mod concurrency_limit;
 pub mod connections;
-pub mod content;
 pub mod edge;
-mod fetch;
-pub mod fetches;
+pub mod event_log;
+pub mod fetch_schedule;
 pub mod forward;
-pub mod gate;
-mod harm;
 pub mod headers;
-mod hints;
-pub mod journal;
+mod host_registry;
 pub mod lifecycle;
 pub mod peers;
-pub mod reader;
-mod registry;
+mod poison;
+pub mod request_digest;
 mod rollout;
+mod server_hints;
 pub mod settings;
-pub mod source;
-mod stop;
+mod shutdown;
+pub mod store_reader;
+pub mod store_source;
+mod table_fetch;
 
 pub use edge::Edge;
 pub use settings::Settings;
-pub use source::{Source, SourceError};
+pub use store_source::{SourceError, StoreSource};
--- a/elmstream_edge/src/lifecycle.rs
+++ b/elmstream_edge/src/lifecycle.rs
@@ -3,17 +3,17 @@
 use std::{io, net::SocketAddr, rc::Rc};
 
 use compio::net::{TcpListener, UdpSocket};
-use elmstream_http::{Notice, Stop, Stopper, server};
+use elmstream_http::{Stop, StopNotice, Stopper, server};
 use elmstream_steer::view::TABLES;
 use elmstreamd::{clock, telemetry};
 use serde_json::json;
 use snafu::{ResultExt, Snafu};
 
 use crate::{
-    Edge, Source, callers,
-    connections::{Open, caller_options},
-    gate::Gate,
-    harm, peers, reader, registry, rollout, stop,
+    Edge, StoreSource, callers,
+    concurrency_limit::ConcurrencyLimit,
+    connections::{OpenConnections, caller_options},
+    host_registry, peers, poison, rollout, shutdown, store_reader,
 };
 
 /// Why a host cannot start.
@@ -40,7 +40,7 @@
 ///
 /// `terminated` resolves when the host is to stop. `stopper` ends the listeners of
 /// the caller of this function as well, which wait for `stop`.
-pub async fn run<S: Source>(
+pub async fn run<S: StoreSource>(
     edge: Rc<Edge>,
     source: S,
     stopper: Stopper,
@@ -58,15 +58,15 @@
     spawn(peers::receive(edge.clone(), socket.clone()));
     spawn(peers::send(edge.clone(), socket.clone()));
     spawn(peers::tick(edge.clone(), socket.clone()));
-    spawn(registry::run(edge.clone(), source.clone()));
-    spawn(harm::run(edge.clone(), source.clone()));
+    spawn(host_registry::run(edge.clone(), source.clone()));
+    spawn(poison::run(edge.clone(), source.clone()));
     spawn(rollout::run(edge.clone(), source.clone()));
     for table in TABLES {
-        spawn(reader::run(edge.clone(), source.clone(), table));
+        spawn(store_reader::run(edge.clone(), source.clone(), table));
     }
     let (_until_the_end, never) = Stopper::new();
     let served = edge.clone();
-    let gate = Gate::new(peers::SERVED);
+    let gate = ConcurrencyLimit::new(peers::MAX_CONCURRENT_ROWS);
     let peer = move |_, request| peers::serve(served.clone(), gate.clone(), request);
     spawn(async move {
         let _ = server::serve(peers_listener, None, never, peer).await;
@@ -76,8 +76,8 @@
     let caller = move |from: SocketAddr, request| {
         callers::serve(served.clone(), ending.clone(), from.ip(), request)
     };
-    let notice = Notice::default();
-    let open = Rc::new(Open::default());
+    let notice = StopNotice::default();
+    let open = Rc::new(OpenConnections::default());
     let options = caller_options(&edge, &notice, &open);
     let serving = server::serve_with(callers_listener, options, stop, caller);
     let serving = compio::runtime::spawn(serving);
@@ -95,8 +95,8 @@
     // All that follows is held against this moment: what is late adds nothing.
     let asked = clock::now();
     notice.give();
-    stop::tell(&edge, &socket).await;
-    stop::end(&edge, asked, stopper, ends, async { drop(serving.await) }).await;
+    shutdown::tell(&edge, &socket).await;
+    shutdown::end(&edge, asked, stopper, ends, async { drop(serving.await) }).await;
     edge.journal.write("stop_connections", open.told());
     edge.journal.write("stopped", json!({"host": host.name}));
     edge.journal.close();
--- a/elmstream_edge/src/peers.rs
+++ b/elmstream_edge/src/peers.rs
@@ -7,15 +7,15 @@
 
 use compio::{buf::BufResult, net::UdpSocket};
 use elmstream::time::MILLI;
-use elmstream_http::{LocalBody, body, server::Cut};
+use elmstream_http::{LocalBody, body, server::Aborted};
 use elmstream_steer::{
     Steer,
-    beat::{Beat, Known, Message},
-    harm::Ending,
+    heartbeat::{Heartbeat, Message, TableStatus},
     members,
-    telling::{Asked, TableRows},
+    poison::ServerCrash,
+    table_sync::{SyncRequest, TableRows},
     version::StoreVersion,
-    view::{NEEDED, TABLES},
+    view::{REQUIRED_TABLES, TABLES},
 };
 use elmstreamd::clock;
 use http::{Request, Response, StatusCode};
@@ -23,20 +23,23 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::{edge::Edge, fetch::Asking, gate::Gate, harm, hints};
+use crate::{
+    concurrency_limit::ConcurrencyLimit, edge::Edge, poison, server_hints,
+    table_fetch::TableFetcher,
+};
 
 /// Path of the view's rows.
-pub(crate) const ROWS: &str = "/v1/rows";
+pub(crate) const ROWS_PATH: &str = "/v1/rows";
 /// Largest datagram.
 const DATAGRAM: usize = 16 << 10;
 /// Time between two looks at whether a beat is due.
-pub const LOOK: Duration = Duration::from_millis(50);
+pub const HEARTBEAT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Least time between two beats if there is news that must not wait.
-pub const URGENT: Duration = Duration::from_millis(100);
+pub const URGENT_INTERVAL: Duration = Duration::from_millis(100);
 /// Addresses of hosts that go with rows.
 const HOSTS_TOLD: usize = 48;
 /// Requests for rows that are served at once.
-pub const SERVED: usize = 4;
+pub const MAX_CONCURRENT_ROWS: usize = 4;
 /// Time that a served request keeps its place for each byte, as what was handed to
 /// the connection is not yet on its way: together they use 8 Mbit/s at most.
 const MICROS_A_BYTE: u64 = 4;
@@ -47,7 +50,7 @@
 
 /// What a host knows beyond a version, and which hosts it knows.
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct Rows {
+pub(crate) struct PeerRows {
     /// The table that was asked for.
     pub table: TableRows,
     /// Addresses of hosts.
@@ -55,7 +58,7 @@
     /// Whether these are all that the sender knows, and it knows where the others are.
     pub all_hosts: bool,
     /// Ends of servers under requests that are refused; told to hosts that start.
-    pub endings: Vec<Ending>,
+    pub endings: Vec<ServerCrash>,
 }
 
 /// Sends beats until the process ends.
@@ -64,10 +67,10 @@
     loop {
         round += 1;
         let hosts = beat(&edge, &socket, round).await;
-        let pause = Duration::from_micros(members::pause(hosts));
+        let pause = Duration::from_micros(members::heartbeat_interval(hosts));
         let mut waited = Duration::ZERO;
-        while waited < pause && (waited < URGENT || !edge.steer.borrow().urgent()) {
-            let step = LOOK.min(pause - waited);
+        while waited < pause && (waited < URGENT_INTERVAL || !edge.steer.borrow().urgent()) {
+            let step = HEARTBEAT_CHECK_INTERVAL.min(pause - waited);
             compio::time::sleep(step).await;
             waited += step;
         }
@@ -81,10 +84,10 @@
         let mut steer = edge.steer.borrow_mut();
         (Box::new(steer.beat(now)), steer.targets(now, round), steer.members().count())
     };
-    tell(socket, &Message::Beat(beat.clone()), &targets.near).await;
+    tell(socket, &Message::Heartbeat(beat.clone()), &targets.near).await;
     beat.lessons.clear();
     beat.words.clear();
-    tell(socket, &Message::Beat(beat), &targets.far).await;
+    tell(socket, &Message::Heartbeat(beat), &targets.far).await;
     hosts
 }
 
@@ -110,7 +113,7 @@
 
 /// Takes beats in until the process ends.
 pub async fn receive(edge: Rc<Edge>, socket: Rc<UdpSocket>) {
-    let asking = Asking::new(edge.clone());
+    let asking = TableFetcher::new(edge.clone());
     ask_seeds(&edge, &asking);
     let mut buffer = Vec::with_capacity(DATAGRAM);
     loop {
@@ -119,7 +122,7 @@
         buffer = back;
         let Ok((length, from)) = result else { continue };
         match postcard::from_bytes::<Message>(&buffer[..length.min(buffer.len())]) {
-            Ok(Message::Beat(beat)) => hear(&edge, &asking, &beat),
+            Ok(Message::Heartbeat(beat)) => hear(&edge, &asking, &beat),
             Ok(Message::Report(report)) => {
                 let (verdict, due) = {
                     let (mut steer, now) = (edge.steer.borrow_mut(), clock::now());
@@ -144,19 +147,19 @@
     }
 }
 
-fn hear(edge: &Edge, asking: &Asking, beat: &Beat) {
+fn hear(edge: &Edge, asking: &TableFetcher, beat: &Heartbeat) {
     let news = edge.steer.borrow_mut().hear(clock::now(), beat);
     let Some(news) = news else { return };
     if news.joined {
         edge.journal.belief("host_heard", json!({"host": beat.host.name}));
     }
-    harm::note(edge, &beat.host.name, &news.refused);
+    poison::note(edge, &beat.host.name, &news.refused);
     for server in &news.leaving {
         let fields = json!({"server": server, "from": beat.host.name});
         edge.journal.belief("server_leaving", fields);
     }
     for (server, limit) in &news.limits {
-        hints::note_limit(edge, &beat.host.name, server, *limit);
+        server_hints::note_limit(edge, &beat.host.name, server, *limit);
     }
     for (table, _) in news.wanted {
         asking.offer(table, beat.host.peers, &beat.known[table as usize]);
@@ -170,10 +173,10 @@
 }
 
 /// Asks the seeds for all that they know, as a host does that has just started.
-fn ask_seeds(edge: &Edge, asking: &Asking) {
-    for table in NEEDED {
+fn ask_seeds(edge: &Edge, asking: &TableFetcher) {
+    for table in REQUIRED_TABLES {
         for seed in edge.settings.seeds.iter().filter(|seed| **seed != edge.settings.host.peers) {
-            asking.offer(table, *seed, &Known::default());
+            asking.offer(table, *seed, &TableStatus::default());
         }
     }
 }
@@ -185,9 +188,9 @@
 /// away ask one that has been served meanwhile.
 pub async fn serve(
     edge: Rc<Edge>,
-    gate: Gate,
+    gate: ConcurrencyLimit,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let query = request.uri().query().unwrap_or_default();
     let field = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -200,7 +203,7 @@
     };
     let after = version("era", "after");
     let complete = version("complete_era", "complete").or(after).unwrap_or_default();
-    let (ROWS, Some(table), Some(after)) = (request.uri().path(), table, after) else {
+    let (ROWS_PATH, Some(table), Some(after)) = (request.uri().path(), table, after) else {
         return Ok(empty(StatusCode::NOT_FOUND));
     };
     // A host that knows nothing says so at once, as those that ask it have just started.
@@ -216,8 +219,8 @@
         let mut hosts = hosts_told(&steer, all_hosts);
         hosts.push(edge.settings.host.peers);
         let endings = if starts { steer.harms().all() } else { Vec::new() };
-        let table = steer.tell_rows(clock::now(), table, Asked { after, complete });
-        Rows { table, hosts, all_hosts, endings }
+        let table = steer.tell_rows(clock::now(), table, SyncRequest { after, complete });
+        PeerRows { table, hosts, all_hosts, endings }
     };
     let bytes = postcard::to_allocvec(&rows).unwrap_or_default();
     let pace = Duration::from_micros(bytes.len() as u64 * MICROS_A_BYTE);
--- a/elmstream_edge/src/harm.rs
+++ b/elmstream_edge/src/poison.rs
@@ -10,7 +10,7 @@
 use elmstream_http::LocalBody;
 use elmstream_steer::{
     digest::RequestDigest,
-    harm::{Ending, Harm, ToList, Turn, outdated},
+    poison::{PendingListing, PoisonChange, PoisonEvidence, ServerCrash, listing_expired},
 };
 use elmstreamd::clock;
 use futures_channel::oneshot;
@@ -18,10 +18,10 @@
 use serde_json::{Value, json};
 
 use crate::{
-    Edge, Source, SourceError,
-    callers::{self, Call},
-    content::Contents,
-    source::Harmful,
+    Edge, SourceError, StoreSource,
+    callers::{self, CallerRequest},
+    request_digest::RequestDigests,
+    store_source::RefusedList,
 };
 
 /// Time between two looks at whether the list is to be read or changed.
@@ -33,7 +33,7 @@
 const RETURN_KEPT: u64 = 60 * SECOND;
 
 /// By which digest a request is refused, and why; none if it is not.
-pub(crate) fn known(edge: &Edge, call: &Call) -> Option<(RequestDigest, Harm)> {
+pub(crate) fn known(edge: &Edge, call: &CallerRequest) -> Option<(RequestDigest, PoisonEvidence)> {
     let steer = edge.steer.borrow();
     if steer.harms().is_empty() {
         return None;
@@ -43,7 +43,7 @@
 }
 
 /// Generations of endings that are known of a request, by its digests.
-pub(crate) fn generations(edge: &Edge, call: &Call) -> [u8; 2] {
+pub(crate) fn generations(edge: &Edge, call: &CallerRequest) -> [u8; 2] {
     let steer = edge.steer.borrow();
     match steer.harms().is_empty() {
         true => [0; 2],
@@ -58,8 +58,8 @@
 /// as well.
 pub(crate) fn refuse(
     edge: &Edge,
-    call: &Call,
-    (digest, harm): &(RequestDigest, Harm),
+    call: &CallerRequest,
+    (digest, harm): &(RequestDigest, PoisonEvidence),
 ) -> Response<LocalBody> {
     metrics::counter!("elmstream_requests", "outcome" => "harmful").increment(1);
     let code = Code::Harmful;
@@ -77,7 +77,7 @@
 }
 
 /// A request got a whole answer.
-pub(crate) fn answered(edge: &Edge, call: &Call) {
+pub(crate) fn answered(edge: &Edge, call: &CallerRequest) {
     let mut steer = edge.steer.borrow_mut();
     if !steer.harms().is_empty() {
         for digest in call.contents(edge).both() {
@@ -88,7 +88,7 @@
 
 /// A server whose connection broke under a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Suspected {
+pub(crate) struct SuspectedServer {
     /// Its id.
     pub id: String,
     /// Where it took requests.
@@ -103,8 +103,8 @@
 /// What is found out counts also if the caller leaves meanwhile.
 pub(crate) async fn ended(
     edge: &Rc<Edge>,
-    call: &Call,
-    server: Suspected,
+    call: &CallerRequest,
+    server: SuspectedServer,
     generations: [u8; 2],
 ) -> bool {
     let (found, finding) = oneshot::channel();
@@ -123,7 +123,7 @@
     finding.await.unwrap_or(false)
 }
 
-fn count(edge: &Edge, server: &Suspected, contents: &Contents, generations: [u8; 2]) {
+fn count(edge: &Edge, server: &SuspectedServer, contents: &RequestDigests, generations: [u8; 2]) {
     metrics::counter!("elmstream_servers_ended").increment(1);
     let now = clock::now();
     let fields = json!({
@@ -133,20 +133,20 @@
     edge.journal.belief("server_ended", fields);
     for (digest, known) in contents.both().into_iter().zip(generations) {
         let turn = edge.steer.borrow_mut().ended(now, unix_s(), digest, server.start, known);
-        if let Turn::Refused(harm) = turn {
+        if let PoisonChange::Refused(harm) = turn {
             note(edge, "itself", &[(digest, harm)]);
         }
     }
 }
 
 /// Writes down which requests are refused from now on, and who told.
-pub(crate) fn note(edge: &Edge, from: &str, refused: &[(RequestDigest, Harm)]) {
+pub(crate) fn note(edge: &Edge, from: &str, refused: &[(RequestDigest, PoisonEvidence)]) {
     for (digest, harm) in refused {
         edge.journal.write("refuses", told(digest, harm, from));
     }
 }
 
-fn told(digest: &RequestDigest, harm: &Harm, from: &str) -> Value {
+fn told(digest: &RequestDigest, harm: &PoisonEvidence, from: &str) -> Value {
     json!({
         "content": digest.hex(), "servers_ended": harm.servers, "generations": harm.generations,
         "own": harm.own, "from": from,
@@ -155,7 +155,7 @@
 
 /// Reads the list at the start and when the settings are read again, and adds to it,
 /// until the process ends.
-pub(crate) async fn run<S: Source>(edge: Rc<Edge>, source: Rc<S>) {
+pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     let mut started = false;
     let mut returns = Returns::default();
     loop {
@@ -179,13 +179,14 @@
     }
 }
 
-async fn keep<S: Source>(edge: &Edge, source: &S, read: bool) -> Result<(), SourceError> {
+async fn keep<S: StoreSource>(edge: &Edge, source: &S, read: bool) -> Result<(), SourceError> {
     if read {
         let harmful = source.harmful().await?;
         edge.unreadable("harmful", &harmful.unreadable);
         take_in(edge, &harmful);
         // Nobody else clears the list.
-        for (digest, _) in harmful.listed.iter().filter(|(_, endings)| outdated(endings, unix_s()))
+        for (digest, _) in
+            harmful.listed.iter().filter(|(_, endings)| listing_expired(endings, unix_s()))
         {
             source.list_harmful(digest, &[]).await?;
         }
@@ -199,7 +200,7 @@
     }
     // What was let in again, or found to be listed, meanwhile is not due any more.
     let due = edge.steer.borrow().harms().to_list(clock::now());
-    for ToList { digest, endings, .. } in due {
+    for PendingListing { digest, endings, .. } in due {
         source.list_harmful(&digest, &endings).await?;
         edge.steer.borrow_mut().harms_mut().listed(&digest);
     }
@@ -244,9 +245,9 @@
 
 /// Lists again what the store has lost, and takes off what was let in again: nobody else
 /// writes that, and hosts that start go by it.
-async fn list_again<S: Source>(edge: &Edge, source: &S) -> Result<(), SourceError> {
+async fn list_again<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
     let harmful = source.harmful().await?;
-    let lost = |(digest, _): &(RequestDigest, Vec<Ending>)| {
+    let lost = |(digest, _): &(RequestDigest, Vec<ServerCrash>)| {
         !harmful.listed.iter().any(|(listed, _)| listed == digest)
     };
     let refused = edge.steer.borrow().harms().all_refused();
@@ -265,7 +266,7 @@
 
 /// Takes in what the store lists. A request that is listed without ends of servers is let
 /// in again: a row that is not there may only not have been written yet.
-fn take_in(edge: &Edge, harmful: &Harmful) {
+fn take_in(edge: &Edge, harmful: &RefusedList) {
     let now = clock::now();
     for (digest, endings) in &harmful.listed {
         let refused = edge.steer.borrow_mut().hear_endings(now, endings);
--- a/elmstream_edge/src/content.rs
+++ b/elmstream_edge/src/request_digest.rs
@@ -4,7 +4,7 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-use crate::callers::Call;
+use crate::callers::CallerRequest;
 
 /// Digests of a request: of its content, and of its content and caller.
 ///
@@ -12,22 +12,22 @@
 /// caller's address may change. One that does so from a single caller, whose session say
 /// is broken, must not be cleared by the answers that others get to the same.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Contents {
+pub struct RequestDigests {
     /// Of host, method, path with query, and body.
     pub any: RequestDigest,
     /// The same with the caller: its workspace, else its address.
     pub own: RequestDigest,
 }
 
-impl Contents {
+impl RequestDigests {
     /// Digests of a request.
     ///
     /// Nothing counts that changes with each try. Nobody can tell from a line what was
     /// asked, even by guessing, without the fleet's secret.
-    pub fn of(secret: &str, call: &Call) -> Contents {
+    pub fn of(secret: &str, call: &CallerRequest) -> RequestDigests {
         // A key of any length will do, so this cannot fail.
         let Ok(mut whole) = Hmac::<Sha256>::new_from_slice(secret.as_bytes()) else {
-            return Contents::default();
+            return RequestDigests::default();
         };
         let path = call.uri.path_and_query().map_or("/", |path| path.as_str());
         for part in [&call.route.host, call.method.as_str(), path] {
@@ -40,7 +40,7 @@
             name => format!("={name}"),
         };
         add(&mut whole, caller.as_bytes());
-        Contents { any, own: cut(whole) }
+        RequestDigests { any, own: cut(whole) }
     }
 
     /// Both, the one that more requests share first.
--- a/elmstream_edge/src/rollout.rs
+++ b/elmstream_edge/src/rollout.rs
@@ -4,13 +4,13 @@
 
 use elmstream_steer::{
     RolloutWrite, Steer,
-    rollout::Stage,
-    verdict::{Cause, route_hash},
+    canary_analysis::{RejectionCause, route_hash},
+    rollout::RolloutStage,
 };
 use elmstreamd::clock;
 use serde_json::{Value, json};
 
-use crate::{Edge, Source};
+use crate::{Edge, StoreSource};
 
 /// Time between two looks at whether something is to be written.
 const LOOK: Duration = Duration::from_millis(100);
@@ -19,7 +19,7 @@
 const PAUSE: Duration = Duration::from_millis(300);
 
 /// Writes until the process ends.
-pub(crate) async fn run<S: Source>(edge: Rc<Edge>, source: Rc<S>) {
+pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     loop {
         compio::time::sleep(LOOK).await;
         let due = edge.steer.borrow_mut().rollout_due(clock::now(), clock::unix_ms());
@@ -32,8 +32,8 @@
 }
 
 /// Writes once; whether the store took it.
-async fn carry_out<S: Source>(edge: &Rc<Edge>, source: &S, write: &RolloutWrite) -> bool {
-    let (service, stage) = (write.service.as_str(), told(write.progress.stage));
+async fn carry_out<S: StoreSource>(edge: &Rc<Edge>, source: &S, write: &RolloutWrite) -> bool {
+    let (service, stage) = (write.service.as_str(), stage_text(write.progress.stage));
     match source.write_rollout(write).await {
         Ok(Some(version)) => {
             metrics::counter!("elmstream_rollout_writes", "stage" => write.progress.stage.name())
@@ -62,14 +62,14 @@
     let answers = steer.rollout_judged(&write.service).map(|judge| judge.marks());
     json!({
         "service": write.service, "target": write.progress.target,
-        "stage": told(write.progress.stage), "order": write.progress.order.to_string(),
+        "stage": stage_text(write.progress.stage), "order": write.progress.order.to_string(),
         "good": answers.map(|marks| marks.good), "bad": answers.map(|marks| marks.bad),
         "cause": write.cause.as_ref().map(|known| cause(&steer, known)),
     })
 }
 
 /// Why a version is turned away.
-fn cause(steer: &Steer, cause: &Cause) -> Value {
+fn cause(steer: &Steer, cause: &RejectionCause) -> Value {
     let configuration = steer.view().configuration().into_iter();
     let mut routes = configuration.flat_map(|configuration| &configuration.routes);
     let route = cause.route.map(|hash| routes.find(|route| route_hash(&route.name) == hash));
@@ -80,9 +80,9 @@
 }
 
 /// A stage in lines.
-pub(crate) fn told(stage: Stage) -> String {
+pub(crate) fn stage_text(stage: RolloutStage) -> String {
     match stage {
-        Stage::Shift(percent) => format!("shift {percent}%"),
+        RolloutStage::Shift(percent) => format!("shift {percent}%"),
         stage => stage.name().to_owned(),
     }
 }
--- a/elmstream_edge/src/hints.rs
+++ b/elmstream_edge/src/server_hints.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elmstream_steer::{Steer, server_limit::PerSecond, servers::Index};
+use elmstream_steer::{Steer, server_limit::RequestRate, servers::ServerIndex};
 use elmstreamd::clock;
 use http::{StatusCode, header, response};
 use serde_json::{Value, json};
@@ -32,7 +32,7 @@
     #[default]
     None,
     /// Requests a second from all hosts together.
-    Limit(PerSecond),
+    Limit(RequestRate),
     /// Something that is not a number of requests.
     Unreadable,
 }
@@ -44,7 +44,7 @@
         let limit = match parts.headers.get(&names.server_limit) {
             None => Said::None,
             Some(value) => {
-                let named = value.to_str().ok().and_then(PerSecond::parse);
+                let named = value.to_str().ok().and_then(RequestRate::parse);
                 named.map_or(Said::Unreadable, Said::Limit)
             }
         };
@@ -53,7 +53,7 @@
     }
 
     /// Takes them in; the answer must be known to be this server's.
-    pub fn take(self, edge: &Edge, index: Index) {
+    pub fn take(self, edge: &Edge, index: ServerIndex) {
         let now = clock::now();
         let mut steer = edge.steer.borrow_mut();
         if let Some(requests) = self.load {
@@ -84,7 +84,7 @@
 }
 
 /// Writes down what a server said of itself.
-fn note(edge: &Edge, steer: &Steer, index: Index, event: &str, mut fields: Value) {
+fn note(edge: &Edge, steer: &Steer, index: ServerIndex, event: &str, mut fields: Value) {
     fields["server"] = steer.servers().get(index).map(|entry| entry.id.as_str()).into();
     edge.journal.belief(event, fields);
 }
@@ -101,8 +101,8 @@
 }
 
 /// Writes down the limit that a server names, and who heard it.
-pub fn note_limit(edge: &Edge, from: &str, server: &str, limit: Option<PerSecond>) {
-    let fields = json!({"server": server, "per_s": limit.map(PerSecond::value), "from": from});
+pub fn note_limit(edge: &Edge, from: &str, server: &str, limit: Option<RequestRate>) {
+    let fields = json!({"server": server, "per_s": limit.map(RequestRate::value), "from": from});
     edge.journal.belief("server_limit", fields);
 }
 
--- a/elmstream_edge/src/reader.rs
+++ b/elmstream_edge/src/store_reader.rs
@@ -3,11 +3,13 @@
 use std::{rc::Rc, time::Duration};
 
 use elmstream::time::{MILLI, SECOND, Time};
-use elmstream_steer::{calls::Why, readers, version::StoreVersion, view::Table};
+use elmstream_steer::{
+    reader_rank, store_schedule::ReadReason, version::StoreVersion, view::Table,
+};
 use elmstreamd::clock;
 use serde_json::json;
 
-use crate::{Source, SourceError, edge::Edge, source::Rows};
+use crate::{SourceError, StoreSource, edge::Edge, store_source::StoreRows};
 
 /// Pause between two looks at whether it is this host's turn.
 pub const LOOK: Duration = Duration::from_millis(60);
@@ -25,7 +27,7 @@
 }
 
 /// Reads a table until the process ends.
-pub async fn run<S: Source>(edge: Rc<Edge>, source: Rc<S>, table: Table) {
+pub async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>, table: Table) {
     let mut cursor: Option<Cursor> = None;
     let mut lost: Option<Time> = None;
     loop {
@@ -72,7 +74,7 @@
 }
 
 /// Writes that the store served this host's calls again, and for how long it had not.
-fn regained(edge: &Rc<Edge>, table: Table, why: Why, since: Time) {
+fn regained(edge: &Rc<Edge>, table: Table, why: ReadReason, since: Time) {
     let fields = json!({
         "table": name(table), "why": why.name(),
         "after_ms": clock::now().since(since) / MILLI,
@@ -82,7 +84,7 @@
 
 /// Writes that a call failed: why it was made, how long it took, and how old what is
 /// known of the table has become meanwhile.
-fn lost_store(edge: &Rc<Edge>, table: Table, why: Why, asked: Time, error: &SourceError) {
+fn lost_store(edge: &Rc<Edge>, table: Table, why: ReadReason, asked: Time, error: &SourceError) {
     let now = clock::now();
     let steer = edge.steer.borrow();
     let age = steer.view().age(now, table).map(|age| age / MILLI);
@@ -100,14 +102,14 @@
 /// A kept connection may have fallen silent for good while new ones work, on all hosts
 /// at once. So a call that fails over one is made anew at once, and only the failure of
 /// that one speaks of the store.
-async fn read<S: Source>(
+async fn read<S: StoreSource>(
     edge: &Rc<Edge>,
     source: &S,
     table: Table,
     after: Option<StoreVersion>,
 ) -> Result<Option<StoreVersion>, SourceError> {
     let bound = edge.settings.bounds.configuration_ms as f64;
-    let wait = Duration::from_micros((bound * readers::WAIT_PART) as u64 * MILLI);
+    let wait = Duration::from_micros((bound * reader_rank::WAIT_PART) as u64 * MILLI);
     match call(edge, source, table, (after, wait)).await {
         Err(SourceError::Unreachable { cause, kept: true }) => {
             metrics::counter!("elmstream_store_connections_lost").increment(1);
@@ -120,7 +122,7 @@
 }
 
 /// One call: changes after a version, for which the store may wait, or all rows.
-async fn call<S: Source>(
+async fn call<S: StoreSource>(
     edge: &Rc<Edge>,
     source: &S,
     table: Table,
@@ -128,7 +130,7 @@
 ) -> Result<Option<StoreVersion>, SourceError> {
     let asked = clock::now();
     let Some(after) = after else {
-        let Rows { version, rows, unreadable } = source.all(table).await?;
+        let StoreRows { version, rows, unreadable } = source.all(table).await?;
         edge.unreadable(name(table), &unreadable);
         let now = clock::now();
         up_to_date(edge, version)?;
@@ -141,7 +143,8 @@
         edge.note("store", &changes);
         return Ok(Some(version));
     };
-    let Some(Rows { version, rows, unreadable }) = source.changes(table, after, wait).await? else {
+    let Some(StoreRows { version, rows, unreadable }) = source.changes(table, after, wait).await?
+    else {
         edge.journal.write("store_history_gone", json!({"table": name(table)}));
         return Ok(None);
     };
--- a/elmstream_edge/src/source.rs
+++ b/elmstream_edge/src/store_source.rs
@@ -5,8 +5,8 @@
 use elmstream_steer::{
     RolloutWrite,
     digest::RequestDigest,
-    harm::Ending,
-    registry::{Edit, Listed},
+    host_registry::{RegisteredHost, RegistryEdit},
+    poison::ServerCrash,
     version::StoreVersion,
     view::{Row, Table},
 };
@@ -15,7 +15,7 @@
 /// Time in which an answer of the store must come, beyond the wait that was asked for.
 ///
 /// A store that takes fifty times its usual few milliseconds still answers within it.
-pub const ANSWER: Duration = Duration::from_millis(600);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Why a call to the store gave nothing.
 #[derive(Debug, Snafu)]
@@ -60,7 +60,7 @@
 
 /// Rows of a table, and the store's version that they are of.
 #[derive(Debug)]
-pub struct Rows {
+pub struct StoreRows {
     /// The store's version, with the era that the answer names.
     pub version: StoreVersion,
     /// Rows; of a whole table only those that are there.
@@ -71,32 +71,32 @@
 
 /// The list of hosts.
 #[derive(Debug, Default)]
-pub struct Hosts {
+pub struct HostList {
     /// Hosts.
-    pub listed: Vec<Listed>,
+    pub listed: Vec<RegisteredHost>,
     /// Keys of rows that cannot be read.
     pub unreadable: Vec<String>,
 }
 
 /// Requests that are refused, as the store lists them.
 #[derive(Debug, Default)]
-pub struct Harmful {
+pub struct RefusedList {
     /// Requests, each with the ends of servers that decided it.
-    pub listed: Vec<(RequestDigest, Vec<Ending>)>,
+    pub listed: Vec<(RequestDigest, Vec<ServerCrash>)>,
     /// Keys of rows that cannot be read.
     pub unreadable: Vec<String>,
 }
 
 /// A store with rules, servers, hosts and requests that are refused.
 ///
-/// A call ends within its wait and [`ANSWER`] for each page. After one that failed no
+/// A call ends within its wait and [`ANSWER_TIMEOUT`] for each page. After one that failed no
 /// kept connection is used.
-pub trait Source: 'static {
+pub trait StoreSource: 'static {
     /// All rows of a table, as they were at one version.
     ///
     /// Hosts take it that no change up to that version, or up to that of any row, is
     /// missing, and never ask for it again.
-    fn all(&self, table: Table) -> impl Future<Output = Result<Rows, SourceError>>;
+    fn all(&self, table: Table) -> impl Future<Output = Result<StoreRows, SourceError>>;
 
     /// Rows that changed after a version, as soon as there is one; none if the
     /// store no longer knows what changed, or has come back from a copy since.
@@ -105,22 +105,22 @@
         table: Table,
         after: StoreVersion,
         wait: Duration,
-    ) -> impl Future<Output = Result<Option<Rows>, SourceError>>;
+    ) -> impl Future<Output = Result<Option<StoreRows>, SourceError>>;
 
     /// The list of hosts.
-    fn hosts(&self) -> impl Future<Output = Result<Hosts, SourceError>>;
+    fn hosts(&self) -> impl Future<Output = Result<HostList, SourceError>>;
 
     /// Changes the list of hosts.
-    fn edit_hosts(&self, edit: &Edit) -> impl Future<Output = Result<(), SourceError>>;
+    fn edit_hosts(&self, edit: &RegistryEdit) -> impl Future<Output = Result<(), SourceError>>;
 
     /// The list of requests that are refused.
-    fn harmful(&self) -> impl Future<Output = Result<Harmful, SourceError>>;
+    fn harmful(&self) -> impl Future<Output = Result<RefusedList, SourceError>>;
 
     /// Lists one more, or takes one off if it comes without ends of servers.
     fn list_harmful(
         &self,
         digest: &RequestDigest,
-        endings: &[Ending],
+        endings: &[ServerCrash],
     ) -> impl Future<Output = Result<(), SourceError>>;
 
     /// Writes how far a roll-out has come, if neither that nor its order has changed since;
--- a/elmstream_edge/src/fetch.rs
+++ b/elmstream_edge/src/table_fetch.rs
@@ -1,12 +1,14 @@
 //! Fetches the rows of the view from other hosts by HTTP.
 //!
-//! [`Fetches`] says whom to ask and when; this carries it out.
+//! [`FetchSchedule`] says whom to ask and when; this carries it out.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
 use elmstream::time::Time;
 use elmstream_http::{body, client};
-use elmstream_steer::{beat::Known, hash, telling::Asked, version::StoreVersion, view::Table};
+use elmstream_steer::{
+    hash, heartbeat::TableStatus, table_sync::SyncRequest, version::StoreVersion, view::Table,
+};
 use elmstreamd::{clock, waits};
 use http::{Request, StatusCode};
 use http_body_util::BodyExt;
@@ -14,9 +16,9 @@
 
 use crate::{
     edge::Edge,
-    fetches::{End, Fetches, HEDGE},
-    harm,
-    peers::{ROWS, Rows},
+    fetch_schedule::{FetchOutcome, FetchSchedule, HEDGE_DELAY},
+    peers::{PeerRows, ROWS_PATH},
+    poison,
 };
 
 /// Time in which rows must have come.
@@ -24,20 +26,20 @@
 
 /// Asks other hosts for what they know better.
 #[derive(Clone, Debug)]
-pub(crate) struct Asking {
+pub(crate) struct TableFetcher {
     edge: Rc<Edge>,
-    fetches: Rc<RefCell<Fetches>>,
+    fetches: Rc<RefCell<FetchSchedule>>,
 }
 
-impl Asking {
+impl TableFetcher {
     /// Nobody has offered anything yet.
-    pub(crate) fn new(edge: Rc<Edge>) -> Asking {
+    pub(crate) fn new(edge: Rc<Edge>) -> TableFetcher {
         let seed = hash::of(&edge.settings.host.name);
-        Asking { edge, fetches: Rc::new(RefCell::new(Fetches::new(seed))) }
+        TableFetcher { edge, fetches: Rc::new(RefCell::new(FetchSchedule::new(seed))) }
     }
 
     /// A host's beat shows that it knows news of a table.
-    pub(crate) fn offer(&self, table: Table, host: SocketAddr, known: &Known) {
+    pub(crate) fn offer(&self, table: Table, host: SocketAddr, known: &TableStatus) {
         self.fetches.borrow_mut().offer(clock::now(), table, host, known);
         self.go_on(table);
     }
@@ -47,13 +49,13 @@
         loop {
             let steer = self.edge.steer.borrow();
             let asks = steer.asks(table);
-            let wants = |known: &Known| steer.wants(table, known);
+            let wants = |known: &TableStatus| steer.wants(table, known);
             let next = self.fetches.borrow_mut().next(clock::now(), table, wants);
             drop(steer);
             let Some(host) = next else { return };
             let asking = self.clone();
             compio::runtime::spawn(async move { asking.ask(host, table, asks).await }).detach();
-            self.go_on_at(table, clock::now() + HEDGE);
+            self.go_on_at(table, clock::now() + HEDGE_DELAY);
         }
     }
 
@@ -68,15 +70,15 @@
         .detach();
     }
 
-    async fn ask(&self, host: SocketAddr, table: Table, asks: Asked) {
+    async fn ask(&self, host: SocketAddr, table: Table, asks: SyncRequest) {
         let fetched = fetch(&self.edge, host, table, asks).await;
         let end = match &fetched {
-            Ok(()) => End::Told,
-            Err(error) if error.kind() == io::ErrorKind::ResourceBusy => End::Refused,
-            Err(_) => End::Failed,
+            Ok(()) => FetchOutcome::Told,
+            Err(error) if error.kind() == io::ErrorKind::ResourceBusy => FetchOutcome::Refused,
+            Err(_) => FetchOutcome::Failed,
         };
         metrics::counter!("elmstream_fetches", "end" => end.name()).increment(1);
-        if let (End::Failed, Err(error)) = (end, &fetched) {
+        if let (FetchOutcome::Failed, Err(error)) = (end, &fetched) {
             if table != Table::Rollouts {
                 self.edge.steer.borrow_mut().untold();
             }
@@ -86,19 +88,24 @@
         }
         let again = self.fetches.borrow_mut().ended(clock::now(), table, host, end);
         let lacks_progress = self.edge.steer.borrow().lacks_progress();
-        if end == End::Told && table == Table::Rules && lacks_progress {
+        if end == FetchOutcome::Told && table == Table::Rules && lacks_progress {
             // A host that has just started does not wait for the next beat.
-            self.offer(Table::Rollouts, host, &Known::default());
+            self.offer(Table::Rollouts, host, &TableStatus::default());
         }
         self.go_on(table);
-        if end != End::Told {
+        if end != FetchOutcome::Told {
             self.go_on_at(table, again);
         }
     }
 }
 
 /// Fetches the rows of a table after a version, and the addresses of hosts.
-async fn fetch(edge: &Edge, address: SocketAddr, table: Table, asks: Asked) -> io::Result<()> {
+async fn fetch(
+    edge: &Edge,
+    address: SocketAddr,
+    table: Table,
+    asks: SyncRequest,
+) -> io::Result<()> {
     let fetched = waits::within_next(FETCH, get(address, table, asks)).await;
     let fetched = fetched.ok_or(io::ErrorKind::TimedOut)??;
     let now = clock::now();
@@ -110,7 +117,7 @@
         }
         let refused = steer.hear_endings(now, &fetched.endings);
         drop(steer);
-        harm::note(edge, &address.to_string(), &refused);
+        poison::note(edge, &address.to_string(), &refused);
         let mut steer = edge.steer.borrow_mut();
         if fetched.table.known.reading.is_none() {
             // Whoever knows the rules may not know of roll-outs; there may be none.
@@ -125,11 +132,11 @@
     Ok(())
 }
 
-async fn get(address: SocketAddr, table: Table, asks: Asked) -> io::Result<Rows> {
+async fn get(address: SocketAddr, table: Table, asks: SyncRequest) -> io::Result<PeerRows> {
     let mut sender = client::connect_bounded(address, FETCH, FETCH).await?;
-    let Asked { after: StoreVersion { era, count }, complete } = asks;
+    let SyncRequest { after: StoreVersion { era, count }, complete } = asks;
     let complete = format!("complete_era={}&complete={}", complete.era, complete.count);
-    let uri = format!("{ROWS}?table={}&era={era}&after={count}&{complete}", table as usize);
+    let uri = format!("{ROWS_PATH}?table={}&era={era}&after={count}&{complete}", table as usize);
     let request = Request::builder().uri(uri).header("host", address.to_string());
     let request = request.body(body::empty()).map_err(io::Error::other)?;
     let response = sender.send_request(request).await.map_err(io::Error::other)?;
--- a/elmstream_edge/tests/access.rs
+++ b/elmstream_edge/tests/access.rs
@@ -11,12 +11,12 @@
 };
 
 use bytes::Bytes;
-use elmstream_edge::{Edge, journal::Journal, settings::Logging};
+use elmstream_edge::{Edge, event_log::EventLog, settings::Logging};
 use elmstream_http::{LocalBody, body, client};
 use elmstream_steer::{
     key::KeyDigest,
-    model::{Configuration, Repeat, Workspace},
-    view::{Item, Key},
+    model::{Configuration, Repeatability, Workspace},
+    view::{RowContent, RowKey},
 };
 use http::{HeaderMap, Method, Request, header};
 use http_body_util::BodyExt;
@@ -28,8 +28,9 @@
 
 /// Workspaces `w` and `v` with a key each, one that may send 24 requests in a window, and
 /// an open route.
-fn workspaces(version: u64, change: impl Fn(&mut Configuration)) -> Item {
-    let Item::Configuration(mut configuration) = configuration(version, Repeat::Safe) else {
+fn workspaces(version: u64, change: impl Fn(&mut Configuration)) -> RowContent {
+    let RowContent::Configuration(mut configuration) = configuration(version, Repeatability::Safe)
+    else {
         panic!("a configuration");
     };
     let workspace = |name: &str, key: &str| Workspace {
@@ -44,7 +45,7 @@
     (open.prefix, open.open) = ("/open/".into(), true);
     configuration.routes.push(open);
     change(&mut configuration);
-    Item::Configuration(configuration)
+    RowContent::Configuration(configuration)
 }
 
 /// A host with a server, and what that gets.
@@ -57,8 +58,8 @@
 async fn serving_with(at: IpAddr, edge: Rc<Edge>) -> (Store, Running, Got) {
     let (address, got) = backend(ip(), |head| good(head, "ok")).await;
     let store = Store::default();
-    store.put(Key::Configuration, Some(workspaces(1, |_| ())));
-    store.put(Key::Server("s-0".into()), Some(server(address)));
+    store.put(RowKey::Configuration, Some(workspaces(1, |_| ())));
+    store.put(RowKey::Server("s-0".into()), Some(server(address)));
     let running = start_edge(at, edge, &store);
     let knows = || running.edge.serves() && running.edge.steer.borrow().knows_hosts();
     assert!(until(Duration::from_secs(3), knows).await, "the host is ready");
@@ -162,9 +163,9 @@
         let (store, host, got) = serving().await;
         let (other, got_other) = backend(ip(), refuses).await;
         let (third, got_third) = backend(ip(), refuses).await;
-        store.put(Key::Server("s-0".into()), None);
-        store.put(Key::Server("s-1".into()), Some(server(other)));
-        store.put(Key::Server("s-2".into()), Some(server(third)));
+        store.put(RowKey::Server("s-0".into()), None);
+        store.put(RowKey::Server("s-1".into()), Some(server(other)));
+        store.put(RowKey::Server("s-2".into()), Some(server(third)));
         let listed = || host.edge.steer.borrow().servers().all().count() == 2;
         assert!(until(Duration::from_secs(2), listed).await);
         let key = [("authorization", "Bearer key-v")];
@@ -199,13 +200,13 @@
         let mut kept = connect(host.callers).await;
         let key = [("authorization", "Bearer key-w")];
         assert_eq!(ask(&mut kept, "/a", &key).await.status, 200);
-        store.put(Key::Configuration, Some(workspaces(2, |new| new.workspaces[0].keys.clear())));
+        store.put(RowKey::Configuration, Some(workspaces(2, |new| new.workspaces[0].keys.clear())));
         let newer = || host.edge.steer.borrow().version() == Some(2);
         assert!(until(Duration::from_secs(2), newer).await);
         let answer = ask(&mut kept, "/a", &key).await;
         assert_eq!((answer.status, answer.code.as_str()), (401, "1004"));
         // News of before, told late, bring it back no more.
-        store.put(Key::Configuration, Some(workspaces(1, |_| ())));
+        store.put(RowKey::Configuration, Some(workspaces(1, |_| ())));
         compio::time::sleep(Duration::from_millis(300)).await;
         assert_eq!(ask(&mut kept, "/a", &key).await.status, 401);
         assert_eq!(ask(&mut kept, "/a", &[("authorization", "Bearer key-v")]).await.status, 200);
@@ -256,7 +257,7 @@
         ];
         for (workspace, route, status) in cases {
             version += 1;
-            store.put(Key::Configuration, Some(workspaces(version, homes(workspace, route))));
+            store.put(RowKey::Configuration, Some(workspaces(version, homes(workspace, route))));
             let newer = || host.edge.steer.borrow().version() == Some(version);
             assert!(until(Duration::from_secs(2), newer).await);
             let path = format!("/{version}");
@@ -315,7 +316,7 @@
         let written = Written::default();
         let logging = Logging { sample: 1, lines_per_s: 1_000, beliefs_per_s: 1_000 };
         let at = ip();
-        let edge = Edge::writing(settings(at, &[]), Journal::to(&logging, written.clone()));
+        let edge = Edge::writing(settings(at, &[]), EventLog::to(&logging, written.clone()));
         let (_store, host, _got) = serving_with(at, edge).await;
         for (path, key) in [
             ("/a", "Bearer key-w"),
--- a/elmstream_edge/tests/answers.rs
+++ b/elmstream_edge/tests/answers.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use elmstream_steer::model::Repeat;
+use elmstream_steer::model::Repeatability;
 use support::{Answer, CLOSE, ask, backend, good, header, ip, run, serving};
 
 /// What a caller gets when its server answers like this, without repeats.
@@ -11,7 +11,7 @@
     let filled = result.clone();
     run(async move || {
         let (address, _) = backend(ip(), answer).await;
-        let (_store, host) = serving(Repeat::Once, &[address]).await;
+        let (_store, host) = serving(Repeatability::Once, &[address]).await;
         *filled.borrow_mut() = ask(host.callers, "id-1", "/thing").await;
     });
     result.take().expect("each request has an answer")
@@ -99,7 +99,7 @@
             [own.clone(), own].concat()
         })
         .await;
-        let (_store, host) = serving(Repeat::Once, &[address]).await;
+        let (_store, host) = serving(Repeatability::Once, &[address]).await;
         for n in 0..30 {
             let id = format!("id-{n}");
             let answer = ask(host.callers, &id, "/thing").await.expect("an answer");
--- a/elmstream_edge/tests/content.rs
+++ b/elmstream_edge/tests/content.rs
@@ -4,8 +4,8 @@
 
 use std::{cell::RefCell, io::Write, rc::Rc, sync::mpsc, time::Duration};
 
-use elmstream_edge::{Edge, journal::Journal, settings::Logging};
-use elmstream_steer::{model::Repeat, view::Key};
+use elmstream_edge::{Edge, event_log::EventLog, settings::Logging};
+use elmstream_steer::{model::Repeatability, view::RowKey};
 use serde_json::Value;
 use support::{CLOSE, ask, backend, configuration, ip, run, server, start_edge, until};
 
@@ -28,12 +28,12 @@
     run(async || {
         let (cut, _) = backend(ip(), |_| CLOSE.to_vec()).await;
         let store = support::Store::default();
-        store.put(Key::Configuration, Some(configuration(1, Repeat::Safe)));
-        store.put(Key::Server("s-0".into()), Some(server(cut)));
+        store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
+        store.put(RowKey::Server("s-0".into()), Some(server(cut)));
         let (lines, written) = mpsc::channel();
         let logging = Logging { sample: 0, lines_per_s: 100, beliefs_per_s: 0 };
         let ip = ip();
-        let edge = Edge::writing(support::settings(ip, &[]), Journal::to(&logging, Lines(lines)));
+        let edge = Edge::writing(support::settings(ip, &[]), EventLog::to(&logging, Lines(lines)));
         let host = start_edge(ip, edge, &store);
         assert!(until(Duration::from_secs(3), || host.edge.serves()).await);
         for (id, path) in [("a", "/one?x=1"), ("b", "/one?x=1"), ("c", "/one?x=2")] {
--- a/elmstream_edge/tests/content_cost.rs
+++ b/elmstream_edge/tests/content_cost.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use elmstream::time::Time;
-use elmstream_edge::{callers::Call, content::Contents};
-use elmstream_steer::model::{Part, Repeat, Route};
+use elmstream_edge::{callers::CallerRequest, request_digest::RequestDigests};
+use elmstream_steer::model::{Repeatability, Route, WeightedService};
 use http::{HeaderMap, Method};
 
 /// Requests that are timed, and how often; the fastest time counts.
@@ -17,22 +17,22 @@
 /// for the test's profile.
 const MOST: u128 = 20_000;
 
-fn call(bytes: usize) -> Call {
+fn call(bytes: usize) -> CallerRequest {
     let route = Route {
         name: "r".into(),
         host: "shop.example".into(),
         prefix: "/".into(),
-        repeat: Repeat::Safe,
+        repeat: Repeatability::Safe,
         attempts: 2,
         timeout_ms: 800,
         objective_ms: 300,
         priority: 0,
         affinity: true,
         homes: Vec::new(),
-        parts: vec![Part { service: "shop".into(), weight: 1.0 }],
+        parts: vec![WeightedService { service: "shop".into(), weight: 1.0 }],
         open: false,
     };
-    Call {
+    CallerRequest {
         id: "9c41d07be2a35f68".into(),
         caller: [10, 0, 0, 1].into(),
         route: Rc::new(route),
@@ -58,7 +58,7 @@
     let run = || {
         let began = Instant::now();
         for _ in 0..requests {
-            black_box(Contents::of("a secret of the fleet", black_box(&call)));
+            black_box(RequestDigests::of("a secret of the fleet", black_box(&call)));
         }
         began.elapsed().as_nanos() / requests as u128
     };
--- a/elmstream_edge/tests/delays.rs
+++ b/elmstream_edge/tests/delays.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use elmstream::time::MILLI;
-use elmstream_edge::{fetches, peers, reader, source::ANSWER};
+use elmstream_edge::{fetch_schedule, peers, store_reader, store_source::ANSWER_TIMEOUT};
 use elmstream_steer::{
-    calls, members, readers, start,
+    members, reader_rank, startup, store_schedule,
     view::{TABLES, Table},
 };
 
@@ -60,49 +60,51 @@
 
     /// Until the reader asks again, if it is well: the store answers at once.
     fn noticed(self, table: Table) -> u64 {
-        readers::patience(table, 0, self.bound) / MILLI + millis(reader::LOOK) + WAY
+        reader_rank::read_delay(table, 0, self.bound) / MILLI + millis(store_reader::LOOK) + WAY
     }
 
     /// Until another host has heard of urgent news.
     fn told(self) -> u64 {
-        millis(peers::LOOK) + millis(peers::URGENT) + WAY / 2
+        millis(peers::HEARTBEAT_CHECK_INTERVAL) + millis(peers::URGENT_INTERVAL) + WAY / 2
     }
 
     /// Hands through which news go. Each second round of beats reaches other regions.
     fn hops(self) -> u64 {
-        let reached = (members::NEAR + members::FAR / 2) as f64;
+        let reached = (members::NEAR_FANOUT + members::FAR_FANOUT / 2) as f64;
         (self.hosts as f64).log(reached).ceil().max(1.0) as u64
     }
 
     /// Until all have fetched them from hand to hand; who is slow is not waited for.
     fn spread(self) -> u64 {
-        self.hops() * (self.told() + fetches::HEDGE / MILLI)
+        self.hops() * (self.told() + fetch_schedule::HEDGE_DELAY / MILLI)
     }
 
     /// Until a host that cannot fetch them has read them itself, also if its last call
     /// failed: that pause is over by then.
     fn fallback(self) -> u64 {
-        let apart =
-            (self.hosts as u64 * calls::BEHIND_SLOT / MILLI).min(calls::BEHIND_SPREAD / MILLI);
-        calls::BEHIND / MILLI + apart + millis(reader::LOOK) + self.read()
+        let apart = (self.hosts as u64 * store_schedule::BEHIND_SLOT / MILLI)
+            .min(store_schedule::BEHIND_SPREAD / MILLI);
+        store_schedule::BEHIND_WAIT / MILLI + apart + millis(store_reader::LOOK) + self.read()
     }
 
     /// Until another host asks in place of those of the first ranks that have just died.
     /// However late it heard of their last reading, that counts as old as it is.
     fn taken_over(self, table: Table, dead: u64) -> u64 {
-        let slots = EMPTY_SLOTS_BESIDE * calls::SLOT / MILLI;
-        let by_slot = if dead >= readers::RANKS { slots } else { 0 };
-        readers::patience(table, dead, self.bound) / MILLI + by_slot + millis(reader::LOOK)
+        let slots = EMPTY_SLOTS_BESIDE * store_schedule::FLEET_READ_SLOT / MILLI;
+        let by_slot = if dead >= reader_rank::READER_RANKS { slots } else { 0 };
+        reader_rank::read_delay(table, dead, self.bound) / MILLI
+            + by_slot
+            + millis(store_reader::LOOK)
     }
 
     /// Until somebody asks a store that is back.
     fn found_back(self) -> u64 {
-        EMPTY_SLOTS * calls::SLOT / MILLI + millis(reader::LOOK)
+        EMPTY_SLOTS * store_schedule::FLEET_READ_SLOT / MILLI + millis(store_reader::LOOK)
     }
 
     /// Until a reader whose kept connection has fallen silent asks over a new one.
     fn renewed(self) -> u64 {
-        (self.bound as f64 * readers::WAIT_PART) as u64 + millis(ANSWER)
+        (self.bound as f64 * reader_rank::WAIT_PART) as u64 + millis(ANSWER_TIMEOUT)
     }
 }
 
@@ -121,7 +123,7 @@
             check(fleet, "a host cannot fetch them", alone, fleet.bound);
             let after_death = fleet.taken_over(table, 1) + fleet.read() + fleet.spread();
             check(fleet, "the reader has just died", after_death, fleet.bound);
-            let taken_over = fleet.taken_over(table, readers::RANKS + 1);
+            let taken_over = fleet.taken_over(table, reader_rank::READER_RANKS + 1);
             let sum = taken_over + fleet.read() + fleet.spread();
             check(fleet, "the first ranks have just died", sum, fleet.bound);
             let renewed = fleet.renewed() + fleet.read() + fleet.spread();
@@ -134,10 +136,11 @@
 #[test]
 fn a_host_that_starts_knows_all_soon() {
     for fleet in FLEETS {
-        let seeds = 2 * WAY + fetches::HEDGE / MILLI;
+        let seeds = 2 * WAY + fetch_schedule::HEDGE_DELAY / MILLI;
         check(fleet, "a seed tells a host that starts", seeds + fleet.read(), 1_000);
-        let apart = start::SPREAD / MILLI;
-        let alone = start::TOLD_BY / MILLI + apart + millis(reader::LOOK) + fleet.read();
+        let apart = startup::READ_SPREAD / MILLI;
+        let alone =
+            startup::PEER_WAIT_MAX / MILLI + apart + millis(store_reader::LOOK) + fleet.read();
         check(fleet, "nobody tells it anything", alone, 1_500);
     }
 }
@@ -170,10 +173,11 @@
     // In large fleets news of readings pass through hosts and come later; there some of
     // the next ranks ask as well.
     for fleet in FLEETS.into_iter().filter(|fleet| fleet.hosts <= 89) {
-        let asks = readers::patience(Table::Rules, 0, fleet.bound) / MILLI + millis(reader::LOOK);
-        let waits = (fleet.bound as f64 * readers::WAIT_PART) as u64;
-        let round = members::pause(fleet.hosts - 1) / MILLI;
-        let second = readers::patience(Table::Rules, 1, fleet.bound) / MILLI;
+        let asks = reader_rank::read_delay(Table::Rules, 0, fleet.bound) / MILLI
+            + millis(store_reader::LOOK);
+        let waits = (fleet.bound as f64 * reader_rank::WAIT_PART) as u64;
+        let round = members::heartbeat_interval(fleet.hosts - 1) / MILLI;
+        let second = reader_rank::read_delay(Table::Rules, 1, fleet.bound) / MILLI;
         check(fleet, "a round of readings", asks + waits + round + WAY / 2, second);
     }
 }
--- a/elmstream_edge/tests/fetches.rs
+++ b/elmstream_edge/tests/fetches.rs
@@ -3,9 +3,12 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use elmstream::time::{MILLI, SECOND, Time};
-use elmstream_edge::fetches::{AGAIN, AGAIN_SPREAD, AT_ONCE, End, Fetches, HEDGE, HOLD_BACK};
+use elmstream_edge::fetch_schedule::{
+    FAILED_HOST_PAUSE, FetchOutcome, FetchSchedule, HEDGE_DELAY, MAX_CONCURRENT_FETCHES,
+    RETRY_JITTER, RETRY_PAUSE,
+};
 use elmstream_steer::{
-    beat::Known,
+    heartbeat::TableStatus,
     version::StoreVersion,
     view::Table::{self, Rules, Servers},
 };
@@ -15,12 +18,12 @@
 const FETCH: u64 = 700 * MILLI;
 
 /// A host that knows a table up to a version.
-fn knows(count: u64) -> Known {
-    Known { version: StoreVersion::new(0, count), ..Known::default() }
+fn knows(count: u64) -> TableStatus {
+    TableStatus { version: StoreVersion::new(0, count), ..TableStatus::default() }
 }
 
 /// What is news to a host that knows a table up to a version.
-fn newer_than(count: u64) -> impl Fn(&Known) -> bool {
+fn newer_than(count: u64) -> impl Fn(&TableStatus) -> bool {
     move |known| known.version > StoreVersion::new(0, count)
 }
 
@@ -28,40 +31,40 @@
     SocketAddr::from((Ipv4Addr::new(127, 1, 1, number), 7_002))
 }
 
-fn fetches() -> Fetches {
-    Fetches::new(7)
+fn fetches() -> FetchSchedule {
+    FetchSchedule::new(7)
 }
 
 /// Hosts whose beats have just come, each a moment after the one before.
-fn offers(fetches: &mut Fetches, now: Time, hosts: impl IntoIterator<Item = u8>) {
+fn offers(fetches: &mut FetchSchedule, now: Time, hosts: impl IntoIterator<Item = u8>) {
     for (moment, number) in hosts.into_iter().enumerate() {
         fetches.offer(now + moment as u64, Rules, host(number), &knows(2));
     }
 }
 
 /// A host whose fetch has just failed.
-fn fail(fetches: &mut Fetches, now: Time, number: u8) {
+fn fail(fetches: &mut FetchSchedule, now: Time, number: u8) {
     fetches.offer(now, Rules, host(number), &knows(2));
     assert_eq!(fetches.next(now, Rules, newer_than(1)), Some(host(number)));
-    fetches.ended(now, Rules, host(number), End::Failed);
+    fetches.ended(now, Rules, host(number), FetchOutcome::Failed);
 }
 
 /// Plays beats each 50 ms of mute hosts and then of a sound one, whose fetch takes no
 /// time; the time until the sound one is asked.
-fn until_sound(fetches: &mut Fetches, from: Time, mute: u8, sound: u8) -> u64 {
+fn until_sound(fetches: &mut FetchSchedule, from: Time, mute: u8, sound: u8) -> u64 {
     let mut under_way: Vec<(Time, SocketAddr)> = Vec::new();
     for step in 0..500 {
         let now = from + step * 10 * MILLI;
         for (began, mute) in under_way.extract_if(.., |(began, _)| now.since(*began) >= FETCH) {
             assert!(now.since(began) >= FETCH);
-            fetches.ended(now, Rules, mute, End::Failed);
+            fetches.ended(now, Rules, mute, FetchOutcome::Failed);
         }
         if step % 5 == 0 {
             offers(fetches, now, [sound].into_iter().chain(0..mute));
         }
         while let Some(asked) = fetches.next(now, Rules, newer_than(1)) {
             if asked == host(sound) {
-                fetches.ended(now, Rules, asked, End::Told);
+                fetches.ended(now, Rules, asked, FetchOutcome::Told);
                 return now.since(from);
             }
             under_way.push((now, asked));
@@ -85,11 +88,11 @@
     offers(&mut fetches, START, 0..10);
     let mut asked = 0;
     for turn in 0..10 {
-        let now = START + 10 + turn * HEDGE;
+        let now = START + 10 + turn * HEDGE_DELAY;
         asked += usize::from(fetches.next(now, Rules, newer_than(1)).is_some());
         assert_eq!(fetches.next(now, Rules, newer_than(1)), None);
     }
-    assert_eq!(asked, AT_ONCE);
+    assert_eq!(asked, MAX_CONCURRENT_FETCHES);
 }
 
 #[test]
@@ -128,7 +131,7 @@
     let mut fetches = fetches();
     offers(&mut fetches, START, [1]);
     assert_eq!(fetches.next(START, Rules, newer_than(1)), Some(host(1)));
-    fetches.ended(START, Rules, host(1), End::Told);
+    fetches.ended(START, Rules, host(1), FetchOutcome::Told);
     assert_eq!(fetches.next(START + SECOND, Rules, newer_than(1)), None);
     offers(&mut fetches, START + SECOND, [1]);
     assert_eq!(fetches.next(START + SECOND, Rules, newer_than(1)), Some(host(1)));
@@ -140,26 +143,26 @@
     offers(&mut fetches, START, [1, 2]);
     let now = START + 10;
     assert_eq!(fetches.next(now, Rules, newer_than(1)), Some(host(2)));
-    let again = fetches.ended(now, Rules, host(2), End::Refused);
-    assert!(again.since(now) >= AGAIN && again.since(now) < AGAIN + AGAIN_SPREAD);
+    let again = fetches.ended(now, Rules, host(2), FetchOutcome::Refused);
+    assert!(again.since(now) >= RETRY_PAUSE && again.since(now) < RETRY_PAUSE + RETRY_JITTER);
     assert_eq!(fetches.next(now, Rules, newer_than(1)), Some(host(1)));
-    fetches.ended(now, Rules, host(1), End::Refused);
+    fetches.ended(now, Rules, host(1), FetchOutcome::Refused);
     assert_eq!(fetches.next(now, Rules, newer_than(1)), None);
-    assert!(fetches.next(now + AGAIN + AGAIN_SPREAD, Rules, newer_than(1)).is_some());
+    assert!(fetches.next(now + RETRY_PAUSE + RETRY_JITTER, Rules, newer_than(1)).is_some());
 }
 
 #[test]
 fn those_who_are_refused_together_come_back_apart() {
     let again = |seed| {
-        let mut fetches = Fetches::new(seed);
+        let mut fetches = FetchSchedule::new(seed);
         offers(&mut fetches, START, [1]);
         fetches.next(START, Rules, newer_than(1));
-        fetches.ended(START, Rules, host(1), End::Refused)
+        fetches.ended(START, Rules, host(1), FetchOutcome::Refused)
     };
     let mut times: Vec<Time> = (0..100).map(again).collect();
     times.sort();
     let spread = times[99].since(times[0]);
-    assert!(spread > AGAIN_SPREAD / 2, "spread over {spread} us only");
+    assert!(spread > RETRY_JITTER / 2, "spread over {spread} us only");
 }
 
 #[test]
@@ -171,7 +174,7 @@
         offers(&mut fetches, now, [2, 1]);
         if let Some(asked) = fetches.next(now, Rules, newer_than(1)) {
             assert_eq!(asked, host(2));
-            fetches.ended(now, Rules, asked, End::Refused);
+            fetches.ended(now, Rules, asked, FetchOutcome::Refused);
         }
     }
 }
@@ -180,7 +183,7 @@
 fn a_host_that_failed_is_asked_if_nobody_else_offers() {
     let mut fetches = fetches();
     fail(&mut fetches, START, 1);
-    let now = START + AGAIN + AGAIN_SPREAD;
+    let now = START + RETRY_PAUSE + RETRY_JITTER;
     assert_eq!(fetches.next(now, Rules, newer_than(1)), Some(host(1)));
 }
 
@@ -188,7 +191,7 @@
 fn a_host_that_failed_long_ago_is_asked_beside_the_others_and_holds_up_none() {
     let mut fetches = fetches();
     fail(&mut fetches, START, 1);
-    let now = START + HOLD_BACK;
+    let now = START + FAILED_HOST_PAUSE;
     offers(&mut fetches, now, [1]);
     assert_eq!(fetches.next(now, Rules, newer_than(1)), Some(host(1)));
     offers(&mut fetches, now, [2]);
@@ -199,10 +202,10 @@
 fn a_host_that_tells_again_is_trusted_again() {
     let mut fetches = fetches();
     fail(&mut fetches, START, 1);
-    let now = START + HOLD_BACK;
+    let now = START + FAILED_HOST_PAUSE;
     fetches.offer(now, Servers, host(1), &knows(2));
     assert_eq!(fetches.next(now, Servers, newer_than(1)), Some(host(1)));
-    fetches.ended(now, Servers, host(1), End::Told);
+    fetches.ended(now, Servers, host(1), FetchOutcome::Told);
     offers(&mut fetches, now, [2, 1]);
     assert_eq!(fetches.next(now + 10, Rules, newer_than(1)), Some(host(1)));
 }
@@ -222,16 +225,21 @@
     for mute in 0..=3 {
         let mut fetches = fetches();
         let first = until_sound(&mut fetches, START, mute, 9);
-        assert!(first <= u64::from(mute) * HEDGE + 10 * MILLI, "{mute} mute: {first} us");
+        assert!(first <= u64::from(mute) * HEDGE_DELAY + 10 * MILLI, "{mute} mute: {first} us");
         // What is under way at the end of a play goes on; it is given up here.
         for number in 0..mute {
-            fetches.ended(START + SECOND, Rules, host(number), End::Failed);
+            fetches.ended(START + SECOND, Rules, host(number), FetchOutcome::Failed);
         }
         for second in 2..30 {
             let later = until_sound(&mut fetches, START + second * SECOND, mute, 9);
             assert!(later <= 50 * MILLI, "{mute} mute, {second} s: {later} us");
             for number in 0..mute {
-                fetches.ended(START + (second + 1) * SECOND, Rules, host(number), End::Failed);
+                fetches.ended(
+                    START + (second + 1) * SECOND,
+                    Rules,
+                    host(number),
+                    FetchOutcome::Failed,
+                );
             }
         }
     }
@@ -244,5 +252,5 @@
         fail(&mut fetches, START, number);
     }
     let took = until_sound(&mut fetches, START + SECOND, 3, 9);
-    assert!(took <= 3 * HEDGE + 10 * MILLI, "it took {took} us");
+    assert!(took <= 3 * HEDGE_DELAY + 10 * MILLI, "it took {took} us");
 }
--- a/elmstream_edge/tests/harm.rs
+++ b/elmstream_edge/tests/harm.rs
@@ -6,7 +6,7 @@
 
 use compio::{net::TcpListener, runtime::JoinHandle};
 use elmstream::code::Code;
-use elmstream_steer::{model::Repeat, view::Key};
+use elmstream_steer::{model::Repeatability, view::RowKey};
 use support::{
     CLOSE, Running, Store, ask, ask_from, backend, configuration, converse, good, ip, run, server,
     serving, start, until,
@@ -38,9 +38,9 @@
 }
 
 impl Farm {
-    async fn with(servers: usize, hosts: usize, repeat: Repeat) -> (Farm, Vec<Running>) {
+    async fn with(servers: usize, hosts: usize, repeat: Repeatability) -> (Farm, Vec<Running>) {
         let farm = Farm::default();
-        farm.store.put(Key::Configuration, Some(configuration(1, repeat)));
+        farm.store.put(RowKey::Configuration, Some(configuration(1, repeat)));
         for _ in 0..servers {
             farm.add().await;
         }
@@ -96,11 +96,11 @@
             drop(serving);
             farm.ended.set(farm.ended.get() + 1);
             compio::time::sleep(BACK).await;
-            farm.store.put(Key::Server(format!("s-{number}")), None);
+            farm.store.put(RowKey::Server(format!("s-{number}")), None);
             Box::pin(farm.add()).await;
         })
         .detach();
-        self.store.put(Key::Server(format!("s-{number}")), Some(server(address)));
+        self.store.put(RowKey::Server(format!("s-{number}")), Some(server(address)));
     }
 
     async fn ended_more_than(&self, servers: usize) -> bool {
@@ -127,7 +127,7 @@
 #[test]
 fn a_request_under_which_servers_end_is_kept_from_the_others_by_all_hosts() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 3, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 3, Repeatability::Safe).await;
         let mut copies = 0;
         while farm.ended.get() < 3 && copies < 10 {
             ask(hosts[copies % 3].callers, &format!("a-{copies}"), "/harm").await;
@@ -160,7 +160,7 @@
 #[test]
 fn a_harmful_request_is_known_whatever_address_it_comes_from() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         let addresses: Vec<_> = (0..24).map(|_| ip()).collect();
         for (copy, from) in addresses.iter().enumerate() {
             ask_from(Some(*from), hosts[copy % 2].callers, &format!("a-{copy}"), "/harm").await;
@@ -174,7 +174,7 @@
 #[test]
 fn what_harms_from_one_caller_only_is_not_cleared_by_the_answers_of_others() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         let (bad, good) = (Some(ip()), Some(ip()));
         let mut served = 0;
         for copy in 0..12 {
@@ -219,7 +219,7 @@
 #[test]
 fn hosts_that_start_after_all_have_gone_refuse_it_from_the_store() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         let listed = || !farm.store.harmful.borrow().is_empty();
         assert!(until(CONTACT, listed).await, "it is listed");
@@ -236,7 +236,7 @@
 #[test]
 fn a_host_that_starts_while_the_store_is_away_refuses_it_as_the_others_do() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         farm.store.down.set(true);
         let new = farm.host(&hosts);
@@ -250,7 +250,7 @@
 #[test]
 fn an_operator_lets_a_request_in_again() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         let listed = || farm.store.harmful.borrow().len() >= 2;
         assert!(until(CONTACT, listed).await, "both digests are listed");
@@ -270,7 +270,7 @@
 #[test]
 fn what_is_refused_is_listed_again_after_the_store_came_back_from_a_copy() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         let listed = || farm.store.harmful.borrow().len() >= 2;
         assert!(until(CONTACT, listed).await, "both digests are listed");
@@ -285,7 +285,7 @@
 #[test]
 fn what_an_operator_let_in_again_stays_so_after_the_store_came_back_from_a_copy() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         let listed = || farm.store.harmful.borrow().len() >= 2;
         assert!(until(CONTACT, listed).await, "both digests are listed");
@@ -310,7 +310,7 @@
 fn answers_that_are_lost_refuse_nothing() {
     run(async || {
         let (cut, _) = backend(ip(), |_| CLOSE.to_vec()).await;
-        let (_store, host) = serving(Repeat::Safe, &[cut]).await;
+        let (_store, host) = serving(Repeatability::Safe, &[cut]).await;
         for copy in 0..20 {
             let answer = ask(host.callers, &format!("c-{copy}"), "/lost").await;
             assert_eq!(answer.expect("an answer").status, 502);
--- a/elmstream_edge/tests/hosts.rs
+++ b/elmstream_edge/tests/hosts.rs
@@ -6,10 +6,10 @@
 
 use compio::net::{TcpListener, UdpSocket};
 use elmstream_steer::{
-    beat::{Beat, Known, Reading},
-    model::Repeat,
+    heartbeat::{Heartbeat, StoreRead, TableStatus},
+    model::Repeatability,
     settings::Host,
-    view::Key,
+    view::RowKey,
 };
 use support::{PEERS, configuration, ip, run, start, until};
 
@@ -19,7 +19,7 @@
 fn a_host_that_the_store_turns_away_learns_from_the_others() {
     run(async || {
         let store = support::Store::default();
-        store.put(Key::Configuration, Some(configuration(1, Repeat::Safe)));
+        store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
         let first = start(ip(), &store, &[]);
         assert!(until(Duration::from_secs(3), || first.edge.serves()).await);
 
@@ -28,7 +28,7 @@
         let seed = first.edge.settings.host.peers;
         let second = start(ip(), &away, &[seed]);
         assert!(until(Duration::from_secs(2), || second.edge.serves()).await);
-        store.put(Key::Configuration, Some(configuration(2, Repeat::Safe)));
+        store.put(RowKey::Configuration, Some(configuration(2, Repeatability::Safe)));
         let knows = || second.edge.steer.borrow().version() == Some(2);
         assert!(until(Duration::from_secs(2), knows).await);
     });
@@ -38,7 +38,7 @@
 fn a_host_is_written_down_once_and_not_again_after_a_restart() {
     run(async || {
         let store = support::Store::default();
-        store.put(Key::Configuration, Some(configuration(1, Repeat::Safe)));
+        store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
         // One host was killed and starts anew at its address; the other one is new.
         let killed = ip();
         store.hosts.borrow_mut().push(SocketAddr::new(killed, PEERS));
@@ -60,7 +60,7 @@
     let peers = SocketAddr::new(ip(), PEERS);
     let socket = UdpSocket::bind(peers).await.expect("a port");
     let listener = TcpListener::bind(peers).await.expect("a port");
-    let beat = move |number| Beat {
+    let beat = move |number| Heartbeat {
         host: Host {
             name: format!("mute-{peers}"),
             domain: "a1".into(),
@@ -73,10 +73,10 @@
         ready: false,
         leaving: false,
         store_ms: Some(1),
-        known: [Known {
+        known: [TableStatus {
             version: elmstream_steer::version::StoreVersion::new(0, 1_000),
-            reading: Some(Reading { reader: 1, stamp: 1 }),
-            ..Known::default()
+            reading: Some(StoreRead { reader: 1, stamp: 1 }),
+            ..TableStatus::default()
         }; 3],
         demand: Vec::new(),
         loads: Vec::new(),
@@ -102,7 +102,7 @@
 fn a_host_that_does_not_tell_its_news_holds_up_nobody_elses() {
     run(async || {
         let store = support::Store::default();
-        store.put(Key::Configuration, Some(configuration(1, Repeat::Safe)));
+        store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
         let first = start(ip(), &store, &[]);
         let away = support::Store::default();
         away.down.set(true);
@@ -113,7 +113,7 @@
         compio::time::sleep(Duration::from_millis(50)).await;
         let worst = Rc::new(Cell::new(Duration::ZERO));
         for version in 2..5 {
-            store.put(Key::Configuration, Some(configuration(version, Repeat::Safe)));
+            store.put(RowKey::Configuration, Some(configuration(version, Repeatability::Safe)));
             let known = || first.edge.steer.borrow().version() == Some(version);
             assert!(until(Duration::from_secs(2), known).await, "the reader learns it");
             let began = std::time::Instant::now();
@@ -138,7 +138,7 @@
 fn three_hosts_that_never_tell_their_news_hold_up_nobody_elses() {
     run(async || {
         let store = support::Store::default();
-        store.put(Key::Configuration, Some(configuration(1, Repeat::Safe)));
+        store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
         let first = start(ip(), &store, &[]);
         let away = support::Store::default();
         away.down.set(true);
@@ -151,7 +151,7 @@
         compio::time::sleep(Duration::from_millis(50)).await;
         let mut took = Vec::new();
         for version in 2..6 {
-            store.put(Key::Configuration, Some(configuration(version, Repeat::Safe)));
+            store.put(RowKey::Configuration, Some(configuration(version, Repeatability::Safe)));
             let known = || first.edge.steer.borrow().version() == Some(version);
             assert!(until(Duration::from_secs(2), known).await, "the reader learns it");
             let began = std::time::Instant::now();
--- a/elmstream_edge/tests/once.rs
+++ b/elmstream_edge/tests/once.rs
@@ -4,7 +4,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use elmstream_steer::model::Repeat;
+use elmstream_steer::model::Repeatability;
 use support::{CLOSE, ask, ask_within, backend, good, header, ip, run, serving, until};
 
 /// Enough good requests for the budget to hold a repeat.
@@ -30,7 +30,7 @@
     run(async || {
         let (first, got_first) = backend(ip(), cut).await;
         let (second, got_second) = backend(ip(), cut).await;
-        let (_store, host) = serving(Repeat::Once, &[first, second]).await;
+        let (_store, host) = serving(Repeatability::Once, &[first, second]).await;
         for n in 0..EARNING {
             ask(host.callers, &format!("e-{n}"), &format!("/fine/{n}")).await;
         }
@@ -52,7 +52,7 @@
     run(async || {
         let (bad, _) = backend(ip(), cut).await;
         let (well, _) = backend(ip(), |head| good(head, "ok")).await;
-        let (_store, host) = serving(Repeat::Safe, &[bad, well]).await;
+        let (_store, host) = serving(Repeatability::Safe, &[bad, well]).await;
         for n in 0..EARNING {
             ask(host.callers, &format!("e-{n}"), &format!("/fine/{n}")).await;
         }
@@ -68,7 +68,7 @@
     run(async || {
         let (one, got_one) = backend(ip(), full).await;
         let (two, got_two) = backend(ip(), full).await;
-        let (_store, host) = serving(Repeat::Once, &[one, two]).await;
+        let (_store, host) = serving(Repeatability::Once, &[one, two]).await;
         let answer = ask(host.callers, "id-0", "/full").await.expect("an answer");
         assert_eq!(answer.status, 503, "nothing was earned yet");
         assert!(answer.headers.contains_key("retry-after"));
@@ -89,7 +89,7 @@
 #[test]
 fn a_request_without_any_server_is_refused_at_once() {
     run(async || {
-        let (_store, host) = serving(Repeat::Once, &[]).await;
+        let (_store, host) = serving(Repeatability::Once, &[]).await;
         let answer = ask(host.callers, "id-0", "/thing").await.expect("an answer");
         assert_eq!(answer.status, 503);
         assert!(answer.headers.contains_key("retry-after"));
@@ -110,7 +110,7 @@
 #[test]
 fn a_route_that_is_not_there_is_told() {
     run(async || {
-        let (_store, host) = serving(Repeat::Once, &[]).await;
+        let (_store, host) = serving(Repeatability::Once, &[]).await;
         assert_eq!(unknown(host.callers).await, (404, false));
     });
 }
@@ -118,7 +118,7 @@
 #[test]
 fn a_host_whose_knowledge_is_old_does_not_say_that_a_route_is_not_there() {
     run(async || {
-        let (store, host) = serving(Repeat::Once, &[]).await;
+        let (store, host) = serving(Repeatability::Once, &[]).await;
         store.down.set(true);
         // Three fifths of the bound on configurations, and what a call takes.
         compio::time::sleep(Duration::from_millis(1_900)).await;
@@ -134,7 +134,7 @@
 fn a_silent_server_is_waited_for_until_the_routes_time_is_over() {
     run(async || {
         let (address, got) = backend(ip(), |_| Vec::new()).await;
-        let (_store, host) = serving(Repeat::Once, &[address]).await;
+        let (_store, host) = serving(Repeatability::Once, &[address]).await;
         let answer = ask(host.callers, "id-0", "/thing").await.expect("an answer");
         assert_eq!(answer.status, 504);
         assert!(
@@ -151,7 +151,7 @@
 fn when_the_caller_leaves_the_servers_connection_is_closed() {
     run(async || {
         let (address, got) = backend(ip(), |_| Vec::new()).await;
-        let (_store, host) = serving(Repeat::Safe, &[address]).await;
+        let (_store, host) = serving(Repeatability::Safe, &[address]).await;
         assert!(
             ask_within(host.callers, "id-0", "/thing", Duration::from_millis(100)).await.is_none()
         );
@@ -163,7 +163,7 @@
 fn connections_to_servers_are_kept() {
     run(async || {
         let (address, got) = backend(ip(), |head| good(head, "ok")).await;
-        let (_store, host) = serving(Repeat::Once, &[address]).await;
+        let (_store, host) = serving(Repeatability::Once, &[address]).await;
         for n in 0..20 {
             assert_eq!(
                 ask(host.callers, &format!("id-{n}"), "/t").await.expect("an answer").status,
--- a/elmstream_edge/tests/reader.rs
+++ b/elmstream_edge/tests/reader.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use elmstream::time::MILLI;
-use elmstream_steer::{model::Repeat, view::Table};
+use elmstream_steer::{model::Repeatability, view::Table};
 use elmstreamd::clock;
 use support::serving;
 
@@ -15,7 +15,7 @@
 #[test]
 fn an_answer_that_is_taken_in_late_is_as_old_as_the_call() {
     support::run(async || {
-        let (store, running) = serving(Repeat::Safe, &[]).await;
+        let (store, running) = serving(Repeatability::Safe, &[]).await;
         store.late.set(Duration::from_millis(1_300));
         // A call that began before may still be answered at once.
         compio::time::sleep(Duration::from_millis(1_700)).await;
--- a/elmstream_edge/tests/rollout.rs
+++ b/elmstream_edge/tests/rollout.rs
@@ -9,9 +9,9 @@
 };
 
 use elmstream_steer::{
-    model::Repeat,
-    rollout::{Order, Stage},
-    view::{Item, Key},
+    model::Repeatability,
+    rollout::{RolloutOrder, RolloutStage},
+    view::{RowContent, RowKey},
 };
 use support::{
     Running, SERVICE, Store, ask, backend, configuration, good, header, ip, run, server, start,
@@ -26,10 +26,10 @@
 const PAUSE: Duration = Duration::from_millis(4);
 
 /// A server's row with a version.
-fn of(version: &str, item: Item) -> Item {
+fn of(version: &str, item: RowContent) -> RowContent {
     match item {
-        Item::Server(server) => {
-            Item::Server(elmstream_steer::model::Server { version: version.into(), ..server })
+        RowContent::Server(server) => {
+            RowContent::Server(elmstream_steer::model::Server { version: version.into(), ..server })
         }
         item => item,
     }
@@ -55,7 +55,7 @@
             answer(got.get(), head)
         })
         .await;
-        let key = Key::Server(format!("{version}-{n}"));
+        let key = RowKey::Server(format!("{version}-{n}"));
         store.put(key, Some(of(version, server(address))));
     }
     count
@@ -64,7 +64,7 @@
 /// Three hosts that have met, with servers of the first version.
 async fn fleet() -> (Store, Vec<Running>, Rc<Cell<usize>>) {
     let store = Store::default();
-    store.put(Key::Configuration, Some(configuration(1, Repeat::Safe)));
+    store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
     let old = serve(&store, "v1", |_, head| good(head, "ok")).await;
     let mut hosts: Vec<Running> = Vec::new();
     for _ in 0..3 {
@@ -95,8 +95,8 @@
 
 fn order(store: &Store) {
     let duration_ms = DURATION.as_millis() as u64;
-    let order = Order { target: "v2".into(), duration_ms };
-    store.put(Key::Rollout(SERVICE.into()), Some(Item::Rollout(order)));
+    let order = RolloutOrder { target: "v2".into(), duration_ms };
+    store.put(RowKey::Rollout(SERVICE.into()), Some(RowContent::Rollout(order)));
 }
 
 #[test]
@@ -107,7 +107,7 @@
         send(&hosts, Duration::from_secs(4), || false).await;
         order(&store);
         let new = serve(&store, "v2", |_, head| good(head, "new")).await;
-        let completed = || store.stage(SERVICE) == Some(Stage::Completed);
+        let completed = || store.stage(SERVICE) == Some(RolloutStage::Completed);
         let (sent, failed) = send(&hosts, DURATION, completed).await;
         assert!(completed(), "it is {:?} after {sent} requests", store.stage(SERVICE));
         assert_eq!(failed, 0, "of {sent} requests");
@@ -126,9 +126,9 @@
         order(&store);
         let fails = |count, head: &str| if count % 2 == 0 { failing(head) } else { good(head, "") };
         let new = serve(&store, "v2", fails).await;
-        let decided = || store.stage(SERVICE).is_some_and(Stage::ends);
+        let decided = || store.stage(SERVICE).is_some_and(RolloutStage::ends);
         let (sent, failed) = send(&hosts, DURATION, decided).await;
-        assert_eq!(store.stage(SERVICE), Some(Stage::RolledBack), "after {sent} requests");
+        assert_eq!(store.stage(SERVICE), Some(RolloutStage::RolledBack), "after {sent} requests");
         assert!(new.get() <= sent / 10 + 50, "{} of {sent} requests", new.get());
         assert_eq!(failed, 0, "reads that failed there are sent on to others");
         compio::time::sleep(Duration::from_secs(2)).await;
--- a/elmstream_edge/tests/server_limit.rs
+++ b/elmstream_edge/tests/server_limit.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use elmstream_steer::{model::Repeat, view::Key};
+use elmstream_steer::{model::Repeatability, view::RowKey};
 use support::{Running, Store, ask, backend, configuration, good, ip, run, server, start, until};
 
 /// Limit that the server names, in requests a second.
@@ -42,9 +42,9 @@
 /// Hosts that have met, with these servers.
 async fn fleet(hosts: usize, servers: &[SocketAddr]) -> (Store, Vec<Running>) {
     let store = Store::default();
-    store.put(Key::Configuration, Some(configuration(1, Repeat::Safe)));
+    store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
     for (n, address) in servers.iter().enumerate() {
-        store.put(Key::Server(format!("s-{n}")), Some(server(*address)));
+        store.put(RowKey::Server(format!("s-{n}")), Some(server(*address)));
     }
     let mut running: Vec<Running> = Vec::new();
     for _ in 0..hosts {
--- a/elmstream_edge/tests/server_says.rs
+++ b/elmstream_edge/tests/server_says.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use elmstream_steer::{model::Repeat, view::Key};
+use elmstream_steer::{model::Repeatability, view::RowKey};
 use support::{
     Running, Store, ask, backend, configuration, good, ip, run, server, serving, start, until,
 };
@@ -71,9 +71,9 @@
 
 async fn two_hosts(servers: &[SocketAddr]) -> (Store, Vec<Running>) {
     let store = Store::default();
-    store.put(Key::Configuration, Some(configuration(1, Repeat::Safe)));
+    store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
     for (n, address) in servers.iter().enumerate() {
-        store.put(Key::Server(format!("s-{n}")), Some(server(*address)));
+        store.put(RowKey::Server(format!("s-{n}")), Some(server(*address)));
     }
     let first = start(ip(), &store, &[]);
     let second = start(ip(), &store, &[first.edge.settings.host.peers]);
@@ -125,7 +125,7 @@
         assert_eq!(served, sent);
         // The store's entry still says that it is ready.
         store.down.set(false);
-        store.put(Key::Configuration, Some(configuration(2, Repeat::Safe)));
+        store.put(RowKey::Configuration, Some(configuration(2, Repeatability::Safe)));
         press(&hosts, Duration::from_secs(1), "d").await;
         assert_eq!(arrivals.borrow().len(), before, "the store's entry took it back");
     });
@@ -142,7 +142,7 @@
         })
         .await;
         // There is no other server to go to.
-        let (_store, host) = serving(Repeat::Safe, &[leaving]).await;
+        let (_store, host) = serving(Repeatability::Safe, &[leaving]).await;
         press(&[host], Duration::from_millis(800), "h").await;
         assert_eq!(arrivals.borrow().len(), 1);
     });
@@ -172,7 +172,7 @@
         })
         .await;
         let (other, _) = watched(|head| good(head, "ok")).await;
-        let (_store, host) = serving(Repeat::Safe, &[resting, other]).await;
+        let (_store, host) = serving(Repeatability::Safe, &[resting, other]).await;
         let hosts = [host];
         // The host has to have earned a repeat.
         press(&hosts, Duration::from_millis(500), "b").await;
--- a/elmstream_edge/tests/start.rs
+++ b/elmstream_edge/tests/start.rs
@@ -11,19 +11,19 @@
 
 use elmstream::time::{MILLI, Time};
 use elmstream_edge::{
-    fetches::{End, Fetches},
+    fetch_schedule::{FetchOutcome, FetchSchedule},
     peers,
 };
 use elmstream_steer::{
-    Bounds, Host, Settings, Steer,
-    beat::{Beat, Known},
-    calls::Why,
-    hash, members,
+    Bounds, Host, Settings, Steer, hash,
+    heartbeat::{Heartbeat, TableStatus},
+    host_registry::RegisteredHost,
+    members,
     model::{Configuration, Server},
-    registry::Listed,
-    telling::TableRows,
+    store_schedule::ReadReason,
+    table_sync::TableRows,
     version::StoreVersion,
-    view::{Item, Key, NEEDED, Row, Table},
+    view::{REQUIRED_TABLES, Row, RowContent, RowKey, Table},
 };
 
 /// Time between two steps, in milliseconds.
@@ -84,7 +84,7 @@
     match table {
         Table::Rules => {
             let configuration = Configuration { version: 1, ..Configuration::default() };
-            vec![row(Key::Configuration, Item::Configuration(configuration))]
+            vec![row(RowKey::Configuration, RowContent::Configuration(configuration))]
         }
         Table::Servers => {
             let server = Server {
@@ -98,7 +98,7 @@
                 entries: 0,
                 version: String::new(),
             };
-            vec![row(Key::Server("s".into()), Item::Server(server))]
+            vec![row(RowKey::Server("s".into()), RowContent::Server(server))]
         }
         Table::Rollouts => Vec::new(),
     }
@@ -106,11 +106,11 @@
 
 /// What comes to a host, or what of its own comes to an end.
 enum Event {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     /// A fetch from another host is over.
-    Fetched(SocketAddr, Table, End, Option<Box<Told>>),
+    Fetched(SocketAddr, Table, FetchOutcome, Option<Box<Told>>),
     /// The store answered.
-    Read(Table, Why),
+    Read(Table, ReadReason),
     Listed,
 }
 
@@ -121,7 +121,7 @@
 
 struct Node {
     steer: Steer,
-    fetches: Fetches,
+    fetches: FetchSchedule,
     up: u64,
     beats: u64,
     rounds: u64,
@@ -135,7 +135,7 @@
     nodes: Vec<Node>,
     places: BTreeMap<SocketAddr, usize>,
     events: BTreeMap<u64, Vec<(usize, u64, Event)>>,
-    listed: Vec<Listed>,
+    listed: Vec<RegisteredHost>,
     calls: u64,
     /// Hosts that are not there.
     dead: BTreeSet<usize>,
@@ -145,7 +145,7 @@
 
 impl Fleet {
     fn new(hosts: usize) -> Fleet {
-        let listed = |n| Listed { name: format!("host-{n}"), peers: address(n) };
+        let listed = |n| RegisteredHost { name: format!("host-{n}"), peers: address(n) };
         let mut fleet = Fleet {
             nodes: Vec::new(),
             places: (0..hosts).map(|n| (address(n), n)).collect(),
@@ -175,7 +175,7 @@
             }
             self.beat(at, n);
             self.call(at, n);
-            for table in NEEDED {
+            for table in REQUIRED_TABLES {
                 self.fetch(at, n, table);
             }
             if at.is_multiple_of(100) {
@@ -192,7 +192,7 @@
 
     fn beat(&mut self, at: u64, n: usize) {
         let node = &mut self.nodes[n];
-        let pause = members::pause(node.steer.members().count()) / MILLI;
+        let pause = members::heartbeat_interval(node.steer.members().count()) / MILLI;
         if node.rounds > 0 && at < node.beats + pause {
             return;
         }
@@ -209,14 +209,15 @@
 
     /// Calls to the store; all are answered.
     fn call(&mut self, at: u64, n: usize) {
-        for table in NEEDED {
+        for table in REQUIRED_TABLES {
             let node = &mut self.nodes[n];
             if node.reading[table as usize] {
                 continue;
             }
             if let Some(why) = node.steer.must_read(ms(at), table) {
                 node.reading[table as usize] = true;
-                let pages = if why == Why::Start && table == Table::Servers { PAGES } else { 1 };
+                let pages =
+                    if why == ReadReason::Start && table == Table::Servers { PAGES } else { 1 };
                 self.calls += pages;
                 self.later(at + pages * CALL, n, Event::Read(table, why));
             }
@@ -231,19 +232,19 @@
     fn fetch(&mut self, at: u64, n: usize, table: Table) {
         let node = &mut self.nodes[n];
         let asks = node.steer.asks(table);
-        let wants = |known: &Known| node.steer.wants(table, known);
+        let wants = |known: &TableStatus| node.steer.wants(table, known);
         let Some(host) = node.fetches.next(ms(at), table, wants) else { return };
         let from = self.places[&host];
         let there = !self.dead.contains(&from) && at >= self.nodes[from].up;
         if !there || self.apart.contains(&n) || self.apart.contains(&from) {
-            self.later(at + ASK, n, Event::Fetched(host, table, End::Failed, None));
+            self.later(at + ASK, n, Event::Fetched(host, table, FetchOutcome::Failed, None));
             return;
         }
         let teller = &mut self.nodes[from];
         teller.serving.retain(|until| *until > at);
         let knows = teller.steer.known()[table as usize].reading.is_some();
-        if knows && teller.serving.len() >= peers::SERVED {
-            self.later(at + ASK, n, Event::Fetched(host, table, End::Refused, None));
+        if knows && teller.serving.len() >= peers::MAX_CONCURRENT_ROWS {
+            self.later(at + ASK, n, Event::Fetched(host, table, FetchOutcome::Refused, None));
             return;
         }
         let starts = asks.after == StoreVersion::default();
@@ -260,7 +261,7 @@
         self.later(
             at + ASK + took,
             n,
-            Event::Fetched(host, table, End::Told, Some(Box::new(told))),
+            Event::Fetched(host, table, FetchOutcome::Told, Some(Box::new(told))),
         );
     }
 
@@ -277,7 +278,7 @@
             }
             Event::Fetched(host, table, end, told) => {
                 node.fetches.ended(now, table, host, end);
-                if end == End::Failed
+                if end == FetchOutcome::Failed
                     || told.as_ref().is_some_and(|t| t.table.known.reading.is_none())
                 {
                     node.steer.untold();
@@ -311,11 +312,11 @@
 
 impl Node {
     fn new(number: usize, at: u64) -> Node {
-        let up = at + hash::pair(number as u64, at) % STARTS / STEP * STEP;
-        let mut fetches = Fetches::new(hash::of(format!("{number}-{at}")));
-        for table in NEEDED {
+        let up = at + hash::combine(number as u64, at) % STARTS / STEP * STEP;
+        let mut fetches = FetchSchedule::new(hash::of(format!("{number}-{at}")));
+        for table in REQUIRED_TABLES {
             for seed in (0..SEEDS).filter(|seed| *seed != number) {
-                fetches.offer(ms(up), table, address(seed), &Known::default());
+                fetches.offer(ms(up), table, address(seed), &TableStatus::default());
             }
         }
         let steer = host(number, at + 1, ms(up));
--- a/elmstream_edge/tests/stop.rs
+++ b/elmstream_edge/tests/stop.rs
@@ -15,7 +15,7 @@
     net::TcpStream,
 };
 use elmstream_edge::connections;
-use elmstream_steer::{model::Repeat, view::Key};
+use elmstream_steer::{model::Repeatability, view::RowKey};
 use support::{
     CALLERS, Store, ask, ask_within, backend, configuration, good, ip, run, server, serving,
     settings, start_with, until,
@@ -34,7 +34,7 @@
 fn requests_in_flight_are_answered_and_then_the_host_ends() {
     run(async || {
         let (address, _) = backend(ip(), |head| good(head, "ok")).await;
-        let (_store, host) = serving(Repeat::Once, &[address]).await;
+        let (_store, host) = serving(Repeatability::Once, &[address]).await;
         let callers = host.callers;
         let asking: Vec<_> = (0..4)
             .map(|n| {
@@ -57,7 +57,7 @@
 fn a_host_that_stops_says_so_at_once_and_still_serves_who_comes() {
     run(async || {
         let (address, _) = backend(ip(), |head| good(head, "ok")).await;
-        let (_store, host) = serving(Repeat::Once, &[address]).await;
+        let (_store, host) = serving(Repeatability::Once, &[address]).await;
         host.terminate();
         assert!(until(Duration::from_millis(100), || !host.edge.serves()).await);
         let answer = ask(host.callers, "id-0", "/thing").await.expect("an answer");
@@ -84,8 +84,8 @@
     let thread = thread::spawn(move || {
         run(async || {
             let store = Store::default();
-            store.put(Key::Configuration, Some(configuration(1, Repeat::Once)));
-            store.put(Key::Server("s-0".into()), Some(server(backend)));
+            store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Once)));
+            store.put(RowKey::Server("s-0".into()), Some(server(backend)));
             let mut settings = settings(ip, &[]);
             settings.stop.notice_ms = NOTICE_MS;
             settings.stop.grace_ms = GRACE_MS;
--- a/elmstream_edge/tests/support/mod.rs
+++ b/elmstream_edge/tests/support/mod.rs
@@ -20,19 +20,19 @@
     runtime::Runtime,
 };
 use elmstream_edge::{
-    Edge, Settings, Source, SourceError, lifecycle,
-    source::{Harmful, Hosts, Rows},
+    Edge, Settings, SourceError, StoreSource, lifecycle,
+    store_source::{HostList, RefusedList, StoreRows},
 };
 use elmstream_http::{Stopper, body, client};
 use elmstream_steer::{
     RolloutWrite,
     digest::RequestDigest,
-    harm::Ending,
-    model::{Configuration, Limits, Part, Repeat, Route, Server, Service},
-    registry::{Edit, Listed},
-    rollout::Stage,
+    host_registry::{RegisteredHost, RegistryEdit},
+    model::{Configuration, Limits, Repeatability, Route, Server, Service, WeightedService},
+    poison::ServerCrash,
+    rollout::RolloutStage,
     version::StoreVersion,
-    view::{Item, Key, Row, Table},
+    view::{Row, RowContent, RowKey, Table},
 };
 use futures_util::future::{Either, select};
 use http::{HeaderMap, Request, StatusCode};
@@ -60,9 +60,9 @@
 /// Rows of the store, shared by hosts, and whether it serves.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
-    rows: Rc<RefCell<BTreeMap<Key, Row>>>,
+    rows: Rc<RefCell<BTreeMap<RowKey, Row>>>,
     pub hosts: Rc<RefCell<Vec<SocketAddr>>>,
-    pub harmful: Rc<RefCell<BTreeMap<RequestDigest, Vec<Ending>>>>,
+    pub harmful: Rc<RefCell<BTreeMap<RequestDigest, Vec<ServerCrash>>>>,
     version: Rc<Cell<u64>>,
     era: Rc<Cell<u64>>,
     pub down: Rc<Cell<bool>>,
@@ -73,7 +73,7 @@
 
 impl Store {
     /// Writes a row, or removes it.
-    pub fn put(&self, key: Key, item: Option<Item>) {
+    pub fn put(&self, key: RowKey, item: Option<RowContent>) {
         let version = self.version.get() + 1;
         self.version.set(version);
         let version = self.newest();
@@ -81,10 +81,10 @@
     }
 
     /// How far the roll-out of a service has come.
-    pub fn stage(&self, service: &str) -> Option<Stage> {
+    pub fn stage(&self, service: &str) -> Option<RolloutStage> {
         let rows = self.rows.borrow();
-        match &rows.get(&Key::Progress(service.into()))?.item {
-            Some(Item::Progress(progress)) => Some(progress.stage),
+        match &rows.get(&RowKey::Progress(service.into()))?.item {
+            Some(RowContent::Progress(progress)) => Some(progress.stage),
             _ => None,
         }
     }
@@ -95,7 +95,11 @@
 
     /// Comes back from a copy in which its rows are as they are, and what elmstream wrote
     /// is as it was before.
-    pub fn come_back(&self, hosts: Vec<SocketAddr>, harmful: BTreeMap<RequestDigest, Vec<Ending>>) {
+    pub fn come_back(
+        &self,
+        hosts: Vec<SocketAddr>,
+        harmful: BTreeMap<RequestDigest, Vec<ServerCrash>>,
+    ) {
         self.era.set(self.era.get() + 1);
         let newest = self.newest();
         self.rows.borrow_mut().values_mut().for_each(|row| row.version = newest);
@@ -103,7 +107,7 @@
         self.harmful.replace(harmful);
     }
 
-    fn serve(&self, table: Table, after: Option<StoreVersion>) -> Result<Rows, SourceError> {
+    fn serve(&self, table: Table, after: Option<StoreVersion>) -> Result<StoreRows, SourceError> {
         self.calls.set(self.calls.get() + 1);
         if self.down.get() {
             return Err(SourceError::Refused { status: 503 });
@@ -116,12 +120,12 @@
             row.key.table() == table && new
         };
         let rows = self.rows.borrow().values().filter(wanted).cloned().collect();
-        Ok(Rows { version: self.newest(), rows, unreadable: Vec::new() })
+        Ok(StoreRows { version: self.newest(), rows, unreadable: Vec::new() })
     }
 }
 
-impl Source for Store {
-    async fn all(&self, table: Table) -> Result<Rows, SourceError> {
+impl StoreSource for Store {
+    async fn all(&self, table: Table) -> Result<StoreRows, SourceError> {
         self.serve(table, None)
     }
 
@@ -130,20 +134,20 @@
         table: Table,
         after: StoreVersion,
         _: Duration,
-    ) -> Result<Option<Rows>, SourceError> {
+    ) -> Result<Option<StoreRows>, SourceError> {
         let rows = self.serve(table, Some(after)).map(Some);
         compio::time::sleep(self.late.get()).await;
         rows
     }
 
-    async fn hosts(&self) -> Result<Hosts, SourceError> {
+    async fn hosts(&self) -> Result<HostList, SourceError> {
         self.serve(Table::Rules, None)?;
-        let listed = |peers: &SocketAddr| Listed { name: name(peers.ip()), peers: *peers };
+        let listed = |peers: &SocketAddr| RegisteredHost { name: name(peers.ip()), peers: *peers };
         let listed = self.hosts.borrow().iter().map(listed).collect();
-        Ok(Hosts { listed, unreadable: Vec::new() })
+        Ok(HostList { listed, unreadable: Vec::new() })
     }
 
-    async fn edit_hosts(&self, edit: &Edit) -> Result<(), SourceError> {
+    async fn edit_hosts(&self, edit: &RegistryEdit) -> Result<(), SourceError> {
         self.serve(Table::Rules, None)?;
         let mut hosts = self.hosts.borrow_mut();
         hosts.extend(edit.put.iter().map(|host| host.peers));
@@ -151,16 +155,16 @@
         Ok(())
     }
 
-    async fn harmful(&self) -> Result<Harmful, SourceError> {
+    async fn harmful(&self) -> Result<RefusedList, SourceError> {
         self.serve(Table::Rules, None)?;
         let listed = self.harmful.borrow().clone().into_iter().collect();
-        Ok(Harmful { listed, unreadable: Vec::new() })
+        Ok(RefusedList { listed, unreadable: Vec::new() })
     }
 
     async fn list_harmful(
         &self,
         digest: &RequestDigest,
-        endings: &[Ending],
+        endings: &[ServerCrash],
     ) -> Result<(), SourceError> {
         self.serve(Table::Rules, None)?;
         match endings.is_empty() {
@@ -175,8 +179,8 @@
         write: &RolloutWrite,
     ) -> Result<Option<StoreVersion>, SourceError> {
         self.serve(Table::Rollouts, None)?;
-        let progress = Key::Progress(write.service.clone());
-        let order = Key::Rollout(write.service.clone());
+        let progress = RowKey::Progress(write.service.clone());
+        let order = RowKey::Rollout(write.service.clone());
         let count = |key| {
             let rows = self.rows.borrow();
             let row = rows.get(key).filter(|row: &&Row| row.item.is_some());
@@ -185,7 +189,7 @@
         if (count(&progress), count(&order)) != write.expected {
             return Ok(None);
         }
-        self.put(progress, Some(Item::Progress(write.progress.clone())));
+        self.put(progress, Some(RowContent::Progress(write.progress.clone())));
         Ok(Some(self.newest()))
     }
 }
@@ -263,8 +267,8 @@
 }
 
 /// A configuration with one route.
-pub fn configuration(version: u64, repeat: Repeat) -> Item {
-    Item::Configuration(Configuration {
+pub fn configuration(version: u64, repeat: Repeatability) -> RowContent {
+    RowContent::Configuration(Configuration {
         version,
         routes: vec![Route {
             name: "r".into(),
@@ -277,7 +281,7 @@
             priority: 0,
             affinity: true,
             homes: Vec::new(),
-            parts: vec![Part { service: SERVICE.into(), weight: 1.0 }],
+            parts: vec![WeightedService { service: SERVICE.into(), weight: 1.0 }],
             open: false,
         }],
         services: vec![Service { name: SERVICE.into(), cold_ms: 0, cold_per_s: 9.0 }],
@@ -287,8 +291,8 @@
 }
 
 /// The row of a server at an address.
-pub fn server(address: SocketAddr) -> Item {
-    Item::Server(Server {
+pub fn server(address: SocketAddr) -> RowContent {
+    RowContent::Server(Server {
         service: SERVICE.into(),
         address,
         domain: "a1".into(),
@@ -435,11 +439,11 @@
 }
 
 /// A store and a host with servers at these addresses, ready for callers.
-pub async fn serving(repeat: Repeat, servers: &[SocketAddr]) -> (Store, Running) {
+pub async fn serving(repeat: Repeatability, servers: &[SocketAddr]) -> (Store, Running) {
     let store = Store::default();
-    store.put(Key::Configuration, Some(configuration(1, repeat)));
+    store.put(RowKey::Configuration, Some(configuration(1, repeat)));
     for (n, address) in servers.iter().enumerate() {
-        store.put(Key::Server(format!("s-{n}")), Some(server(*address)));
+        store.put(RowKey::Server(format!("s-{n}")), Some(server(*address)));
     }
     let running = start(ip(), &store, &[]);
     assert!(until(Duration::from_secs(3), || running.edge.serves()).await, "the host is ready");
--- a/elmstream_http/src/lib.rs
+++ b/elmstream_http/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use body::{BoxError, LocalBody};
 pub use executor::LocalExecutor;
-pub use stop::{Notice, Stop, Stopper};
-pub use watched::State;
+pub use stop::{Stop, StopNotice, Stopper};
+pub use watched::ConnectionState;
--- a/elmstream_http/src/server.rs
+++ b/elmstream_http/src/server.rs
@@ -22,8 +22,8 @@
 use socket2::SockRef;
 
 use crate::{
-    LocalBody, LocalExecutor, Notice, State, Stop,
-    watched::{Traffic, Watched},
+    ConnectionState, LocalBody, LocalExecutor, Stop, StopNotice,
+    watched::{Traffic, WatchedStream},
 };
 
 /// Bytes of headers that are read at most.
@@ -50,18 +50,18 @@
 
 /// How a handler ends a request without an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut;
+pub struct Aborted;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Aborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the connection is cut on purpose")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Aborted {}
 
-impl From<Infallible> for Cut {
-    fn from(never: Infallible) -> Cut {
+impl From<Infallible> for Aborted {
+    fn from(never: Infallible) -> Aborted {
         match never {}
     }
 }
@@ -78,9 +78,9 @@
     pub head_timeout: Rc<dyn Fn() -> Duration>,
     /// Once given, answers of HTTP/1.1 ask callers to leave the connection; the stop
     /// gives it too.
-    pub notice: Notice,
+    pub notice: StopNotice,
     /// Gets each connection that is open at the stop.
-    pub observe: Rc<dyn Fn(Stopped)>,
+    pub observe: Rc<dyn Fn(StoppedConnection)>,
 }
 
 impl fmt::Debug for Options {
@@ -97,7 +97,7 @@
             tls: None,
             http2: true,
             head_timeout: Rc::new(|| HEADERS_TIMEOUT),
-            notice: Notice::default(),
+            notice: StopNotice::default(),
             observe: Rc::new(|_| {}),
         }
     }
@@ -105,16 +105,16 @@
 
 /// A connection as its server's stop finds it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Stopped {
+pub struct StoppedConnection {
     /// How far it is.
-    pub state: State,
+    pub state: ConnectionState,
     /// Whether it was still in the listener's queue.
     pub queued: bool,
 }
 
 /// Serves until the stop, then lets requests in flight finish.
 ///
-/// The handler gets the client's address; `Err(Cut)` closes the connection.
+/// The handler gets the client's address; `Err(Aborted)` closes the connection.
 pub async fn serve<H, F>(
     listener: TcpListener,
     tls: Option<TlsAcceptor>,
@@ -123,7 +123,7 @@
 ) -> io::Result<()>
 where
     H: Fn(SocketAddr, Request<Incoming>) -> F + Clone + 'static,
-    F: Future<Output = Result<Response<LocalBody>, Cut>> + 'static,
+    F: Future<Output = Result<Response<LocalBody>, Aborted>> + 'static,
 {
     serve_with(listener, Options { tls, ..Options::default() }, stop, handler).await
 }
@@ -137,7 +137,7 @@
 ) -> io::Result<()>
 where
     H: Fn(SocketAddr, Request<Incoming>) -> F + Clone + 'static,
-    F: Future<Output = Result<Response<LocalBody>, Cut>> + 'static,
+    F: Future<Output = Result<Response<LocalBody>, Aborted>> + 'static,
 {
     let open = Rc::new(Cell::new(0usize));
     let take = |stream, client, queued| {
@@ -224,7 +224,7 @@
 impl<H, F> Connection<H>
 where
     H: Fn(SocketAddr, Request<Incoming>) -> F + 'static,
-    F: Future<Output = Result<Response<LocalBody>, Cut>> + 'static,
+    F: Future<Output = Result<Response<LocalBody>, Aborted>> + 'static,
 {
     /// Serves it to its end.
     async fn serve(self) {
@@ -239,7 +239,7 @@
             },
         };
         let traffic = Rc::new(Traffic::default());
-        let stream = Watched::new(stream, traffic.clone());
+        let stream = WatchedStream::new(stream, traffic.clone());
         let (notice, counted) = (options.notice, traffic.clone());
         let service = service_fn(move |request| {
             let in_flight = counted.enter();
@@ -249,7 +249,7 @@
                 let mut response = answering.await?;
                 ask_to_leave(&notice, &mut response);
                 drop(in_flight);
-                Ok::<_, Cut>(response)
+                Ok::<_, Aborted>(response)
             }
         });
         let builder = builder(options.http2, (options.head_timeout)());
@@ -259,7 +259,7 @@
         }
         let stopped = Instant::now();
         let mut state = traffic.state(&socket);
-        (options.observe)(Stopped { state, queued });
+        (options.observe)(StoppedConnection { state, queued });
         // A shutdown closes at once whatever has no request that hyper knows of, so it
         // has to wait for a request that is in the socket or on its way.
         while stopped.elapsed() < patience(state) {
@@ -270,7 +270,7 @@
             state = traffic.state(&socket);
         }
         // hyper would wait for the rest of a head until its own time for that is over.
-        if state == State::Begun {
+        if state == ConnectionState::Begun {
             return;
         }
         serving.as_mut().graceful_shutdown();
@@ -280,17 +280,17 @@
 }
 
 /// Time after the stop for which a connection in this state is left open.
-fn patience(state: State) -> Duration {
+fn patience(state: ConnectionState) -> Duration {
     match state {
-        State::InFlight | State::Resting => Duration::ZERO,
-        State::New => FIRST_REQUEST,
-        State::Begun | State::Unread => HEAD_REST,
+        ConnectionState::InFlight | ConnectionState::Resting => Duration::ZERO,
+        ConnectionState::New => FIRST_REQUEST,
+        ConnectionState::Begun | ConnectionState::Unread => HEAD_REST,
     }
 }
 
 /// Has the caller leave a connection that will close, at a moment when nothing of its
 /// own can be on the way.
-fn ask_to_leave(notice: &Notice, response: &mut Response<LocalBody>) {
+fn ask_to_leave(notice: &StopNotice, response: &mut Response<LocalBody>) {
     // HTTP/2 has frames for this, which its own shutdown sends.
     if notice.given() && response.version() <= Version::HTTP_11 {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/elmstream_http/src/stop.rs
+++ b/elmstream_http/src/stop.rs
@@ -36,9 +36,9 @@
 
 /// Tells a server that its stop will come; cheap to clone.
 #[derive(Clone, Debug, Default)]
-pub struct Notice(Rc<Cell<bool>>);
+pub struct StopNotice(Rc<Cell<bool>>);
 
-impl Notice {
+impl StopNotice {
     /// Gives the notice; once is enough.
     pub fn give(&self) {
         self.0.set(true);
--- a/elmstream_http/src/watched.rs
+++ b/elmstream_http/src/watched.rs
@@ -24,7 +24,7 @@
 
 /// How far a connection has come.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum State {
+pub enum ConnectionState {
     /// A request is being answered.
     InFlight,
     /// A part of the next request's head was read.
@@ -37,15 +37,15 @@
     Resting,
 }
 
-impl State {
+impl ConnectionState {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            State::InFlight => "in_flight",
-            State::Begun => "begun",
-            State::Unread => "unread",
-            State::New => "new",
-            State::Resting => "resting",
+            ConnectionState::InFlight => "in_flight",
+            ConnectionState::Begun => "begun",
+            ConnectionState::Unread => "unread",
+            ConnectionState::New => "new",
+            ConnectionState::Resting => "resting",
         }
     }
 }
@@ -70,17 +70,17 @@
     }
 
     /// How far the connection is, by what was read and what lies in its socket.
-    pub(crate) fn state(&self, socket: &TcpStream) -> State {
+    pub(crate) fn state(&self, socket: &TcpStream) -> ConnectionState {
         if self.in_flight.get() > 0 {
-            State::InFlight
+            ConnectionState::InFlight
         } else if self.begun.get() {
-            State::Begun
+            ConnectionState::Begun
         } else if unread(socket) {
-            State::Unread
+            ConnectionState::Unread
         } else if self.served.get() {
-            State::Resting
+            ConnectionState::Resting
         } else {
-            State::New
+            ConnectionState::New
         }
     }
 
@@ -116,18 +116,18 @@
 }
 
 /// The stream.
-pub(crate) struct Watched {
+pub(crate) struct WatchedStream {
     stream: HyperStream<TcpStream>,
     traffic: Rc<Traffic>,
 }
 
-impl Watched {
-    pub(crate) fn new(stream: HyperStream<TcpStream>, traffic: Rc<Traffic>) -> Watched {
-        Watched { stream, traffic }
+impl WatchedStream {
+    pub(crate) fn new(stream: HyperStream<TcpStream>, traffic: Rc<Traffic>) -> WatchedStream {
+        WatchedStream { stream, traffic }
     }
 }
 
-impl Read for Watched {
+impl Read for WatchedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -143,7 +143,7 @@
     }
 }
 
-impl Write for Watched {
+impl Write for WatchedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/elmstream_soak/src/backend.rs
+++ b/elmstream_soak/src/backend.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
-use elmstream_http::{LocalBody, body, server::Cut};
+use elmstream_http::{LocalBody, body, server::Aborted};
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
 
@@ -25,7 +25,7 @@
     world: Rc<World>,
     _opened: u64,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let field = |name: &str| {
         let value = request.headers().get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
@@ -63,9 +63,9 @@
     match mode {
         ServerMode::Dark => {
             compio::time::sleep(DARK).await;
-            Err(Cut)
+            Err(Aborted)
         }
-        ServerMode::Cutting => Err(Cut),
+        ServerMode::Cutting => Err(Aborted),
         ServerMode::Failing if world.arrivals.of(&server).len().is_multiple_of(2) => {
             let mut failure = status(StatusCode::INTERNAL_SERVER_ERROR);
             if let Ok(value) = id.parse() {
--- a/elmstream_soak/src/fragile.rs
+++ b/elmstream_soak/src/fragile.rs
@@ -3,8 +3,8 @@
 use std::{cell::Cell, io, net::SocketAddr, rc::Rc, time::Duration};
 
 use compio::net::TcpListener;
-use elmstream_http::{LocalBody, Stopper, body, server, server::Cut};
-use elmstream_steer::view::Key;
+use elmstream_http::{LocalBody, Stopper, body, server, server::Aborted};
+use elmstream_steer::view::RowKey;
 use http::{HeaderValue, Request, Response};
 use hyper::body::Incoming;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -71,7 +71,7 @@
     stopper.stop();
     world.ledger.borrow_mut().harm_ended(world.now());
     compio::time::sleep(LAPSES).await;
-    world.put(Key::Server(id.into()), None);
+    world.put(RowKey::Server(id.into()), None);
     compio::time::sleep(BACK).await;
     Ok(())
 }
@@ -81,11 +81,11 @@
     ended: Rc<Cell<bool>>,
     server: String,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let id = request.headers().get("elmstream-request").and_then(|id| id.to_str().ok());
     let id = id.unwrap_or_default().to_owned();
     if ended.get() {
-        return Err(Cut);
+        return Err(Aborted);
     }
     world.ledger.borrow_mut().runs(&id);
     if id.starts_with(BAD) {
@@ -98,7 +98,7 @@
     if ended.get() {
         // The end of a process closes its listener before its connections.
         compio::time::sleep(WORK).await;
-        return Err(Cut);
+        return Err(Aborted);
     }
     let mut response = Response::new(body::full(format!("{id} {server}")));
     if let Ok(value) = id.parse() {
--- a/elmstream_soak/src/listen.rs
+++ b/elmstream_soak/src/listen.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, rc::Rc, time::Instant};
 
 use compio::net::TcpListener;
-use elmstream_http::{LocalBody, Stopper, server, server::Cut};
+use elmstream_http::{LocalBody, Stopper, server, server::Aborted};
 use http::{Request, Response};
 use hyper::body::Incoming;
 
@@ -14,7 +14,7 @@
 pub async fn serve<H, F>(world: &Rc<World>, handler: H) -> io::Result<SocketAddr>
 where
     H: Fn(Rc<World>, u64, Request<Incoming>) -> F + Clone + 'static,
-    F: Future<Output = Result<Response<LocalBody>, Cut>> + 'static,
+    F: Future<Output = Result<Response<LocalBody>, Aborted>> + 'static,
 {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
--- a/elmstream_soak/src/needy.rs
+++ b/elmstream_soak/src/needy.rs
@@ -3,7 +3,7 @@
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
-use elmstream_steer::view::Key;
+use elmstream_steer::view::RowKey;
 use http::{HeaderValue, Response, StatusCode};
 
 use crate::{
@@ -128,7 +128,7 @@
         let text = format!("{server} had said that it leaves and got {late} requests more");
         judge(world, "leaving judged", late > 0, text);
     }
-    world.put(Key::Server(server.clone()), None);
+    world.put(RowKey::Server(server.clone()), None);
     world.servers.borrow_mut().remove(&server);
 }
 
--- a/elmstream_soak/src/remote.rs
+++ b/elmstream_soak/src/remote.rs
@@ -3,15 +3,15 @@
 use std::{cell::RefCell, net::SocketAddr, time::Duration};
 
 use elmstream_edge::{
-    Source, SourceError,
-    source::{Harmful, Hosts, Rows},
+    SourceError, StoreSource,
+    store_source::{HostList, RefusedList, StoreRows},
 };
 use elmstream_http::{LocalBody, body, client};
 use elmstream_steer::{
     RolloutWrite,
     digest::RequestDigest,
-    harm::Ending,
-    registry::{Edit, Listed},
+    host_registry::{RegisteredHost, RegistryEdit},
+    poison::ServerCrash,
     version::StoreVersion,
     view::Table,
 };
@@ -32,9 +32,9 @@
     pub rows: Vec<elmstream_steer::view::Row>,
 }
 
-impl From<Page> for Rows {
-    fn from(page: Page) -> Rows {
-        Rows { version: page.version, rows: page.rows, unreadable: Vec::new() }
+impl From<Page> for StoreRows {
+    fn from(page: Page) -> StoreRows {
+        StoreRows { version: page.version, rows: page.rows, unreadable: Vec::new() }
     }
 }
 
@@ -100,8 +100,8 @@
     SourceError::Unreachable { cause: cause.to_string(), kept: false }
 }
 
-impl Source for Remote {
-    async fn all(&self, table: Table) -> Result<Rows, SourceError> {
+impl StoreSource for Remote {
+    async fn all(&self, table: Table) -> Result<StoreRows, SourceError> {
         let page: Page =
             self.get(format!("/rows?table={}", table as usize), Duration::ZERO).await?;
         Ok(page.into())
@@ -112,7 +112,7 @@
         table: Table,
         after: StoreVersion,
         wait: Duration,
-    ) -> Result<Option<Rows>, SourceError> {
+    ) -> Result<Option<StoreRows>, SourceError> {
         let path = format!(
             "/changes?table={}&after={}&wait={}",
             table as usize,
@@ -125,14 +125,15 @@
         Ok(page.map(Page::into))
     }
 
-    async fn hosts(&self) -> Result<Hosts, SourceError> {
+    async fn hosts(&self) -> Result<HostList, SourceError> {
         let hosts: Vec<(String, SocketAddr)> = self.get("/hosts".into(), Duration::ZERO).await?;
-        let listed = hosts.into_iter().map(|(name, peers)| Listed { name, peers }).collect();
-        Ok(Hosts { listed, unreadable: Vec::new() })
+        let listed =
+            hosts.into_iter().map(|(name, peers)| RegisteredHost { name, peers }).collect();
+        Ok(HostList { listed, unreadable: Vec::new() })
     }
 
-    async fn edit_hosts(&self, edit: &Edit) -> Result<(), SourceError> {
-        for Listed { name, peers } in &edit.put {
+    async fn edit_hosts(&self, edit: &RegistryEdit) -> Result<(), SourceError> {
+        for RegisteredHost { name, peers } in &edit.put {
             let path = format!("/announce?name={name}&host={peers}");
             self.get::<()>(path, Duration::ZERO).await?;
         }
@@ -142,16 +143,16 @@
         Ok(())
     }
 
-    async fn harmful(&self) -> Result<Harmful, SourceError> {
-        let listed: Vec<(RequestDigest, Vec<Ending>)> =
+    async fn harmful(&self) -> Result<RefusedList, SourceError> {
+        let listed: Vec<(RequestDigest, Vec<ServerCrash>)> =
             self.get("/harmful".into(), Duration::ZERO).await?;
-        Ok(Harmful { listed, unreadable: Vec::new() })
+        Ok(RefusedList { listed, unreadable: Vec::new() })
     }
 
     async fn list_harmful(
         &self,
         digest: &RequestDigest,
-        endings: &[Ending],
+        endings: &[ServerCrash],
     ) -> Result<(), SourceError> {
         let bytes = postcard::to_allocvec(endings).map_err(lost)?;
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/elmstream_soak/src/store.rs
+++ b/elmstream_soak/src/store.rs
@@ -2,9 +2,9 @@
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
-use elmstream_http::{LocalBody, body, server::Cut};
+use elmstream_http::{LocalBody, body, server::Aborted};
 use elmstream_steer::{
-    RolloutWrite, digest::RequestDigest, harm::Ending, version::StoreVersion, view::Key,
+    RolloutWrite, digest::RequestDigest, poison::ServerCrash, version::StoreVersion, view::RowKey,
 };
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -32,11 +32,11 @@
     world: Rc<World>,
     opened: u64,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let from = request.headers().get("from").and_then(|from| from.to_str().ok());
     let turned_away = from.is_some() && world.away.borrow().as_deref() == from;
     match world.store() {
-        StoreMode::Away => return Err(Cut),
+        StoreMode::Away => return Err(Aborted),
         StoreMode::Down => return Ok(refuse()),
         _ if turned_away => return Ok(refuse()),
         StoreMode::Slow => compio::time::sleep(SLOW).await,
@@ -46,7 +46,7 @@
         let era = world.era.get();
         let response = respond(&world, &request).await;
         if world.store() == StoreMode::Away || world.era.get() != era {
-            return Err(Cut);
+            return Err(Aborted);
         }
         // What was asked before a silence is not answered in it either.
         if !mute(&world, opened) {
@@ -54,7 +54,7 @@
         }
     }
     compio::time::sleep(SILENT).await;
-    Err(Cut)
+    Err(Aborted)
 }
 
 /// Whether nothing comes back on a connection that was opened at a time.
@@ -109,8 +109,8 @@
 /// Writes how far a roll-out has come, if nothing has changed since; the version of it.
 fn progress(world: &World, hex: &str) -> Option<StoreVersion> {
     let write: RolloutWrite = postcard::from_bytes(&bytes(hex)?).ok()?;
-    let progress = Key::Progress(write.service.clone());
-    let order = Key::Rollout(write.service.clone());
+    let progress = RowKey::Progress(write.service.clone());
+    let order = RowKey::Rollout(write.service.clone());
     if (world.count(&progress), world.count(&order)) != write.expected {
         return None;
     }
@@ -127,7 +127,8 @@
 /// Lists a refused request, or takes it off if no endings come with it.
 fn list(world: &World, content: &str, endings: &str) {
     let bytes = bytes(endings);
-    let endings: Option<Vec<Ending>> = bytes.and_then(|bytes| postcard::from_bytes(&bytes).ok());
+    let endings: Option<Vec<ServerCrash>> =
+        bytes.and_then(|bytes| postcard::from_bytes(&bytes).ok());
     let Some((digest, endings)) = RequestDigest::from_hex(content).zip(endings) else { return };
     match endings.is_empty() {
         true => drop(world.harmful.borrow_mut().remove(&digest)),
--- a/elmstream_soak/src/strike.rs
+++ b/elmstream_soak/src/strike.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-use elmstream_steer::view::Key;
+use elmstream_steer::view::RowKey;
 
 use crate::{
     aimed,
@@ -107,8 +107,9 @@
     world.come_back(gone.saturating_sub(age));
     world.modes.borrow_mut().retain(|(known, _)| *known != number);
     let back = world.now();
-    let servers: Vec<Key> = world.lost();
-    for (place, key) in servers.iter().enumerate().filter(|(_, key)| **key != Key::Configuration) {
+    let servers: Vec<RowKey> = world.lost();
+    for (place, key) in servers.iter().enumerate().filter(|(_, key)| **key != RowKey::Configuration)
+    {
         let gone = world.written.borrow().get(key).is_none_or(Option::is_none);
         let after = if gone { LAPSES } else { place as u64 * 97 % WRITE_AGAIN };
         let (world, key) = (world.clone(), key.clone());
@@ -119,7 +120,7 @@
         .detach();
     }
     compio::time::sleep(Duration::from_millis(again)).await;
-    world.write_again(&Key::Configuration);
+    world.write_again(&RowKey::Configuration);
     // Until then a host that starts cannot know what the store has lost, if all restarted.
     let now = world.now().max(back);
     world.troubles.borrow_mut().end(number, now);
@@ -234,7 +235,7 @@
     world.serve(&new, SHOP, address, false);
     world.serve(&old, SHOP, address, true);
     compio::time::sleep(DRAIN).await;
-    world.put(Key::Server(old.clone()), None);
+    world.put(RowKey::Server(old.clone()), None);
     compio::time::sleep(DRAIN).await;
     world.servers.borrow_mut().remove(&old);
 }
--- a/elmstream_soak/src/versions.rs
+++ b/elmstream_soak/src/versions.rs
@@ -4,8 +4,8 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use elmstream_steer::{
-    rollout::{Order, Stage},
-    view::{Item, Key},
+    rollout::{RolloutOrder, RolloutStage},
+    view::{RowContent, RowKey},
 };
 
 use crate::{
@@ -44,8 +44,8 @@
 pub async fn roll_out(world: &Rc<World>, hosts: &Hosts, bad: bool, address: SocketAddr) {
     let began = world.now();
     let target = format!("v-{began}");
-    let order = Order { target: target.clone(), duration_ms: DURATION };
-    world.put(Key::Rollout(SHOP.into()), Some(Item::Rollout(order)));
+    let order = RolloutOrder { target: target.clone(), duration_ms: DURATION };
+    world.put(RowKey::Rollout(SHOP.into()), Some(RowContent::Rollout(order)));
     compio::time::sleep(STARTED).await;
     let servers: Vec<String> = (0..SERVERS).map(|n| format!("{NEXT}{n}-{began}")).collect();
     let mode = if bad { ServerMode::Failing } else { ServerMode::Next };
@@ -70,7 +70,7 @@
     while world.now() < began + DURATION {
         let store = world.store() == StoreMode::Well && world.away.borrow().is_none();
         calm &= store && (world.era.get(), world.muted.get()) == (era, muted);
-        if stage(world, target) == Some(Stage::Completed) {
+        if stage(world, target) == Some(RolloutStage::Completed) {
             break;
         }
         compio::time::sleep(LOOK).await;
@@ -79,15 +79,21 @@
     calm && hosts.borrow().iter().all(|host| host.disturbed < since && host.terminated.is_none())
 }
 
-fn stage(world: &World, target: &str) -> Option<Stage> {
+fn stage(world: &World, target: &str) -> Option<RolloutStage> {
     let rows = world.rows.borrow();
-    match &rows.get(&Key::Progress(SHOP.into()))?.item {
-        Some(Item::Progress(progress)) if progress.target == target => Some(progress.stage),
+    match &rows.get(&RowKey::Progress(SHOP.into()))?.item {
+        Some(RowContent::Progress(progress)) if progress.target == target => Some(progress.stage),
         _ => None,
     }
 }
 
-fn judge_bad(world: &World, servers: &[String], began: u64, calm: bool, stage: Option<Stage>) {
+fn judge_bad(
+    world: &World,
+    servers: &[String],
+    began: u64,
+    calm: bool,
+    stage: Option<RolloutStage>,
+) {
     let until = began + DURATION;
     let within = |server: &str| {
         let times = world.arrivals.of(server);
@@ -105,15 +111,15 @@
         got.get(2 * BAD).map_or(0, |bad| got.iter().filter(|at| **at > bad + ROLLBACK).count());
     judge(world, "roll-back judged", late > 0, format!("a bad version got {late} requests late"));
     if calm {
-        let other = stage != Some(Stage::RolledBack) || world.breaks("rolled_back");
+        let other = stage != Some(RolloutStage::RolledBack) || world.breaks("rolled_back");
         let text = format!("a bad version is {stage:?} when it has to be turned away");
         judge(world, "decision judged", other, text);
     }
 }
 
 /// The others are stopped without more ado, as soon as the roll-out is completed.
-async fn judge_good(world: &World, hosts: &Hosts, calm: bool, stage: Option<Stage>) {
-    let completed = stage == Some(Stage::Completed);
+async fn judge_good(world: &World, hosts: &Hosts, calm: bool, stage: Option<RolloutStage>) {
+    let completed = stage == Some(RolloutStage::Completed);
     if calm {
         let text = format!("a good version is {stage:?} when it has to be completed");
         judge(world, "decision judged", !completed || world.breaks("completed"), text);
@@ -136,7 +142,7 @@
 /// Servers end, and their entries go.
 fn leave(world: &World, servers: &[String]) {
     for server in servers {
-        world.put(Key::Server(server.clone()), None);
+        world.put(RowKey::Server(server.clone()), None);
         world.servers.borrow_mut().remove(server);
     }
 }
--- a/elmstream_soak/src/world.rs
+++ b/elmstream_soak/src/world.rs
@@ -12,10 +12,10 @@
 use elmstream_steer::{
     RolloutWrite,
     digest::RequestDigest,
-    harm::Ending,
-    model::{Configuration, Limits, Part, Repeat, Route, Server, Service},
+    model::{Configuration, Limits, Repeatability, Route, Server, Service, WeightedService},
+    poison::ServerCrash,
     version::StoreVersion,
-    view::{Item, Key, Row},
+    view::{Row, RowContent, RowKey},
 };
 
 use crate::{fragile, ledger::Ledger, needy::Arrivals, trouble::Troubles, versions, workspaces};
@@ -80,10 +80,10 @@
 /// What the store held at some time.
 #[derive(Clone, Debug)]
 pub struct Copied {
-    rows: BTreeMap<Key, Row>,
+    rows: BTreeMap<RowKey, Row>,
     version: u64,
     hosts: BTreeMap<String, SocketAddr>,
-    harmful: BTreeMap<RequestDigest, Vec<Ending>>,
+    harmful: BTreeMap<RequestDigest, Vec<ServerCrash>>,
 }
 
 /// What a soak consists of.
@@ -92,7 +92,7 @@
     /// When it began.
     pub began: Instant,
     /// Rows of the store.
-    pub rows: RefCell<BTreeMap<Key, Row>>,
+    pub rows: RefCell<BTreeMap<RowKey, Row>>,
     /// The store's counter.
     pub version: Cell<u64>,
     /// How often the store has come back from a copy.
@@ -100,11 +100,11 @@
     /// Hosts that are written down.
     pub hosts: RefCell<BTreeMap<String, SocketAddr>>,
     /// Requests that are refused, with the ends of servers that decided it.
-    pub harmful: RefCell<BTreeMap<RequestDigest, Vec<Ending>>>,
+    pub harmful: RefCell<BTreeMap<RequestDigest, Vec<ServerCrash>>>,
     /// What the store held, by the time since the beginning, in milliseconds.
     pub copies: RefCell<BTreeMap<u64, Copied>>,
     /// What the operator and the servers have written, whatever the store has lost of it.
-    pub written: RefCell<BTreeMap<Key, Option<Item>>>,
+    pub written: RefCell<BTreeMap<RowKey, Option<RowContent>>>,
     /// When the store was in trouble.
     pub troubles: RefCell<Troubles>,
     /// The troubles that the store is in; it behaves as the latest one says.
@@ -229,9 +229,9 @@
     }
 
     /// Keys of what was written and is not in the store as it was.
-    pub fn lost(&self) -> Vec<Key> {
+    pub fn lost(&self) -> Vec<RowKey> {
         let rows = self.rows.borrow();
-        let held = |key: &Key| rows.get(key).and_then(|row| row.item.clone());
+        let held = |key: &RowKey| rows.get(key).and_then(|row| row.item.clone());
         let written = self.written.borrow();
         written
             .iter()
@@ -241,7 +241,7 @@
     }
 
     /// The operator or a server writes a row again as it meant it.
-    pub fn write_again(&self, key: &Key) {
+    pub fn write_again(&self, key: &RowKey) {
         let item = self.written.borrow().get(key).cloned().flatten();
         let there = self.rows.borrow().get(key).is_some_and(|row| row.item.is_some());
         if item.is_some() || there {
@@ -250,7 +250,7 @@
     }
 
     /// Writes a row, or removes it.
-    pub fn put(&self, key: Key, item: Option<Item>) {
+    pub fn put(&self, key: RowKey, item: Option<RowContent>) {
         self.written.borrow_mut().insert(key.clone(), item.clone());
         if self.store() == StoreMode::Away {
             // It is written again once the store is back.
@@ -264,12 +264,12 @@
 
     /// Puts a configuration in force.
     pub fn configure(&self, version: u64) {
-        self.put(Key::Configuration, Some(Item::Configuration(configuration(version))));
+        self.put(RowKey::Configuration, Some(RowContent::Configuration(configuration(version))));
         self.ledger.borrow_mut().configured(version, self.now());
     }
 
     /// The store's counter for a row; 0 if it is not there.
-    pub fn count(&self, key: &Key) -> u64 {
+    pub fn count(&self, key: &RowKey) -> u64 {
         let rows = self.rows.borrow();
         let row = rows.get(key).filter(|row| row.item.is_some());
         row.map_or(0, |row| row.version.count)
@@ -277,15 +277,15 @@
 
     /// A host wrote how far a roll-out has come.
     pub fn progressed(&self, write: &RolloutWrite) {
-        let key = Key::Progress(write.service.clone());
-        self.put(key, Some(Item::Progress(write.progress.clone())));
+        let key = RowKey::Progress(write.service.clone());
+        self.put(key, Some(RowContent::Progress(write.progress.clone())));
     }
 
     /// Writes down a server.
     pub fn serve(&self, id: &str, service: &str, address: SocketAddr, draining: bool) {
-        let written = self.written.borrow().get(&Key::Server(id.into())).cloned();
+        let written = self.written.borrow().get(&RowKey::Server(id.into())).cloned();
         let entries = match written {
-            Some(Some(Item::Server(server))) => server.entries + 1,
+            Some(Some(RowContent::Server(server))) => server.entries + 1,
             _ => 1,
         };
         let server = Server {
@@ -299,7 +299,7 @@
             entries,
             version: versions::version(id),
         };
-        self.put(Key::Server(id.into()), Some(Item::Server(server)));
+        self.put(RowKey::Server(id.into()), Some(RowContent::Server(server)));
     }
 }
 
@@ -329,10 +329,10 @@
     Configuration {
         version,
         routes: vec![
-            route("/safe/", Repeat::Safe, SHOP),
-            route("/once/", Repeat::Once, SHOP),
-            route("/pin/", Repeat::Safe, &pin),
-            route("/harm/", Repeat::Safe, fragile::SERVICE),
+            route("/safe/", Repeatability::Safe, SHOP),
+            route("/once/", Repeatability::Once, SHOP),
+            route("/pin/", Repeatability::Safe, &pin),
+            route("/harm/", Repeatability::Safe, fragile::SERVICE),
         ],
         services: services.map(|name| Service { name, cold_ms: 0, cold_per_s: 9.0 }).collect(),
         limits: Limits::default(),
@@ -340,7 +340,7 @@
     }
 }
 
-fn route(prefix: &str, repeat: Repeat, service: &str) -> Route {
+fn route(prefix: &str, repeat: Repeatability, service: &str) -> Route {
     Route {
         name: prefix.into(),
         host: "soak.example".into(),
@@ -352,7 +352,7 @@
         priority: 0,
         affinity: true,
         homes: Vec::new(),
-        parts: vec![Part { service: service.into(), weight: 1.0 }],
+        parts: vec![WeightedService { service: service.into(), weight: 1.0 }],
         open: false,
     }
 }
--- a/elmstream_standin/src/backend.rs
+++ b/elmstream_standin/src/backend.rs
@@ -12,7 +12,7 @@
 use compio::net::TcpListener;
 use elmstream_http::{
     BoxError, LocalBody, Stop, body,
-    server::{self, Cut},
+    server::{self, Aborted},
 };
 use futures_channel::oneshot;
 use futures_util::StreamExt;
@@ -165,7 +165,7 @@
     state: &Rc<State>,
     name: &str,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     match request.uri().path() {
         "/_standin/behaviour" => Ok(set_behaviour(state, request).await),
         "/_standin/seen" => Ok(reply::json(StatusCode::OK, &*state.seen.borrow())),
@@ -196,7 +196,7 @@
     state: &Rc<State>,
     name: &str,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let behaviour = state.behaviour.borrow().clone();
     let (parts, incoming) = request.into_parts();
     if behaviour.shed {
@@ -213,9 +213,9 @@
     if parts.method == http::Method::POST {
         count(&mut state.seen.borrow_mut(), &id);
     }
-    let Some((length, digest)) = digest(incoming).await else { return Err(Cut) };
+    let Some((length, digest)) = digest(incoming).await else { return Err(Aborted) };
     if !work(&behaviour, moment(&parts.headers, DEADLINE)).await {
-        return Err(Cut);
+        return Err(Aborted);
     }
     let echo = format!(
         "{{\"backend\":\"{name}\",\"id\":\"{id}\",\"length\":{length},\"digest\":\"{digest}\"}}"
--- a/elmstream_standin/src/platform.rs
+++ b/elmstream_standin/src/platform.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use compio::net::TcpListener;
-use elmstream_http::{LocalBody, Stop, body, server, server::Cut};
+use elmstream_http::{LocalBody, Stop, body, server, server::Aborted};
 use http::{Method, Request, Response, StatusCode, Uri};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -104,7 +104,7 @@
     state: &Rc<RefCell<State>>,
     started: Instant,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let (part, rest) = split(request.uri());
     if part == "faults" {
         return Ok(set_faults(state, &rest, request).await);
@@ -125,7 +125,7 @@
         _ => reply::status(StatusCode::NOT_FOUND),
     };
     if is_write && !admin && lose(state, &part) {
-        return Err(Cut);
+        return Err(Aborted);
     }
     Ok(answer)
 }
--- a/elmstream_steer/src/budget.rs
+++ b/elmstream_steer/src/budget.rs
@@ -57,7 +57,7 @@
     /// get 315 of a slack of 630, where a whole one each came to 1,205. What was drawn and
     /// is not spent is a part again at the next request.
     pub fn affords(&mut self, service: &str) -> bool {
-        let draw = hash::unit(hash::pair(self.seed, self.draws));
+        let draw = hash::unit_interval(hash::combine(self.seed, self.draws));
         let Some(saved) = self.saved.get_mut(service) else { return false };
         if *saved >= 1.0 || self.most >= 1.0 {
             return *saved >= 1.0;
--- a/elmstream_steer/src/verdict.rs
+++ b/elmstream_steer/src/canary_analysis.rs
@@ -13,8 +13,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    evidence::{Marks, RolloutReport},
     hash,
+    rollout_counts::{AnswerCounts, RolloutReport},
 };
 
 /// Part of bad answers that counts as usual at least: fewer are too rare to be measured.
@@ -51,7 +51,7 @@
 
 /// A way of judging.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Judging {
+pub enum AnalysisMethod {
     /// By a sequential test.
     #[default]
     Sequential,
@@ -61,11 +61,11 @@
 
 /// Why a version is bad, for lines.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Cause {
+pub struct RejectionCause {
     /// Hash of the route; none for all together.
     pub route: Option<u32>,
     /// Its answers of the ordered version.
-    pub target: Marks,
+    pub target: AnswerCounts,
     /// Servers of the ordered version that gave bad answers.
     pub servers: usize,
     /// Part of bad answers of the other versions lately.
@@ -74,14 +74,14 @@
 
 /// Answers that fade.
 #[derive(Clone, Copy, Debug, Default)]
-struct Faded {
+struct DecayingCounts {
     good: f64,
     bad: f64,
     at: Time,
 }
 
-impl Faded {
-    fn add(&mut self, now: Time, marks: Marks) {
+impl DecayingCounts {
+    fn add(&mut self, now: Time, marks: AnswerCounts) {
         let left = (-(now.since(self.at) as f64) / FADES).exp();
         self.good = self.good * left + f64::from(marks.good);
         self.bad = self.bad * left + f64::from(marks.bad);
@@ -99,22 +99,22 @@
 
 /// The test of one route, or of all together.
 #[derive(Clone, Debug, Default)]
-struct Trial {
+struct SampleTest {
     /// How much more likely the last answers are of a bad version, as a logarithm; never below
     /// 0, so that good ones before do not make up for them.
     ratio: f64,
     /// The same of all answers; bounded, so that what a fault did can be made up for.
     sum: f64,
-    marks: Marks,
+    marks: AnswerCounts,
     /// Servers that answered, and those whose answers were bad.
     servers: BTreeSet<u32>,
     bad: BTreeSet<u32>,
     usual: f64,
-    recent: VecDeque<(Time, Marks)>,
+    recent: VecDeque<(Time, AnswerCounts)>,
 }
 
-impl Trial {
-    fn take(&mut self, now: Time, server: u32, marks: Marks, usual: f64) {
+impl SampleTest {
+    fn take(&mut self, now: Time, server: u32, marks: AnswerCounts, usual: f64) {
         let usual = (usual * USUAL_TIMES).clamp(USUAL_LEAST, 0.7);
         let worse = usual + WORSE;
         let good = ((1.0 - worse) / (1.0 - usual)).ln();
@@ -135,11 +135,11 @@
         }
     }
 
-    fn is_bad(&self, judging: Judging) -> bool {
+    fn is_bad(&self, judging: AnalysisMethod) -> bool {
         let shown = self.bad.len() >= SERVERS.min(self.servers.len());
         let worse = match judging {
-            Judging::Sequential => self.ratio >= SURE,
-            Judging::Window => {
+            AnalysisMethod::Sequential => self.ratio >= SURE,
+            AnalysisMethod::Window => {
                 let bad: u32 = self.recent.iter().map(|(_, marks)| marks.bad).sum();
                 let all: u32 = self.recent.iter().map(|(_, marks)| marks.all()).sum();
                 all >= WINDOW_LEAST && f64::from(bad) > (self.usual + WORSE) * f64::from(all)
@@ -151,24 +151,24 @@
 
 /// Sums up the reports of all hosts on one order.
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
-    judging: Judging,
+pub struct CanaryAnalysis {
+    judging: AnalysisMethod,
     /// Last report of each host, by the hash of its address.
     reports: HashMap<u64, (RolloutReport, Time)>,
-    old: HashMap<(String, u32), Faded>,
-    old_all: Faded,
+    old: HashMap<(String, u32), DecayingCounts>,
+    old_all: DecayingCounts,
     /// Answers of the other versions so far, by route.
     old_counts: BTreeMap<u32, u32>,
-    routes: BTreeMap<u32, Trial>,
-    all: Trial,
+    routes: BTreeMap<u32, SampleTest>,
+    all: SampleTest,
     /// The first time that the version was found to be bad stands.
-    cause: Option<Cause>,
+    cause: Option<RejectionCause>,
 }
 
-impl Judge {
+impl CanaryAnalysis {
     /// One that judges in a given way.
-    pub fn new(judging: Judging) -> Judge {
-        Judge { judging, ..Judge::default() }
+    pub fn new(judging: AnalysisMethod) -> CanaryAnalysis {
+        CanaryAnalysis { judging, ..CanaryAnalysis::default() }
     }
 
     /// Takes a report in.
@@ -179,7 +179,7 @@
         let known = |server: u32, route: u32| {
             let told = before.iter().flat_map(|before| &before.target);
             let mut told = told.filter(|(s, r, _)| (*s, *r) == (server, route));
-            told.next().map_or(Marks::default(), |(_, _, marks)| *marks)
+            told.next().map_or(AnswerCounts::default(), |(_, _, marks)| *marks)
         };
         for (server, route, marks) in &report.target {
             let new = marks.since(known(*server, *route));
@@ -198,7 +198,7 @@
         for (route, marks) in &report.old {
             let told = before.iter().flat_map(|before| &before.old);
             let mut told = told.filter(|(known, _)| known == route);
-            let new = marks.since(told.next().map_or(Marks::default(), |(_, marks)| *marks));
+            let new = marks.since(told.next().map_or(AnswerCounts::default(), |(_, marks)| *marks));
             self.old.entry((report.region.clone(), *route)).or_default().add(now, new);
             self.old_all.add(now, new);
             let count = self.old_counts.entry(*route).or_default();
@@ -209,7 +209,7 @@
     /// Part of bad answers that is usual for a route in a region.
     fn usual(&self, region: &str, route: u32) -> f64 {
         let own = self.old.get(&(region.to_owned(), route));
-        own.filter(|own| own.all() >= KNOWN).map_or(self.old_all.part(), Faded::part)
+        own.filter(|own| own.all() >= KNOWN).map_or(self.old_all.part(), DecayingCounts::part)
     }
 
     fn judge(&mut self) {
@@ -219,16 +219,17 @@
         let routes = self.routes.iter().map(|(route, trial)| (Some(*route), trial));
         let mut trials = routes.chain([(None, &self.all)]);
         let judging = self.judging;
-        self.cause = trials.find(|(_, trial)| trial.is_bad(judging)).map(|(route, trial)| Cause {
-            route,
-            target: trial.marks,
-            servers: trial.bad.len(),
-            usual: trial.usual,
-        });
+        self.cause =
+            trials.find(|(_, trial)| trial.is_bad(judging)).map(|(route, trial)| RejectionCause {
+                route,
+                target: trial.marks,
+                servers: trial.bad.len(),
+                usual: trial.usual,
+            });
     }
 
     /// Why the version is bad; none if it is not known to be.
-    pub fn bad(&self) -> Option<&Cause> {
+    pub fn bad(&self) -> Option<&RejectionCause> {
         self.cause.as_ref()
     }
 
@@ -247,7 +248,7 @@
     pub fn trusts_routes(&self) -> bool {
         let asked = f64::from(self.asked());
         let matters = |count: u32| f64::from(count) >= asked * ROUTE_PART;
-        let good = |trial: &Trial| trial.sum <= -TRUST;
+        let good = |trial: &SampleTest| trial.sum <= -TRUST;
         let routes = self.old_counts.iter().filter(|(_, count)| matters(**count));
         let mut routes = routes.map(|(route, _)| self.routes.get(route).is_some_and(good));
         self.is_calm() && routes.all(|good| good)
@@ -259,7 +260,7 @@
     }
 
     /// Answers of the ordered version so far.
-    pub fn marks(&self) -> Marks {
+    pub fn marks(&self) -> AnswerCounts {
         self.all.marks
     }
 
@@ -276,7 +277,7 @@
 fn own_part(report: &RolloutReport, before: Option<&RolloutReport>) -> f64 {
     let sum = |report: &RolloutReport| {
         let marks = report.old.iter().map(|(_, marks)| *marks);
-        marks.fold(Marks::default(), |sum, marks| Marks {
+        marks.fold(AnswerCounts::default(), |sum, marks| AnswerCounts {
             good: sum.good + marks.good,
             bad: sum.bad + marks.bad,
         })
--- a/elmstream_steer/src/cold.rs
+++ b/elmstream_steer/src/cold_start.rs
@@ -17,7 +17,7 @@
 use crate::{hash, settings::Bounds};
 
 /// Time between two requests of one sender to a cold backend server.
-pub const SPACING: u64 = 1_100 * MILLI;
+pub const SEND_SPACING: u64 = 1_100 * MILLI;
 
 /// Senders of a cold backend server that bears `per_s` requests a second.
 pub fn senders(bounds: &Bounds, per_s: f64) -> usize {
@@ -26,13 +26,13 @@
 }
 
 /// Whether the first of `hosts` is among the senders of a server, by hashes of addresses.
-pub fn sends(hosts: &[u64], server: u64, senders: usize) -> bool {
+pub fn is_sender(hosts: &[u64], server: u64, senders: usize) -> bool {
     let Some((own, others)) = hosts.split_first() else { return false };
-    let mine = hash::pair(*own, server);
-    others.iter().filter(|host| hash::pair(**host, server) > mine).count() < senders
+    let mine = hash::combine(*own, server);
+    others.iter().filter(|host| hash::combine(**host, server) > mine).count() < senders
 }
 
 /// When a sender may send again after a request at `last`, or its own start.
-pub fn next(started: Time, last: Option<Time>) -> Time {
-    last.unwrap_or(started) + SPACING
+pub fn next_send(started: Time, last: Option<Time>) -> Time {
+    last.unwrap_or(started) + SEND_SPACING
 }
--- a/elmstream_steer/src/era.rs
+++ b/elmstream_steer/src/era.rs
@@ -14,9 +14,9 @@
 
 use crate::{
     model::Server,
-    rollout::Progress,
+    rollout::RolloutProgress,
     version::StoreVersion,
-    view::{Counts, Item, Key},
+    view::{RemovedCounters, RowContent, RowKey},
 };
 
 /// How long a server is still used that the store has lost by being away: if it lives the
@@ -26,7 +26,7 @@
 /// For how long, from the first reading of a new era, what an earlier one said goes on in
 /// force against the store's copy, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Holds {
+pub struct Retention {
     /// A configuration whose own version is higher than the copy's, and the verdict on a
     /// roll-out. The operator's tools
     /// write it again within seconds; somebody who has to be called takes minutes. After
@@ -42,9 +42,9 @@
     pub outdated: u64,
 }
 
-impl Default for Holds {
-    fn default() -> Holds {
-        Holds {
+impl Default for Retention {
+    fn default() -> Retention {
+        Retention {
             configuration: 600 * SECOND,
             evacuation: 60 * SECOND,
             missing: LAPSE,
@@ -53,28 +53,29 @@
     }
 }
 
-impl Holds {
+impl Retention {
     /// The copy is taken at once.
-    pub const NONE: Holds = Holds { configuration: 0, evacuation: 0, missing: 0, outdated: 0 };
+    pub const NONE: Retention =
+        Retention { configuration: 0, evacuation: 0, missing: 0, outdated: 0 };
 }
 
 /// What an earlier era said of a row.
 #[derive(Clone, Copy, Debug)]
-pub struct Earlier<'a> {
+pub struct EarlierRow<'a> {
     /// Names the row.
-    pub key: &'a Key,
+    pub key: &'a RowKey,
     /// Its content; none if it was removed.
-    pub item: Option<&'a Item>,
+    pub item: Option<&'a RowContent>,
     /// The counters at which it was there before, if it was removed and they are known.
-    pub counts: Counts,
+    pub counts: RemovedCounters,
 }
 
-impl Earlier<'_> {
+impl EarlierRow<'_> {
     /// Whether a removed row was not written at a counter, so that a copy cannot have it
     /// from there. An operator may ask again for what was taken back before hosts first
     /// read the new era. Below the counters that are known it may have been there before.
     fn never_at(&self, count: u64) -> bool {
-        let evacuation = matches!(self.key, Key::Evacuation(_));
+        let evacuation = matches!(self.key, RowKey::Evacuation(_));
         let never = |counts: [u64; 2]| count > counts[0] && !counts.contains(&count);
         evacuation && self.counts.is_some_and(never)
     }
@@ -97,9 +98,9 @@
     /// none if it does not.
     pub fn holds_until(
         &self,
-        holds: &Holds,
-        earlier: Earlier<'_>,
-        (version, copy): (StoreVersion, Option<&Item>),
+        holds: &Retention,
+        earlier: EarlierRow<'_>,
+        (version, copy): (StoreVersion, Option<&RowContent>),
     ) -> Option<Time> {
         let began = self.began?;
         let written = version.count > self.first || earlier.never_at(version.count);
@@ -109,43 +110,50 @@
 
 /// For how long one holds on against the other; none if it does not. `written` says whether
 /// the other one was written since the store's return.
-fn hold(holds: &Holds, earlier: &Earlier<'_>, copy: Option<&Item>, written: bool) -> Option<u64> {
-    if alike(earlier.item, copy) {
+fn hold(
+    holds: &Retention,
+    earlier: &EarlierRow<'_>,
+    copy: Option<&RowContent>,
+    written: bool,
+) -> Option<u64> {
+    if same_content(earlier.item, copy) {
         return None;
     }
     match (earlier.item, copy) {
         // Also if it was written since: an operator may write again all that was lost, one
         // configuration after the other.
-        (Some(Item::Configuration(earlier)), Some(Item::Configuration(copy))) => {
+        (Some(RowContent::Configuration(earlier)), Some(RowContent::Configuration(copy))) => {
             (earlier.version > copy.version).then_some(holds.configuration)
         }
-        (Some(Item::Configuration(_)), _) => Some(holds.configuration),
+        (Some(RowContent::Configuration(_)), _) => Some(holds.configuration),
         // Nor does a copy take a verdict back.
-        (Some(Item::Progress(earlier)), copy) if earlier.outranks(progress(copy)) => {
+        (Some(RowContent::Progress(earlier)), copy) if earlier.outranks(progress(copy)) => {
             Some(holds.configuration)
         }
-        (Some(Item::Server(earlier)), Some(Item::Server(copy))) if counted(earlier, copy) => {
+        (Some(RowContent::Server(earlier)), Some(RowContent::Server(copy)))
+            if counted(earlier, copy) =>
+        {
             (earlier.entries > copy.entries).then_some(holds.outdated)
         }
         _ if written => None,
-        (Some(Item::Server(_)), None) => Some(holds.missing),
-        _ if matches!(earlier.key, Key::Evacuation(_)) => Some(holds.evacuation),
+        (Some(RowContent::Server(_)), None) => Some(holds.missing),
+        _ if matches!(earlier.key, RowKey::Evacuation(_)) => Some(holds.evacuation),
         _ => Some(holds.outdated),
     }
 }
 
 /// The progress of a roll-out, if that is what a row says.
-fn progress(item: Option<&Item>) -> Option<&Progress> {
+fn progress(item: Option<&RowContent>) -> Option<&RolloutProgress> {
     match item {
-        Some(Item::Progress(progress)) => Some(progress),
+        Some(RowContent::Progress(progress)) => Some(progress),
         _ => None,
     }
 }
 
 /// Whether two contents say the same.
-pub(crate) fn alike(one: Option<&Item>, other: Option<&Item>) -> bool {
+pub(crate) fn same_content(one: Option<&RowContent>, other: Option<&RowContent>) -> bool {
     match (one, other) {
-        (Some(Item::Server(one)), Some(Item::Server(other))) => one.alike(other),
+        (Some(RowContent::Server(one)), Some(RowContent::Server(other))) => one.alike(other),
         _ => one == other,
     }
 }
