--- a/elmstream_steer/src/hearing.rs
+++ b/elmstream_steer/src/gossip.rs
@@ -5,19 +5,19 @@
 use elmstream::time::{SECOND, Time};
 
 use crate::{
-    beat::{Beat, Hears, Known, Load, Message},
-    cold,
-    demand::{Division, Region},
+    cold_start,
     digest::RequestDigest,
-    harm::{Ending, Harm, Turn},
     hash,
+    heartbeat::{Heartbeat, Message, Reachability, ServerLoad, TableStatus},
     members::Targets,
-    quota::Spreading,
-    server_limit::PerSecond,
-    servers::{Entry, Pace},
-    steer::{Change, State, Steer, Told},
-    tally::{Report, Spread, Verdict},
-    telling::Asked,
+    poison::{PoisonChange, PoisonEvidence, ServerCrash},
+    quota::AddressedBroadcast,
+    region_shares::{RegionDemand, RegionShares},
+    server_limit::RequestRate,
+    servers::{AnswerTimes, ServerEntry},
+    steer::{PendingNews, ServerState, StateChange, Steer},
+    table_sync::SyncRequest,
+    tally::{FractionBroadcast, UsageReply, UsageReport},
     version::StoreVersion,
     view::{TABLES, Table},
 };
@@ -41,10 +41,10 @@
     }
 
     /// How far the tables are known.
-    pub fn known(&self) -> [Known; 3] {
+    pub fn known(&self) -> [TableStatus; 3] {
         TABLES.map(|table| {
             let mark = self.view.mark(table);
-            Known {
+            TableStatus {
                 version: mark.version,
                 reading: mark.reading,
                 held: self.view.held_digest(table),
@@ -60,25 +60,25 @@
     }
 
     /// The next beat.
-    pub fn beat(&mut self, now: Time) -> Beat {
+    pub fn beat(&mut self, now: Time) -> Heartbeat {
         self.number += 1;
         self.urgent = false;
         self.ready = self.serves();
         let loads = self.servers.all().filter_map(|(_, entry)| {
             let hears = hears(now, entry, self.servers.pace(&entry.server.service));
-            let load = Load {
+            let load = ServerLoad {
                 server: entry.hash as u32,
                 in_flight: entry.own.min(u16::MAX as u32) as u16,
                 hears,
             };
-            (entry.own > 0 || hears != Hears::Nothing).then_some(load)
+            (entry.own > 0 || hears != Reachability::Nothing).then_some(load)
         });
         let loads = loads.collect();
         let known = self.known();
         let counts = self.counts.iter();
         let demand = counts.map(|(name, count)| (hash::of(name) as u32, count.value(now) as u32));
         let demand = demand.collect();
-        Beat {
+        Heartbeat {
             demand,
             host: self.settings.host.clone(),
             incarnation: self.settings.incarnation,
@@ -121,12 +121,12 @@
     }
 
     /// Takes in what all hosts have to know; where this host passes it on.
-    pub fn pass_on(&mut self, now: Time, spread: &Spread) -> Vec<(SocketAddr, Message)> {
+    pub fn pass_on(&mut self, now: Time, spread: &FractionBroadcast) -> Vec<(SocketAddr, Message)> {
         let due = self.with_quotas(now, |quotas, scene, _| quotas.pass_on(scene, spread));
         self.spreading(due)
     }
 
-    fn spreading(&self, due: Vec<Spreading>) -> Vec<(SocketAddr, Message)> {
+    fn spreading(&self, due: Vec<AddressedBroadcast>) -> Vec<(SocketAddr, Message)> {
         self.addressed(
             due.into_iter().map(|due| (due.place, Message::Spread(due.spread))).collect(),
         )
@@ -143,17 +143,17 @@
     }
 
     /// Takes in a host's report; the answer to it.
-    pub fn sum_up(&mut self, now: Time, report: &Report) -> Verdict {
+    pub fn sum_up(&mut self, now: Time, report: &UsageReport) -> UsageReply {
         self.with_quotas(now, |quotas, scene, table| quotas.sum_up(scene, table, report))
     }
 
     /// Takes in the answer to a report.
-    pub fn judged(&mut self, now: Time, verdict: &Verdict) {
+    pub fn judged(&mut self, now: Time, verdict: &UsageReply) {
         self.quotas.judged(now, verdict);
     }
 
     /// Takes a beat in; the tables that its sender knows better.
-    pub fn hear(&mut self, now: Time, beat: &Beat) -> Option<News> {
+    pub fn hear(&mut self, now: Time, beat: &Heartbeat) -> Option<HeartbeatNews> {
         if beat.host.peers == self.settings.host.peers {
             return None;
         }
@@ -189,18 +189,22 @@
         let limits = self.hear_limits(now, &beat.limits);
         let leaving = &beat.leaving_servers;
         let leaving = leaving.iter().filter_map(|told| self.hear_leaving(now, *told)).collect();
-        Some(News { joined: heard.joined, wanted, refused, limits, leaving })
+        Some(HeartbeatNews { joined: heard.joined, wanted, refused, limits, leaving })
     }
 
     /// Takes in ends of servers under requests; the requests that are refused from now on.
-    pub fn hear_endings(&mut self, now: Time, endings: &[Ending]) -> Vec<(RequestDigest, Harm)> {
+    pub fn hear_endings(
+        &mut self,
+        now: Time,
+        endings: &[ServerCrash],
+    ) -> Vec<(RequestDigest, PoisonEvidence)> {
         let mut refused = Vec::new();
         for ending in endings {
             self.leave_ended(now, ending.server);
             let turn = self.harms.hear(now, ending);
             // Each host tells it on at once, so that it takes a few hops in any fleet.
-            self.urgent |= turn != Turn::None;
-            if let Turn::Refused(harm) = turn {
+            self.urgent |= turn != PoisonChange::None;
+            if let PoisonChange::Refused(harm) = turn {
                 refused.push((ending.digest, harm));
             }
         }
@@ -225,17 +229,17 @@
         let own = self.knows_up_to(table);
         let behind = &mut self.behind[table as usize];
         if version > own && behind.is_none_or(|told| told.version <= own) {
-            *behind = Some(Told { version, at: now });
+            *behind = Some(PendingNews { version, at: now });
         }
     }
 
-    fn count(&mut self, loads: &[Load], add: bool) {
+    fn count(&mut self, loads: &[ServerLoad], add: bool) {
         let believed = !hears_little(loads);
         for load in loads {
             let Some(entry) = self.servers.by_hash(load.server) else { continue };
             let in_flight = u32::from(load.in_flight);
-            let silent = u32::from(believed && load.hears == Hears::Silence);
-            let answers = u32::from(load.hears == Hears::Answers);
+            let silent = u32::from(believed && load.hears == Reachability::Silence);
+            let answers = u32::from(load.hears == Reachability::Answers);
             if add {
                 entry.others += in_flight;
                 entry.silent_elsewhere += silent;
@@ -271,8 +275,8 @@
         let services: Vec<String> = self.servers.services().map(str::to_owned).collect();
         for service in services {
             let names = self.settings.domains.values();
-            let mut regions: BTreeMap<String, Region> =
-                names.map(|name| (name.clone(), Region::default())).collect();
+            let mut regions: BTreeMap<String, RegionDemand> =
+                names.map(|name| (name.clone(), RegionDemand::default())).collect();
             for (_, entry) in self.servers.of(&service) {
                 let used = !entry.departs() && !self.evacuated.contains(&entry.server.domain);
                 if used && let Some(region) = regions.get_mut(&entry.region) {
@@ -289,7 +293,7 @@
                 let region = regions.entry(self.settings.host.region.clone()).or_default();
                 region.demand += count.value(now);
             }
-            self.divisions.insert(service, Division::new(&regions));
+            self.divisions.insert(service, RegionShares::new(&regions));
         }
     }
 
@@ -314,13 +318,13 @@
     pub(crate) fn pick_cold(&mut self, now: Time) {
         for entry in self.servers.all_mut().filter(|entry| entry.cold(now)) {
             let per_s = self.cold.get(&entry.server.service).map_or(1.0, |(_, per_s)| *per_s);
-            let senders = cold::senders(&self.settings.bounds, per_s);
-            entry.cold_sender = cold::sends(&self.places, entry.hash, senders);
+            let senders = cold_start::senders(&self.settings.bounds, per_s);
+            entry.cold_sender = cold_start::is_sender(&self.places, entry.hash, senders);
         }
     }
 
     /// What time alone brings about; called every 100 ms or so.
-    pub fn tick(&mut self, now: Time) -> Vec<Change> {
+    pub fn tick(&mut self, now: Time) -> Vec<StateChange> {
         let lost = self.members.expire(now);
         self.recount();
         self.count_hosts(now);
@@ -338,11 +342,11 @@
         for id in &lapsed {
             self.remove(id);
         }
-        changes.extend(lost.into_iter().map(Change::HostLost));
-        changes.extend(lapsed.into_iter().map(|id| Change::Server(id, State::Gone)));
+        changes.extend(lost.into_iter().map(StateChange::HostLost));
+        changes.extend(lapsed.into_iter().map(|id| StateChange::Server(id, ServerState::Gone)));
         let turned = self.servers.turned(now).into_iter();
         changes.extend(turned.map(|(id, silent)| {
-            Change::Server(id, if silent { State::Silent } else { State::Answers })
+            StateChange::Server(id, if silent { ServerState::Silent } else { ServerState::Answers })
         }));
         changes
     }
@@ -350,34 +354,34 @@
 
 /// What a host tells the others of a server: its silence, or that it answers if
 /// others take it to be silent.
-fn hears(now: Time, entry: &Entry, pace: Pace) -> Hears {
+fn hears(now: Time, entry: &ServerEntry, pace: AnswerTimes) -> Reachability {
     if entry.silent(now, pace) {
-        return Hears::Silence;
+        return Reachability::Silence;
     }
     match entry.silent_elsewhere > 0 && entry.well(now) {
-        true => Hears::Answers,
-        false => Hears::Nothing,
+        true => Reachability::Answers,
+        false => Reachability::Nothing,
     }
 }
 
 /// Whether most servers are silent to the host that told this: its own ways are
 /// more likely at fault than they are.
-fn hears_little(loads: &[Load]) -> bool {
-    let silent = loads.iter().filter(|load| load.hears == Hears::Silence).count();
+fn hears_little(loads: &[ServerLoad]) -> bool {
+    let silent = loads.iter().filter(|load| load.hears == Reachability::Silence).count();
     silent >= DOUBTED && silent * 2 > loads.len()
 }
 
 /// What a beat calls for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct HeartbeatNews {
     /// The host is new, or back.
     pub joined: bool,
     /// Tables that its sender knows better, with what is known here.
-    pub wanted: Vec<(Table, Asked)>,
+    pub wanted: Vec<(Table, SyncRequest)>,
     /// Requests that are refused from now on.
-    pub refused: Vec<(RequestDigest, Harm)>,
+    pub refused: Vec<(RequestDigest, PoisonEvidence)>,
     /// Servers that name another limit, or none any more.
-    pub limits: Vec<(String, Option<PerSecond>)>,
+    pub limits: Vec<(String, Option<RequestRate>)>,
     /// Servers that are about to leave.
     pub leaving: Vec<String>,
 }
--- a/elmstream_steer/src/hash.rs
+++ b/elmstream_steer/src/hash.rs
@@ -10,16 +10,16 @@
 }
 
 /// Hash of an address at which a host takes messages of hosts.
-pub fn place(address: SocketAddr) -> u64 {
+pub fn address(address: SocketAddr) -> u64 {
     of(address.to_string())
 }
 
 /// Weight of a pair in rendezvous hashing; the highest one wins.
-pub fn pair(a: u64, b: u64) -> u64 {
+pub fn combine(a: u64, b: u64) -> u64 {
     xxh3_64_with_seed(&a.to_le_bytes(), b)
 }
 
 /// A hash as a number from 0 up to 1.
-pub fn unit(hash: u64) -> f64 {
+pub fn unit_interval(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/elmstream_steer/src/beat.rs
+++ b/elmstream_steer/src/heartbeat.rs
@@ -3,30 +3,30 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    evidence::RolloutReport,
-    harm::Ending,
-    leaving::LeavingTold,
-    server_limit::LimitTold,
+    leaving::LeavingNotice,
+    poison::ServerCrash,
+    rollout_counts::RolloutReport,
+    server_limit::LimitNotice,
     settings::Host,
-    tally::{Report, Spread, Verdict},
+    tally::{FractionBroadcast, UsageReply, UsageReport},
     version::StoreVersion,
-    warmth::Lesson,
+    warm_keys::WarmKey,
 };
 
 /// One host's requests at one backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Load {
+pub struct ServerLoad {
     /// Hash of the server's id, cut to 32 bits.
     pub server: u32,
     /// Requests in flight.
     pub in_flight: u16,
     /// What the host hears of it.
-    pub hears: Hears,
+    pub hears: Reachability,
 }
 
 /// What a host hears of a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Hears {
+pub enum Reachability {
     /// Nothing that others must know.
     Nothing,
     /// It waits for answers in vain.
@@ -41,11 +41,11 @@
 /// an age: an age would lose the time on the way with each host that passes it on,
 /// and what goes in circles would never grow old.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Known {
+pub struct TableStatus {
     /// The store's version; 0 for nothing.
     pub version: StoreVersion,
     /// The last reading that confirmed it; none if nothing is known.
-    pub reading: Option<Reading>,
+    pub reading: Option<StoreRead>,
     /// Tells the rows in which an earlier era of the store holds on against this one from
     /// others; 0 if there are none.
     pub held: u32,
@@ -57,7 +57,7 @@
 
 /// A reading of the store.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Reading {
+pub struct StoreRead {
     /// Hash of the start of the host that read.
     pub reader: u64,
     /// When, in milliseconds of the reader's clock.
@@ -66,7 +66,7 @@
 
 /// A host that another host knows to be live.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Word {
+pub struct LivenessUpdate {
     /// Hash of its name, cut to 32 bits.
     pub host: u32,
     /// Number of its start, cut to 32 bits.
@@ -81,7 +81,7 @@
 
 /// A host's message to the others.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender.
     pub host: Host,
     /// Number of its start.
@@ -96,37 +96,37 @@
     /// store does not serve it now.
     pub store_ms: Option<u16>,
     /// How far it knows the tables, in the order of [`crate::view::TABLES`].
-    pub known: [Known; 3],
+    pub known: [TableStatus; 3],
     /// Requests that it took lately, by hash of the service, cut to 32 bits.
     pub demand: Vec<(u32, u32)>,
     /// Its requests in flight; servers without any, and nothing to say of, are left out.
-    pub loads: Vec<Load>,
+    pub loads: Vec<ServerLoad>,
     /// Keys that servers have lately worked on; told in the sender's region only.
-    pub lessons: Vec<Lesson>,
+    pub lessons: Vec<WarmKey>,
     /// Other hosts that are live; told in the sender's region only, and in large
     /// fleets only.
-    pub words: Vec<Word>,
+    pub words: Vec<LivenessUpdate>,
     /// Hosts that the sender itself knows to be running or not to have stopped.
     pub fleet: u32,
     /// Ends of servers under requests, told for a while by all who learn of them.
-    pub endings: Vec<Ending>,
+    pub endings: Vec<ServerCrash>,
     /// Limits that servers named to the sender, or no longer do.
-    pub limits: Vec<LimitTold>,
+    pub limits: Vec<LimitNotice>,
     /// Starts of servers that said in answers that they are about to leave.
-    pub leaving_servers: Vec<LeavingTold>,
+    pub leaving_servers: Vec<LeavingNotice>,
 }
 
 /// A datagram between hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// What a host knows and does.
-    Beat(Box<Beat>),
+    Heartbeat(Box<Heartbeat>),
     /// What workspaces asked of a host.
-    Report(Report),
+    Report(UsageReport),
     /// The answer to a report.
-    Verdict(Verdict),
+    Verdict(UsageReply),
     /// What all hosts have to know of workspaces.
-    Spread(Spread),
+    Spread(FractionBroadcast),
     /// What a host counted of a roll-out.
     Rollout(Box<RolloutReport>),
 }
--- a/elmstream_steer/src/registry.rs
+++ b/elmstream_steer/src/host_registry.rs
@@ -15,13 +15,13 @@
 
 /// Time from a host's start until it keeps the list, if it ranks first by then: hosts
 /// have met, so that the first host of a new fleet writes down nearly all.
-pub const KEEP_FIRST: u64 = 1_000 * MILLI;
+pub const FIRST_UPDATE_AFTER: u64 = 1_000 * MILLI;
 /// Time between two looks of the keeper at the list. A fleet that loses all hosts within
 /// this time of a host's first start finds that one by the seeds only.
-pub const KEEP_EVERY: u64 = 15 * SECOND;
+pub const UPDATE_INTERVAL: u64 = 15 * SECOND;
 /// A host is taken off the list after it has not been heard of for so long: regions lose
 /// each other for an hour now and then, and should not write each other off and on.
-pub const GONE: u64 = 2 * 3_600 * SECOND;
+pub const REMOVE_AFTER: u64 = 2 * 3_600 * SECOND;
 /// Pause after a call that failed.
 const PAUSE: u64 = 2 * SECOND;
 /// The keeper must hear one of so many listed hosts to take any off the list.
@@ -29,7 +29,7 @@
 
 /// A host as the store lists it.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Listed {
+pub struct RegisteredHost {
     /// Its name.
     pub name: String,
     /// Where it takes messages of hosts.
@@ -38,14 +38,14 @@
 
 /// What is to be changed in the list.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Edit {
+pub struct RegistryEdit {
     /// Hosts that are to be listed.
-    pub put: Vec<Listed>,
+    pub put: Vec<RegisteredHost>,
     /// Names that are to be taken off.
     pub remove: Vec<String>,
 }
 
-impl Edit {
+impl RegistryEdit {
     /// Whether nothing is to be changed.
     pub fn is_empty(&self) -> bool {
         self.put.is_empty() && self.remove.is_empty()
@@ -100,24 +100,24 @@
         if failed.is_some_and(|at| now.since(at) < PAUSE) {
             return false;
         }
-        let due = kept.is_none_or(|at| now.since(at) >= KEEP_EVERY);
+        let due = kept.is_none_or(|at| now.since(at) >= UPDATE_INTERVAL);
         (wanted && self.start().due(now)) || (due && self.keeps(now))
     }
 
     /// Whether this host reads the store for all, and has had time to meet the others.
     pub fn keeps(&self, now: Time) -> bool {
-        now.since(self.started) >= KEEP_FIRST
+        now.since(self.started) >= FIRST_UPDATE_AFTER
             && !self.leaving
             && self.calls.served()
             && self.scene(now, Table::Rules).ahead == 0
     }
 
     /// The store told which hosts it lists; what is to be changed, if that is this host's.
-    pub fn listed(&mut self, now: Time, listed: &[Listed]) -> Edit {
+    pub fn listed(&mut self, now: Time, listed: &[RegisteredHost]) -> RegistryEdit {
         let hosts: Vec<SocketAddr> = listed.iter().map(|host| host.peers).collect();
         self.told_hosts(now, &hosts);
         if !self.keeps(now) {
-            return Edit::default();
+            return RegistryEdit::default();
         }
         self.registry.kept = Some(now);
         self.edit(now, listed)
@@ -128,24 +128,24 @@
         self.registry.failed = Some(now);
     }
 
-    fn edit(&self, now: Time, listed: &[Listed]) -> Edit {
-        let entry = |host: &Host| Listed { name: host.name.clone(), peers: host.peers };
+    fn edit(&self, now: Time, listed: &[RegisteredHost]) -> RegistryEdit {
+        let entry = |host: &Host| RegisteredHost { name: host.name.clone(), peers: host.peers };
         let live = self.members.live(now).filter(|member| !member.leaving);
-        let mut running: Vec<Listed> = live.map(|member| entry(&member.host)).collect();
+        let mut running: Vec<RegisteredHost> = live.map(|member| entry(&member.host)).collect();
         running.push(entry(&self.settings.host));
-        let listed_set: HashSet<&Listed> = listed.iter().collect();
+        let listed_set: HashSet<&RegisteredHost> = listed.iter().collect();
         let put = running.iter().filter(|host| !listed_set.contains(host)).cloned().collect();
         if running.len() * HEARD_PART < listed.len() {
-            return Edit { put, remove: Vec::new() };
+            return RegistryEdit { put, remove: Vec::new() };
         }
         let runs: HashSet<&str> = running.iter().map(|host| host.name.as_str()).collect();
         let heard: BTreeMap<&str, Time> =
             self.members.all().map(|member| (member.host.name.as_str(), member.heard)).collect();
-        let gone = |host: &&Listed| {
+        let gone = |host: &&RegisteredHost| {
             let since = heard.get(host.name.as_str()).copied().unwrap_or(self.started);
-            !runs.contains(host.name.as_str()) && now.since(since.max(self.started)) >= GONE
+            !runs.contains(host.name.as_str()) && now.since(since.max(self.started)) >= REMOVE_AFTER
         };
         let remove = listed.iter().filter(gone).map(|host| host.name.clone()).collect();
-        Edit { put, remove }
+        RegistryEdit { put, remove }
     }
 }
--- a/elmstream_steer/src/leaving.rs
+++ b/elmstream_steer/src/leaving.rs
@@ -19,7 +19,7 @@
 
 /// A start that leaves, as hosts tell it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct LeavingTold {
+pub struct LeavingNotice {
     /// Hash of the start.
     pub start: u64,
     /// Time since it said so, in seconds; rounded up, or what hosts tell each other in
@@ -29,9 +29,9 @@
 
 /// Starts that leave, by their hashes, and when they said so.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Leavings(FxHashMap<u64, Time>);
+pub(crate) struct LeavingServers(FxHashMap<u64, Time>);
 
-impl Leavings {
+impl LeavingServers {
     /// Whether a start is known to leave.
     pub fn knows(&self, start: u64) -> bool {
         self.0.contains_key(&start)
@@ -45,7 +45,7 @@
 
 impl Steer {
     /// Another host told of a start that leaves; the server's id if that is new.
-    pub(crate) fn hear_leaving(&mut self, now: Time, told: LeavingTold) -> Option<String> {
+    pub(crate) fn hear_leaving(&mut self, now: Time, told: LeavingNotice) -> Option<String> {
         let age = u64::from(told.age_s) * SECOND;
         let fresh = age < REMEMBERED;
         fresh.then(|| self.learn_leaving(Time(now.0.saturating_sub(age)), told.start))?
@@ -75,14 +75,14 @@
 
     /// Starts that the other hosts have to know to leave; the store tells of those whose
     /// entries say so.
-    pub(crate) fn leavings_told(&self, now: Time) -> Vec<LeavingTold> {
+    pub(crate) fn leavings_told(&self, now: Time) -> Vec<LeavingNotice> {
         let told = self.servers.all().filter(|(_, entry)| entry.leaving && !entry.server.draining);
         let told = told.filter_map(|(_, entry)| {
             let (start, said) = (entry.start(), self.leavings.0.get(&entry.start())?);
             let age_s = now.since(*said).div_ceil(SECOND) as u16;
-            Some(LeavingTold { start, age_s })
+            Some(LeavingNotice { start, age_s })
         });
-        let mut told: Vec<LeavingTold> = told.collect();
+        let mut told: Vec<LeavingNotice> = told.collect();
         if told.len() > TOLD {
             let begin = self.number as usize * TOLD % told.len();
             told.rotate_left(begin);
--- a/elmstream_steer/src/lib.rs
+++ b/elmstream_steer/src/lib.rs
@@ -2,58 +2,59 @@
 //!
 //! Pure: no I/O, no clock, no threads. Rows of the store, beats of the other
 //! hosts, requests and time come in; choices and messages go out. `view` holds
-//! what the store says, `servers` and `members` hold the entities, and `choose`,
-//! `cold`, `budget`, `quota`, `readers`, `calls`, and `rollout` with `evidence`, `verdict` and
-//! `steps`, are the systems over them. [`Steer`] ties them together for one host.
+//! what the store says, `servers` and `members` hold the entities, and `pick`,
+//! `cold_start`, `budget`, `quota`, `reader_rank`, `store_schedule`, and `rollout` with
+//! `rollout_counts`, `canary_analysis` and `rollout_steps`, are the systems over them. [`Steer`]
+//! ties them together for one host.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
-pub mod beat;
 pub mod budget;
-pub mod calls;
-pub mod choose;
-pub mod cold;
-pub mod demand;
+pub mod canary_analysis;
+pub mod cold_start;
 pub mod digest;
 pub mod era;
-pub mod evidence;
-pub mod harm;
+pub mod gossip;
 pub mod hash;
-pub mod hearing;
-mod kept;
+pub mod heartbeat;
+pub mod host_registry;
 pub mod key;
 pub mod leaving;
-mod limiting;
+mod limit_senders;
 pub mod lookup;
 pub mod members;
 pub mod model;
+pub mod pick;
+pub mod poison;
+mod poison_record;
 pub mod quota;
-pub mod readers;
-pub mod reading;
-pub mod registry;
-mod returning;
-pub mod returns;
-mod rolling;
+pub mod reader_rank;
+pub mod region_shares;
+mod restore;
+pub mod returning_callers;
 pub mod rollout;
+mod rollout_control;
+pub mod rollout_counts;
+pub mod rollout_steps;
 pub mod routes;
 pub mod server;
 pub mod server_limit;
 pub mod servers;
 pub mod settings;
-pub mod start;
+pub mod sliding_window;
+pub mod startup;
 pub mod steer;
-pub mod steps;
-mod suspect;
+pub mod store_reads;
+pub mod store_schedule;
+mod stored_row;
+pub mod table_sync;
 pub mod tally;
-pub mod telling;
-pub mod usage;
-pub mod verdict;
 pub mod version;
 pub mod view;
-pub mod warmth;
+pub mod warm_keys;
 pub mod workspaces;
 
-pub use choose::{Ask, Choice, Refusal};
-pub use rolling::RolloutWrite;
+pub use pick::{Pick, PickRequest, Refusal};
+pub use rollout_control::RolloutWrite;
 pub use settings::{Bounds, Host, Settings};
 pub use steer::Steer;
--- a/elmstream_steer/src/limiting.rs
+++ b/elmstream_steer/src/limit_senders.rs
@@ -7,8 +7,8 @@
 use crate::{
     hash,
     members::Member,
-    server_limit::{self, Candidate, LimitTold, PerSecond},
-    servers::{Entry, Index},
+    server_limit::{self, LimitNotice, RequestRate, SenderCandidate},
+    servers::{ServerEntry, ServerIndex},
     steer::Steer,
 };
 
@@ -20,7 +20,12 @@
 
 impl Steer {
     /// A server named a limit in an answer, or none; whether that is another one than before.
-    pub fn names_limit(&mut self, now: Time, index: Index, limit: Option<PerSecond>) -> bool {
+    pub fn names_limit(
+        &mut self,
+        now: Time,
+        index: ServerIndex,
+        limit: Option<RequestRate>,
+    ) -> bool {
         let Some(entry) = self.servers.get_mut(index) else { return false };
         let new = entry.limited.hear(now, limit);
         if new {
@@ -36,9 +41,9 @@
     }
 
     /// Limits that servers named to this host; in a beat with many, others the next time.
-    pub(crate) fn limits_told(&self, now: Time) -> Vec<LimitTold> {
-        let told = |entry: &Entry| entry.limited.tell(now, entry.hash, entry.start());
-        let mut limits: Vec<LimitTold> =
+    pub(crate) fn limits_told(&self, now: Time) -> Vec<LimitNotice> {
+        let told = |entry: &ServerEntry| entry.limited.tell(now, entry.hash, entry.start());
+        let mut limits: Vec<LimitNotice> =
             self.servers.all().filter_map(|(_, entry)| told(entry)).collect();
         if limits.len() > TOLD {
             let begin = self.number as usize * TOLD % limits.len();
@@ -52,8 +57,8 @@
     pub(crate) fn hear_limits(
         &mut self,
         now: Time,
-        told: &[LimitTold],
-    ) -> Vec<(String, Option<PerSecond>)> {
+        told: &[LimitNotice],
+    ) -> Vec<(String, Option<RequestRate>)> {
         let mut new = Vec::new();
         for told in told {
             let Some(entry) = self.servers.by_hash(told.server) else { continue };
@@ -71,12 +76,12 @@
     /// is due.
     pub(crate) fn pick_limited(&mut self, now: Time) {
         let due = self.servers.all().filter(|(_, entry)| entry.limited.due(now));
-        let due: Vec<(Index, Kind)> = due
+        let due: Vec<(ServerIndex, Kind)> = due
             .map(|(index, entry)| (index, (entry.server.service.clone(), entry.region.clone())))
             .collect();
         let part = self.heard as f64 / self.fleet.max(self.heard).max(1) as f64;
         let own = self.places.first().copied().unwrap_or_default();
-        let mut candidates: HashMap<Kind, Vec<Candidate>> = HashMap::new();
+        let mut candidates: HashMap<Kind, Vec<SenderCandidate>> = HashMap::new();
         for (index, kind) in due {
             let among = candidates.entry(kind);
             let among = among.or_insert_with_key(|kind| self.candidates(now, kind));
@@ -87,7 +92,7 @@
     }
 
     /// Hosts that may send to servers of a kind that named limits.
-    fn candidates(&self, now: Time, (service, region): &Kind) -> Vec<Candidate> {
+    fn candidates(&self, now: Time, (service, region): &Kind) -> Vec<SenderCandidate> {
         let hash = hash::of(service) as u32;
         let asked = |member: &Member| {
             let told = member.demand.iter().find(|(service, _)| *service == hash);
@@ -97,16 +102,16 @@
         let most = self.members.live(now).map(asked).max().unwrap_or(0).max(own);
         let near = |other: &str| other == region;
         let place = self.places.first().copied().unwrap_or_default();
-        let own_weight = server_limit::weight(own, most, near(&self.settings.host.region));
-        let mut candidates = vec![Candidate { place, weight: own_weight }];
-        candidates.extend(self.members.live(now).map(|member| Candidate {
+        let own_weight = server_limit::sender_weight(own, most, near(&self.settings.host.region));
+        let mut candidates = vec![SenderCandidate { place, weight: own_weight }];
+        candidates.extend(self.members.live(now).map(|member| SenderCandidate {
             place: member.place,
-            weight: server_limit::weight(asked(member), most, near(&member.host.region)),
+            weight: server_limit::sender_weight(asked(member), most, near(&member.host.region)),
         }));
         // Of hosts that were only named nothing is known, so as much as possible is left
         // to them until they are heard.
-        let weight = server_limit::weight(most, most, true);
-        candidates.extend(self.members.named().map(|place| Candidate { place, weight }));
+        let weight = server_limit::sender_weight(most, most, true);
+        candidates.extend(self.members.named().map(|place| SenderCandidate { place, weight }));
         candidates
     }
 
--- a/elmstream_steer/src/lookup.rs
+++ b/elmstream_steer/src/lookup.rs
@@ -11,7 +11,7 @@
 
 /// A host that serves callers.
 #[derive(Clone, Debug)]
-pub struct Ready<'a> {
+pub struct ReadyHost<'a> {
     /// Where callers reach it.
     pub callers: SocketAddr,
     /// Failure domain.
@@ -24,13 +24,13 @@
 ///
 /// Hosts of the failure domain if there are enough, else of the region, else of
 /// the regions in `homes`, else all.
-pub fn answer(
-    hosts: &[Ready<'_>],
+pub fn entry_hosts(
+    hosts: &[ReadyHost<'_>],
     domain: &str,
     region: &str,
     homes: &[String],
 ) -> Vec<SocketAddr> {
-    let pick = |keep: &dyn Fn(&Ready<'_>) -> bool| -> Vec<SocketAddr> {
+    let pick = |keep: &dyn Fn(&ReadyHost<'_>) -> bool| -> Vec<SocketAddr> {
         let kept = hosts.iter().filter(|host| keep(host));
         kept.map(|host| host.callers).collect()
     };
--- a/elmstream_steer/src/members.rs
+++ b/elmstream_steer/src/members.rs
@@ -13,24 +13,24 @@
 use rustc_hash::FxHashMap;
 
 use crate::{
-    beat::{Beat, Load, Word},
     hash,
+    heartbeat::{Heartbeat, LivenessUpdate, ServerLoad},
     settings::Host,
 };
 
 /// A host is live for this long after its last beat, if each round reaches it.
-pub const LIVE: u64 = 1_200 * MILLI;
+pub const LIVE_TIMEOUT: u64 = 1_200 * MILLI;
 /// The same if rounds take turns.
 const LIVE_IN_TURNS: u64 = 3_000 * MILLI;
 /// How long the requests that a host told of count.
 const LOADS: u64 = 1_200 * MILLI;
 /// A region of which no host was heard for this long is lost: even in the largest fleet a
 /// host hears some host of each region several times a second.
-pub const REGION_LOST: u64 = 1_200 * MILLI;
+pub const REGION_LOST_TIMEOUT: u64 = 1_200 * MILLI;
 /// Hosts of the own region that a round of beats goes to at most.
-pub const NEAR: usize = 32;
+pub const NEAR_FANOUT: usize = 32;
 /// Hosts of other regions that a round of beats goes to at most, and how often.
-pub const FAR: usize = 24;
+pub const FAR_FANOUT: usize = 24;
 const FAR_EVERY: u64 = 2;
 /// Hosts that one beat says are live at most.
 const WORDS: usize = 24;
@@ -55,7 +55,7 @@
 const TRY: u64 = 15 * SECOND;
 
 /// Time between two beats of a host that knows so many others, in microseconds.
-pub fn pause(hosts: usize) -> u64 {
+pub fn heartbeat_interval(hosts: usize) -> u64 {
     (PAUSE + PAUSE_STEP * (hosts as u64).saturating_sub(SMALL)).min(PAUSE_MAX)
 }
 
@@ -92,7 +92,7 @@
     /// store does not serve it now.
     pub store_ms: Option<u16>,
     /// Its requests in flight by server.
-    pub loads: Vec<Load>,
+    pub loads: Vec<ServerLoad>,
     /// Requests that it took lately, by hash of the service.
     pub demand: Vec<(u32, u32)>,
     /// Hosts that it knows to be running or not to have stopped.
@@ -107,7 +107,7 @@
     by_hash: HashMap<u32, SocketAddr>,
     /// When a host of each region was last heard itself.
     regions: HashMap<String, Time>,
-    tried: BTreeMap<SocketAddr, Tried>,
+    tried: BTreeMap<SocketAddr, UnconfirmedHost>,
     /// Hosts of the own region, and of the others, that beats go to.
     near: usize,
     far: usize,
@@ -118,7 +118,7 @@
 
 /// An address that may be a host's.
 #[derive(Clone, Copy, Debug)]
-struct Tried {
+struct UnconfirmedHost {
     /// Hash of the address.
     place: u64,
     /// Since when it has been tried.
@@ -138,11 +138,11 @@
 
 /// What a beat changed.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct HeartbeatEffect {
     /// The host was not known, or not live.
     pub joined: bool,
     /// Loads that no longer count.
-    pub before: Vec<Load>,
+    pub before: Vec<ServerLoad>,
 }
 
 impl Members {
@@ -154,13 +154,13 @@
     /// An address that may be a host's.
     pub fn suppose(&mut self, now: Time, address: SocketAddr) {
         if !self.members.contains_key(&address) {
-            let new = Tried { place: hash::place(address), since: now, sent: Time(0) };
+            let new = UnconfirmedHost { place: hash::address(address), since: now, sent: Time(0) };
             self.tried.entry(address).or_insert(new);
         }
     }
 
     /// Takes a beat in; none if it is older than what is known.
-    pub fn hear(&mut self, now: Time, beat: &Beat) -> Option<Heard> {
+    pub fn hear(&mut self, now: Time, beat: &Heartbeat) -> Option<HeartbeatEffect> {
         let address = beat.host.peers;
         self.tried.remove(&address);
         let known = self.members.get(&address);
@@ -182,7 +182,7 @@
         let member = Member {
             host: beat.host.clone(),
             hash: hash::of(&beat.host.name),
-            place: known.map_or_else(|| hash::place(address), |known| known.place),
+            place: known.map_or_else(|| hash::address(address), |known| known.place),
             incarnation: beat.incarnation,
             number: beat.number,
             told: now,
@@ -206,12 +206,12 @@
             self.by_hash.insert(member.hash as u32, address);
         }
         let before = self.members.insert(address, member).map(|old| old.loads);
-        Some(Heard { joined, before: before.unwrap_or_default() })
+        Some(HeartbeatEffect { joined, before: before.unwrap_or_default() })
     }
 
     /// Takes in that another host heard of a host; one that is not known, or has
     /// started anew meanwhile, must be heard itself first.
-    pub fn hear_of(&mut self, now: Time, word: &Word) {
+    pub fn hear_of(&mut self, now: Time, word: &LivenessUpdate) {
         let address = self.by_hash.get(&word.host);
         let Some(member) = address.and_then(|address| self.members.get_mut(address)) else {
             return;
@@ -228,15 +228,15 @@
     ///
     /// Only those that told so themselves since the last beat: what is passed on from
     /// hand to hand is old.
-    pub fn words(&mut self, now: Time) -> Vec<Word> {
-        if self.near <= NEAR && self.far <= FAR {
+    pub fn words(&mut self, now: Time) -> Vec<LivenessUpdate> {
+        if self.near <= NEAR_FANOUT && self.far <= FAR_FANOUT {
             return Vec::new();
         }
         let fresh = self.members.values().filter(|member| member.told >= self.worded);
         let fresh: Vec<&Member> = fresh.collect();
         let begin = self.cursor % fresh.len().max(1);
         let turn = fresh.iter().cycle().skip(begin).take(fresh.len().min(WORDS));
-        let words = turn.map(|member| Word {
+        let words = turn.map(|member| LivenessUpdate {
             host: member.hash as u32,
             start: member.incarnation as u32,
             number: member.newest,
@@ -252,10 +252,10 @@
     /// How long hosts of a region are live after they were last heard of.
     fn patience(&self, region: &str) -> u64 {
         let all = match region == self.region {
-            true => self.near <= NEAR,
-            false => self.far <= FAR,
+            true => self.near <= NEAR_FANOUT,
+            false => self.far <= FAR_FANOUT,
         };
-        if all { LIVE } else { LIVE_IN_TURNS }
+        if all { LIVE_TIMEOUT } else { LIVE_IN_TURNS }
     }
 
     /// Drops the loads of silent hosts, and forgets those that are long silent; names
@@ -292,7 +292,7 @@
     /// Hosts that were heard lately in regions that are not lost.
     pub fn heard(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
         let lost = move |region: &str| {
-            self.regions.get(region).is_none_or(|heard| now.since(*heard) >= REGION_LOST)
+            self.regions.get(region).is_none_or(|heard| now.since(*heard) >= REGION_LOST_TIMEOUT)
         };
         self.live(now)
             .filter(move |member| member.host.region == self.region || !lost(&member.host.region))
@@ -364,14 +364,15 @@
         for (address, member) in &self.members {
             if all || now.since(member.heard) < LOST {
                 let list = if member.host.region == self.region { &mut near } else { &mut far };
-                list.push((member.sent, hash::pair(own, member.hash), *address));
+                list.push((member.sent, hash::combine(own, member.hash), *address));
             }
         }
-        let place = |tried: &Tried| hash::pair(own, tried.place);
+        let place = |tried: &UnconfirmedHost| hash::combine(own, tried.place);
         near.extend(self.tried.iter().map(|(a, tried)| (tried.sent, place(tried), *a)));
-        let near = self.pick(now, near, NEAR);
+        let near = self.pick(now, near, NEAR_FANOUT);
         // Each second round goes to the own region only.
-        let far = if round.is_multiple_of(FAR_EVERY) { self.pick(now, far, FAR) } else { vec![] };
+        let far =
+            if round.is_multiple_of(FAR_EVERY) { self.pick(now, far, FAR_FANOUT) } else { vec![] };
         Targets { near, far }
     }
 
--- a/elmstream_steer/src/model.rs
+++ b/elmstream_steer/src/model.rs
@@ -9,7 +9,7 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Repeat {
+pub enum Repeatability {
     /// It may run again after any failure.
     Safe,
     /// It runs at most once.
@@ -19,7 +19,7 @@
 /// A service and its part of a route's requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Part {
+pub struct WeightedService {
     /// Name of the service.
     pub service: String,
     /// Its part, relative to the other parts of the route.
@@ -37,7 +37,7 @@
     /// Beginning of the path; starts and ends with a slash.
     pub prefix: String,
     /// Whether requests may run again.
-    pub repeat: Repeat,
+    pub repeat: Repeatability,
     /// Backend servers that one request is sent to at most.
     pub attempts: u32,
     /// Time in which a request gets its final answer, in milliseconds.
@@ -51,7 +51,7 @@
     /// Regions in which the requests may run; empty for any.
     pub homes: Vec<String>,
     /// Services that the requests are divided among; at least one.
-    pub parts: Vec<Part>,
+    pub parts: Vec<WeightedService>,
     /// Whether requests need no workspace's key.
     #[serde(default)]
     pub open: bool,
--- a/elmstream_steer/src/choose.rs
+++ b/elmstream_steer/src/pick.rs
@@ -1,7 +1,7 @@
 //! Chooses the backend server of a request, or refuses it.
 //!
 //! Requests of one key meet the same server (rendezvous hashing inside a region
-//! that [`crate::demand`] draws by key), so that it knows what they are about.
+//! that [`crate::region_shares`] draws by key), so that it knows what they are about.
 //! Others follow only if it would keep the request waiting too long, and rather
 //! one that knows the key. What is in flight from all hosts tells the wait. A
 //! request that would wait too long everywhere is refused at once.
@@ -9,12 +9,12 @@
 use elmstream::time::{MILLI, Time};
 
 use crate::{
-    demand::Division,
     hash,
-    model::{Repeat, Route},
-    rollout::Arm,
-    servers::{Entry, Index, Pace, ServerTable},
-    warmth::Warmth,
+    model::{Repeatability, Route},
+    region_shares::RegionShares,
+    rollout::RolloutArm,
+    servers::{AnswerTimes, ServerEntry, ServerIndex, ServerTable},
+    warm_keys::WarmKeys,
 };
 
 /// Cost of another region, in milliseconds of answer time.
@@ -62,7 +62,7 @@
 
 /// A request that wants a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct PickRequest<'a> {
     /// Its route.
     pub route: &'a Route,
     /// The service it goes to.
@@ -70,14 +70,14 @@
     /// Hash of its affinity key, or of its id if it has none.
     pub key: u64,
     /// Servers that it was sent to before.
-    pub tried: &'a [Index],
+    pub tried: &'a [ServerIndex],
     /// Whether its caller has most likely been refused before.
     pub returning: bool,
     /// Regions in which its workspace's requests may run; empty for any.
     pub homes: &'a [String],
 }
 
-impl Ask<'_> {
+impl PickRequest<'_> {
     /// Whether the request may run in a region: the homes of its route and of its workspace
     /// both bind.
     fn at_home(&self, region: &str) -> bool {
@@ -88,9 +88,9 @@
 
 /// Where a request goes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Choice {
+pub enum Pick {
     /// To this server.
-    Send(Index),
+    Send(ServerIndex),
     /// Nowhere now.
     Refuse(Refusal),
 }
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
     /// The reason.
-    pub reason: Reason,
+    pub reason: RefusalReason,
     /// When to come back, in milliseconds.
     pub retry_ms: u64,
     /// Servers that were considered.
@@ -114,14 +114,14 @@
 
 impl Refusal {
     /// A refusal for which no server was considered.
-    pub fn of(reason: Reason, retry_ms: u64) -> Refusal {
+    pub fn of(reason: RefusalReason, retry_ms: u64) -> Refusal {
         Refusal { reason, retry_ms, servers: 0, free: 0, load: 0, spared: 0 }
     }
 }
 
 /// Reasons of a refusal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
+pub enum RefusalReason {
     /// No server of the service may take it.
     NoServer,
     /// Each of them asked for rest, or named a limit of which this host's part is used up.
@@ -136,11 +136,11 @@
 
 /// What a choice rests on beside the request.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene<'a> {
+pub struct PickContext<'a> {
     /// Now.
     pub now: Time,
     /// Which servers it may go to as its service is rolled out.
-    pub arm: Arm,
+    pub arm: RolloutArm,
     /// When this host started.
     pub started: Time,
     /// Failure domain and region of this host.
@@ -154,16 +154,16 @@
     /// Whether this host knows where the others are.
     pub hosts_known: bool,
     /// How the regions divide the requests of the service.
-    pub division: &'a Division,
+    pub division: &'a RegionShares,
     /// Which servers know which keys.
-    pub warmth: &'a Warmth,
+    pub warmth: &'a WarmKeys,
 }
 
 /// A server that may take the request.
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
-    index: Index,
-    entry: &'a Entry,
+    index: ServerIndex,
+    entry: &'a ServerEntry,
     /// Place of its region in the key's order.
     place: usize,
     weight: u64,
@@ -237,14 +237,14 @@
 }
 
 /// Chooses a server.
-pub fn choose(scene: &Scene<'_>, ask: &Ask<'_>) -> Choice {
+pub fn pick_server(scene: &PickContext<'_>, ask: &PickRequest<'_>) -> Pick {
     let pace = scene.servers.pace(ask.service);
     let field = field(scene, ask, pace);
     if field.count == 0 {
-        return Choice::Refuse(none(scene.now, &field));
+        return Pick::Refuse(none(scene.now, &field));
     }
     let load = field.load();
-    let mut best: Option<(f64, Index)> = None;
+    let mut best: Option<(f64, ServerIndex)> = None;
     let mut least_wait = f64::MAX;
     let mut step = 0.0;
     for candidate in field.ranks.iter().flatten() {
@@ -267,13 +267,13 @@
     }
     let spill = field.emptiest.filter(|_| load < SPILL_MAX).map(|candidate| candidate.index);
     match best.map(|(_, index)| index).or(spill) {
-        Some(index) => Choice::Send(index),
-        None => Choice::Refuse(Refusal {
+        Some(index) => Pick::Send(index),
+        None => Pick::Refuse(Refusal {
             servers: field.count,
             free: field.free,
             load: (load * 100.0) as u32,
             spared: field.spared,
-            ..Refusal::of(Reason::Full, retry_ms(least_wait))
+            ..Refusal::of(RefusalReason::Full, retry_ms(least_wait))
         }),
     }
 }
@@ -281,15 +281,15 @@
 /// The refusal of a request that no server may take.
 fn none(now: Time, field: &Field<'_>) -> Refusal {
     if field.spared == 0 {
-        return Refusal::of(Reason::NoServer, NO_SERVER_RETRY_MS);
+        return Refusal::of(RefusalReason::NoServer, NO_SERVER_RETRY_MS);
     }
     let until = field.spared_until.map(|until| until.since(now) / MILLI);
     let retry = until.map_or(NO_SERVER_RETRY_MS, |until| until.clamp(SPARED_MIN_MS, SPARED_MAX_MS));
-    Refusal { spared: field.spared, ..Refusal::of(Reason::Spared, retry) }
+    Refusal { spared: field.spared, ..Refusal::of(RefusalReason::Spared, retry) }
 }
 
 /// Servers that may take the request.
-fn field<'a>(scene: &Scene<'a>, ask: &Ask<'_>, pace: Pace) -> Field<'a> {
+fn field<'a>(scene: &PickContext<'a>, ask: &PickRequest<'_>, pace: AnswerTimes) -> Field<'a> {
     let order = scene.division.order(scene.place.1, ask.key);
     let mut field = Field::new(order.len() + 1);
     let mut silent: Vec<Candidate<'a>> = Vec::new();
@@ -306,7 +306,7 @@
             continue;
         }
         let place = order.iter().position(|name| *name == entry.region).unwrap_or(order.len());
-        let weight = hash::pair(entry.hash, ask.key);
+        let weight = hash::combine(entry.hash, ask.key);
         let occupied = entry.occupied(scene.now);
         let candidate = Candidate { index, entry, place, weight, occupied };
         if entry.shunned(scene.now, pace, scene.hosts) {
@@ -319,8 +319,9 @@
     // most are silent, the fault is more likely on this host's side.
     let apart = TRIAL * scene.hosts as u64;
     let all = silent.len() > field.count as usize;
-    let may =
-        |c: &Candidate<'_>| ask.route.repeat == Repeat::Safe && c.entry.trial_due(scene.now, apart);
+    let may = |c: &Candidate<'_>| {
+        ask.route.repeat == Repeatability::Safe && c.entry.trial_due(scene.now, apart)
+    };
     for candidate in silent.into_iter().filter(|c| all || may(c)) {
         field.add(candidate);
     }
@@ -328,11 +329,16 @@
 }
 
 /// Whether the server may get the request at all.
-fn allowed(scene: &Scene<'_>, ask: &Ask<'_>, index: Index, entry: &Entry) -> bool {
+fn allowed(
+    scene: &PickContext<'_>,
+    ask: &PickRequest<'_>,
+    index: ServerIndex,
+    entry: &ServerEntry,
+) -> bool {
     ask.at_home(&entry.region)
         && !entry.departs()
         && scene.arm.takes(entry.standing)
-        && (scene.arm != Arm::Canary || entry.occupied(scene.now) < entry.server.slots)
+        && (scene.arm != RolloutArm::Canary || entry.occupied(scene.now) < entry.server.slots)
         && !scene.evacuated.contains(&entry.server.domain)
         && !ask.tried.contains(&index)
         && entry.reachable(scene.now)
@@ -340,26 +346,26 @@
 }
 
 /// Whether the bound on cold servers lets this host send there now.
-fn cold_allows(scene: &Scene<'_>, entry: &Entry) -> bool {
-    let due = scene.now >= crate::cold::next(scene.started, entry.cold_sent);
+fn cold_allows(scene: &PickContext<'_>, entry: &ServerEntry) -> bool {
+    let due = scene.now >= crate::cold_start::next_send(scene.started, entry.cold_sent);
     !entry.cold(scene.now) || (entry.cold_sender && scene.hosts_known && due)
 }
 
 /// Whether the limit that a server named lets this host send there now.
-fn limit_allows(scene: &Scene<'_>, entry: &Entry) -> bool {
+fn limit_allows(scene: &PickContext<'_>, entry: &ServerEntry) -> bool {
     let limited = &entry.limited;
     limited.limit().is_none() || (scene.hosts_known && limited.allows(scene.now))
 }
 
 /// Time until a slot is free, in milliseconds.
-fn wait_ms(now: Time, candidate: &Candidate<'_>, pace: Pace) -> f64 {
+fn wait_ms(now: Time, candidate: &Candidate<'_>, pace: AnswerTimes) -> f64 {
     let slots = candidate.entry.server.slots.max(1);
     let ahead = (candidate.occupied + 1).saturating_sub(slots);
     ahead as f64 * pace.mean_ms * candidate.entry.slowness(now).max(1.0) / slots as f64
 }
 
 /// Answer time without the wait, and what the place costs, in milliseconds.
-fn cost_ms(scene: &Scene<'_>, entry: &Entry, pace: Pace, knows: bool) -> f64 {
+fn cost_ms(scene: &PickContext<'_>, entry: &ServerEntry, pace: AnswerTimes, knows: bool) -> f64 {
     let away = if entry.region == scene.place.1 { 0.0 } else { AWAY_MS };
     let work = if knows { pace.knowing_ms } else { pace.unknowing_ms };
     let failing = 1.0 + FAILING * entry.failing(scene.now);
@@ -369,10 +375,10 @@
 
 /// Whether a cold server would most likely not answer before the route's time-out.
 fn hopeless(
-    scene: &Scene<'_>,
+    scene: &PickContext<'_>,
     route: &Route,
-    entry: &Entry,
-    pace: Pace,
+    entry: &ServerEntry,
+    pace: AnswerTimes,
     knows: bool,
     wait: f64,
 ) -> bool {
@@ -392,7 +398,12 @@
 }
 
 /// The longest wait that a request of the route is sent into, in milliseconds.
-fn patience_ms(scene: &Scene<'_>, ask: &Ask<'_>, entry: &Entry, pace: Pace) -> f64 {
+fn patience_ms(
+    scene: &PickContext<'_>,
+    ask: &PickRequest<'_>,
+    entry: &ServerEntry,
+    pace: AnswerTimes,
+) -> f64 {
     let objective = ask.route.objective_ms as f64;
     let part = if ask.returning { RETURN_PART } else { AIM_PART };
     let away = if entry.region == scene.place.1 { 0.0 } else { AWAY_MS };
--- a/elmstream_steer/src/harm.rs
+++ b/elmstream_steer/src/poison.rs
@@ -14,10 +14,10 @@
 
 use elmstream::time::{SECOND, Time};
 
-pub use crate::suspect::{Ending, Harm};
+pub use crate::poison_record::{PoisonEvidence, ServerCrash};
 use crate::{
     digest::RequestDigest,
-    suspect::{Mark, Suspect, word, words},
+    poison_record::{CrashRecord, Suspect, crash_report, crash_reports},
 };
 
 /// Endings that are kept of one request; those that are void go first.
@@ -49,29 +49,29 @@
 
 /// What a change came to, for lines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
+pub enum PoisonChange {
     /// Nothing that is to be told at once.
     None,
     /// The count has grown to where it matters.
     Grown,
     /// The request is refused from now on.
-    Refused(Harm),
+    Refused(PoisonEvidence),
 }
 
 /// A refused request that is to be listed in the store.
 #[derive(Clone, Debug)]
-pub struct ToList {
+pub struct PendingListing {
     /// The request.
     pub digest: RequestDigest,
     /// Ends of servers under it.
-    pub endings: Vec<Ending>,
+    pub endings: Vec<ServerCrash>,
     /// Whether it is this host's to list it; else only if nobody has.
     pub first: bool,
 }
 
 /// What one host knows of such requests.
 #[derive(Clone, Debug, Default)]
-pub struct Harms {
+pub struct PoisonTracker {
     suspects: HashMap<RequestDigest, Suspect>,
     /// Starts of servers that have ended, and when this host learned of it.
     ended: HashMap<u64, Time>,
@@ -79,7 +79,7 @@
     news: Option<Time>,
 }
 
-impl Harms {
+impl PoisonTracker {
     /// Whether no server has ended under any request, so that no digest is needed.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
@@ -101,7 +101,7 @@
     }
 
     /// Why a request is refused; none if it is not.
-    pub fn refuses(&self, digest: &RequestDigest) -> Option<Harm> {
+    pub fn refuses(&self, digest: &RequestDigest) -> Option<PoisonEvidence> {
         let suspect = self.suspects.get(digest)?;
         suspect.refused().then(|| suspect.harm())
     }
@@ -115,19 +115,19 @@
         digest: RequestDigest,
         server: u64,
         known: u8,
-    ) -> Turn {
+    ) -> PoisonChange {
         let generation = known.saturating_add(1);
-        let ending = Ending { digest, server, generation, at_s: unix_s, void: false };
+        let ending = ServerCrash { digest, server, generation, at_s: unix_s, void: false };
         let turn = self.hear(now, &ending);
         if let Some(suspect) = self.suspects.get_mut(&digest) {
             suspect.own = true;
-            suspect.decided |= matches!(turn, Turn::Refused(_));
+            suspect.decided |= matches!(turn, PoisonChange::Refused(_));
         }
         turn
     }
 
     /// Takes in an ending that another host tells of.
-    pub fn hear(&mut self, now: Time, ending: &Ending) -> Turn {
+    pub fn hear(&mut self, now: Time, ending: &ServerCrash) -> PoisonChange {
         if !self.suspects.contains_key(&ending.digest) {
             self.make_room();
         }
@@ -152,19 +152,19 @@
             }
             None if full => {}
             None => {
-                let Ending { generation, at_s, void, .. } = *ending;
+                let ServerCrash { generation, at_s, void, .. } = *ending;
                 let void = void || cleared;
-                let mark = Mark { generation, at_s, void, learned: now, told: Time(0) };
+                let mark = CrashRecord { generation, at_s, void, learned: now, told: Time(0) };
                 suspect.endings.insert(ending.server, mark);
             }
         }
         match suspect.refused() {
             true if !was_refused => {
                 suspect.refused_at = Some(now);
-                Turn::Refused(suspect.harm())
+                PoisonChange::Refused(suspect.harm())
             }
-            false if suspect.generation() > before.max(1) => Turn::Grown,
-            _ => Turn::None,
+            false if suspect.generation() > before.max(1) => PoisonChange::Grown,
+            _ => PoisonChange::None,
         }
     }
 
@@ -179,7 +179,7 @@
 
     /// Endings that the next beat tells: those of refused requests first, and of these
     /// the ones that were told longest ago.
-    pub fn tell(&mut self, now: Time) -> Vec<Ending> {
+    pub fn tell(&mut self, now: Time) -> Vec<ServerCrash> {
         // Beats are many, and mostly there is nothing to tell.
         if self.news.is_none_or(|at| now.since(at) >= TELL) {
             return Vec::new();
@@ -195,7 +195,7 @@
         let told = due.into_iter().filter_map(|(_, _, digest, server)| {
             let mark = self.suspects.get_mut(&digest)?.endings.get_mut(&server)?;
             mark.told = now;
-            Some(word(digest, server, mark))
+            Some(crash_report(digest, server, mark))
         });
         told.collect()
     }
@@ -209,9 +209,9 @@
     }
 
     /// All endings that are known of refused requests, for a host that starts.
-    pub fn all(&self) -> Vec<Ending> {
+    pub fn all(&self) -> Vec<ServerCrash> {
         let refused = self.suspects.iter().filter(|(_, suspect)| suspect.refused());
-        refused.flat_map(|(digest, suspect)| words(*digest, suspect)).collect()
+        refused.flat_map(|(digest, suspect)| crash_reports(*digest, suspect)).collect()
     }
 
     /// Refused requests that this host has to write down in the store, as it saw an ending
@@ -219,23 +219,25 @@
     ///
     /// The host that saw the last one does it at once. The others look some time later
     /// whether it did: one that wrote as well could undo an operator's lift.
-    pub fn to_list(&self, now: Time) -> Vec<ToList> {
+    pub fn to_list(&self, now: Time) -> Vec<PendingListing> {
         let mut due = Vec::new();
         for (digest, suspect) in &self.suspects {
             let since = suspect.refused_at.map_or(0, |at| now.since(at));
             let turn = suspect.decided || suspect.own && since >= LIST_LATER;
             if turn && !suspect.listed && suspect.refused() {
-                let endings = words(*digest, suspect).collect();
-                due.push(ToList { digest: *digest, endings, first: suspect.decided });
+                let endings = crash_reports(*digest, suspect).collect();
+                due.push(PendingListing { digest: *digest, endings, first: suspect.decided });
             }
         }
         due
     }
 
     /// All requests that are refused, with the ends of servers that decided it.
-    pub fn all_refused(&self) -> Vec<(RequestDigest, Vec<Ending>)> {
+    pub fn all_refused(&self) -> Vec<(RequestDigest, Vec<ServerCrash>)> {
         let refused = self.suspects.iter().filter(|(_, suspect)| suspect.refused());
-        refused.map(|(digest, suspect)| (*digest, words(*digest, suspect).collect())).collect()
+        refused
+            .map(|(digest, suspect)| (*digest, crash_reports(*digest, suspect).collect()))
+            .collect()
     }
 
     /// Whether a request was refused, or suspected, and is cleared: by a whole answer, or by an
@@ -299,7 +301,7 @@
 
 /// Whether a listed request is no longer refused for what has ended under it. One without
 /// ends was let in again by an operator, whose it is to take that off the list.
-pub fn outdated(endings: &[Ending], unix_s: u64) -> bool {
+pub fn listing_expired(endings: &[ServerCrash], unix_s: u64) -> bool {
     let last = endings.iter().map(|ending| ending.at_s).max();
     last.is_some_and(|last| unix_s.saturating_sub(last) >= REFUSE_S)
 }
--- a/elmstream_steer/src/suspect.rs
+++ b/elmstream_steer/src/poison_record.rs
@@ -17,7 +17,7 @@
 
 /// The end of a server under a request, as hosts tell it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ending {
+pub struct ServerCrash {
     /// The request.
     pub digest: RequestDigest,
     /// Hash of the server's start.
@@ -32,7 +32,7 @@
 
 /// Why a request is refused, for lines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Harm {
+pub struct PoisonEvidence {
     /// Servers that have ended under it.
     pub servers: usize,
     /// Generations of their endings.
@@ -45,7 +45,7 @@
 
 /// An ending as it is kept.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Mark {
+pub(crate) struct CrashRecord {
     /// One more than the generations that were known when the request was sent.
     pub generation: u8,
     /// When it was seen, in seconds of the teller's time of day.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspect {
     /// Ends of servers, by the hashes of their starts.
-    pub endings: BTreeMap<u64, Mark>,
+    pub endings: BTreeMap<u64, CrashRecord>,
     /// Whether this host saw an ending itself.
     pub own: bool,
     /// Whether it saw the one for which the request is refused.
@@ -77,7 +77,7 @@
 
 impl Suspect {
     /// Endings that count.
-    pub fn counted(&self) -> impl Iterator<Item = &Mark> {
+    pub fn counted(&self) -> impl Iterator<Item = &CrashRecord> {
         self.endings.values().filter(|mark| !mark.void)
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// Why it is refused, for lines.
-    pub fn harm(&self) -> Harm {
-        Harm {
+    pub fn harm(&self) -> PoisonEvidence {
+        PoisonEvidence {
             servers: self.counted().count(),
             generations: self.generation(),
             last_s: self.last_s(),
@@ -128,12 +128,15 @@
 }
 
 /// All endings of a request, as hosts tell them.
-pub(crate) fn words(digest: RequestDigest, suspect: &Suspect) -> impl Iterator<Item = Ending> {
-    suspect.endings.iter().map(move |(server, mark)| word(digest, *server, mark))
+pub(crate) fn crash_reports(
+    digest: RequestDigest,
+    suspect: &Suspect,
+) -> impl Iterator<Item = ServerCrash> {
+    suspect.endings.iter().map(move |(server, mark)| crash_report(digest, *server, mark))
 }
 
 /// An ending as hosts tell it.
-pub(crate) fn word(digest: RequestDigest, server: u64, mark: &Mark) -> Ending {
-    let Mark { generation, at_s, void, .. } = *mark;
-    Ending { digest, server, generation, at_s, void }
+pub(crate) fn crash_report(digest: RequestDigest, server: u64, mark: &CrashRecord) -> ServerCrash {
+    let CrashRecord { generation, at_s, void, .. } = *mark;
+    ServerCrash { digest, server, generation, at_s, void }
 }
--- a/elmstream_steer/src/quota.rs
+++ b/elmstream_steer/src/quota.rs
@@ -11,14 +11,17 @@
 use crate::{
     hash,
     settings::Bounds,
-    tally::{self, Heard, Part, Report, Spread, Tally, Told, Use, Verdict},
-    usage::Usage,
-    workspaces::{Member, WorkspaceTable},
+    sliding_window::SlidingWindow,
+    tally::{
+        self, AdmitFraction, BroadcastFraction, FleetView, FractionBroadcast, Tally, UsageReply,
+        UsageReport, WorkspaceUsage,
+    },
+    workspaces::{WorkspaceEntry, WorkspaceTable},
 };
 
 /// Hosts that sum up what one workspace asks: one more than is needed, so that the sum
 /// outlives any one of them and whatever two hosts disagree on.
-pub const TALLIES: usize = 2;
+pub const TALLY_REPLICAS: usize = 2;
 /// Time without an answer after which a report is sent again, to the next hosts in rank.
 const ASK_AGAIN: u64 = 200 * MILLI;
 /// Reports in a row without an answer after which the host goes by its own part. By then
@@ -47,13 +50,13 @@
 
 /// What the rulings rest on beside the workspace.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene<'a> {
+pub struct QuotaContext<'a> {
     /// Now.
     pub now: Time,
     /// Bounds of the fleet.
     pub bounds: &'a Bounds,
     /// Hosts that are known and heard.
-    pub heard: Heard,
+    pub heard: FleetView,
     /// Whether this host knows where the others are.
     pub hosts_known: bool,
     /// Hashes of the addresses of hosts that may be running, with this one's first.
@@ -62,7 +65,7 @@
 
 /// Whether a request is within its workspace's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ruling {
+pub enum QuotaDecision {
     /// It is, and counts.
     Within,
     /// It is not.
@@ -76,25 +79,25 @@
 
 /// A report, and the hash of the address of the host that it is for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Addressed {
+pub struct AddressedReport {
     /// Whom it is for.
     pub place: u64,
     /// The report.
-    pub report: Report,
+    pub report: UsageReport,
 }
 
 /// Parts for all hosts, and the hash of the address of the host that they go to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spreading {
+pub struct AddressedBroadcast {
     /// Whom they go to.
     pub place: u64,
     /// The parts.
-    pub spread: Spread,
+    pub spread: FractionBroadcast,
 }
 
 /// A part as it was given.
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct Grant {
     /// Hash of the address of the host that worked it out, cut to 32 bits.
     place: u32,
     part: f64,
@@ -105,10 +108,10 @@
 
 /// What one workspace asked and used at this host.
 #[derive(Clone, Debug, Default)]
-struct Own {
+struct LocalUsage {
     asked: u32,
     let_through: u32,
-    used: Usage,
+    used: SlidingWindow,
     /// The limit that `used` was counted under.
     limit: f64,
     /// `asked` of the last report.
@@ -117,7 +120,7 @@
     unanswered: Option<Time>,
     /// Reports in a row that nobody answered.
     vain: u8,
-    given: Vec<Given>,
+    given: Vec<Grant>,
     last: Time,
 }
 
@@ -128,10 +131,10 @@
     seed: u64,
     started: Time,
     draws: u64,
-    own: FxHashMap<u64, Own>,
+    own: FxHashMap<u64, LocalUsage>,
     tallies: FxHashMap<u64, Tally>,
     /// Parts that all hosts were told.
-    heard: FxHashMap<u64, Vec<Given>>,
+    heard: FxHashMap<u64, Vec<Grant>>,
     /// When this host last told all.
     told: Time,
     /// A workspace has become pressing since.
@@ -154,13 +157,13 @@
     }
 
     /// Rules on a request, and counts it.
-    pub fn rule(&mut self, scene: &Scene<'_>, member: &Member) -> Ruling {
+    pub fn rule(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) -> QuotaDecision {
         let workspace = &member.workspace;
         if workspace.rate_per_s <= 0.0 {
-            return Ruling::Within;
+            return QuotaDecision::Within;
         }
         if !scene.hosts_known {
-            return Ruling::Unready;
+            return QuotaDecision::Unready;
         }
         let (now, window) = (scene.now, tally::window(scene.bounds));
         let own = self.own.entry(member.id).or_default();
@@ -170,7 +173,7 @@
         let part = match latest(own.given(now), told(&self.heard, now, member.id)) {
             Some(given) => given.part,
             None if own.vain >= UNANSWERED || scene.heard.alone() => {
-                let allowed = own_part(self.seed, scene, member);
+                let allowed = local_share(self.seed, scene, member);
                 if own.used.sum(now, window) < allowed { 1.0 } else { 0.0 }
             }
             None => 1.0,
@@ -179,40 +182,44 @@
         // Between two reports nobody else sees what one host alone lets through.
         let whole = tally::allowance(scene.bounds, workspace);
         let room = f64::from(own.used.sum(now, window)) < whole;
-        if room && hash::unit(hash::pair(self.seed, self.draws)) < part {
+        if room && hash::unit_interval(hash::combine(self.seed, self.draws)) < part {
             own.count(now, window, 1);
-            return Ruling::Within;
+            return QuotaDecision::Within;
         }
         let window_ms = (window / MILLI) as f64;
         let retry = (RETRY_MIN_MS / part.max(f64::MIN_POSITIVE)).min(window_ms / 2.0);
-        Ruling::Over { retry_ms: retry as u64 }
+        QuotaDecision::Over { retry_ms: retry as u64 }
     }
 
     /// A request that was let through is sent to one more server.
-    pub fn sent_again(&mut self, scene: &Scene<'_>, member: &Member) {
+    pub fn sent_again(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
         if let Some(own) = self.own.get_mut(&member.id) {
             own.count(scene.now, tally::window(scene.bounds), 1);
         }
     }
 
     /// A request that was let through was run by no server.
-    pub fn not_run(&mut self, scene: &Scene<'_>, member: &Member) {
+    pub fn not_run(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
         if let Some(own) = self.own.get_mut(&member.id) {
             own.count(scene.now, tally::window(scene.bounds), -1);
         }
     }
 
     /// Reports that are due; called each 100 ms.
-    pub fn reports(&mut self, scene: &Scene<'_>, table: &WorkspaceTable) -> Vec<Addressed> {
+    pub fn reports(
+        &mut self,
+        scene: &QuotaContext<'_>,
+        table: &WorkspaceTable,
+    ) -> Vec<AddressedReport> {
         let now = scene.now;
         let window = tally::window(scene.bounds);
         self.forget(now);
-        let mut by_place: FxHashMap<(u64, bool), Vec<Use>> = FxHashMap::default();
+        let mut by_place: FxHashMap<(u64, bool), Vec<WorkspaceUsage>> = FxHashMap::default();
         for (id, own) in &mut self.own {
             let Some(again) = own.due(now) else { continue };
             let used = own.used.sum(now, window);
             let (asked, let_through) = (own.asked, own.let_through);
-            let told = Use { workspace: *id, asked, let_through, used };
+            let told = WorkspaceUsage { workspace: *id, asked, let_through, used };
             own.reported = own.asked;
             own.unanswered.get_or_insert(now);
             for place in ranked(scene.places, *id, again) {
@@ -221,9 +228,9 @@
         }
         let reader = self.seed;
         let reports = by_place.iter().flat_map(|((place, in_vain), uses)| {
-            uses.chunks(ENTRIES).map(|uses| Addressed {
+            uses.chunks(ENTRIES).map(|uses| AddressedReport {
                 place: *place,
-                report: Report { reader, uses: uses.to_vec(), in_vain: *in_vain },
+                report: UsageReport { reader, uses: uses.to_vec(), in_vain: *in_vain },
             })
         });
         let (own, others): (Vec<_>, Vec<_>) =
@@ -238,10 +245,10 @@
     /// Takes in a host's report; the answer to it.
     pub fn sum_up(
         &mut self,
-        scene: &Scene<'_>,
+        scene: &QuotaContext<'_>,
         table: &WorkspaceTable,
-        report: &Report,
-    ) -> Verdict {
+        report: &UsageReport,
+    ) -> UsageReply {
         let mut parts = Vec::new();
         for told in &report.uses {
             let Some(member) = table.get(told.workspace) else { continue };
@@ -251,24 +258,24 @@
             let age = scene.now.since(self.started);
             let part = tally.part(scene.now, scene.bounds, &member.workspace, scene.heard, age);
             self.urgent |= !pressed && tally.told(scene.now).is_some();
-            parts.push(Part::new(told.workspace, part));
+            parts.push(AdmitFraction::new(told.workspace, part));
         }
         let place = scene.places.first().copied().unwrap_or_default();
-        Verdict { place, parts }
+        UsageReply { place, parts }
     }
 
     /// Takes in the answer to a report.
-    pub fn judged(&mut self, now: Time, verdict: &Verdict) {
+    pub fn judged(&mut self, now: Time, verdict: &UsageReply) {
         for part in &verdict.parts {
             if let Some(own) = self.own.get_mut(&part.workspace) {
                 let place = verdict.place as u32;
-                own.answered(Given { place, part: part.value(), stamp: 0, at: now });
+                own.answered(Grant { place, part: part.value(), stamp: 0, at: now });
             }
         }
     }
 
     /// What all hosts have to know now, and whom this host tells.
-    pub fn tell(&mut self, scene: &Scene<'_>) -> Vec<Spreading> {
+    pub fn tell(&mut self, scene: &QuotaContext<'_>) -> Vec<AddressedBroadcast> {
         let now = scene.now;
         if !self.urgent && now.since(self.told) < TELL_EVERY {
             return Vec::new();
@@ -277,9 +284,13 @@
         let parts = self.tallies.iter().filter_map(|(id, tally)| {
             let (part, at) = tally.told(now)?;
             let stamp = (at.0 / MILLI) as u32;
-            Some(Told { part: Part::new(*id, part), place: own as u32, stamp })
+            Some(BroadcastFraction {
+                part: AdmitFraction::new(*id, part),
+                place: own as u32,
+                stamp,
+            })
         });
-        let parts: Vec<Told> = parts.collect();
+        let parts: Vec<BroadcastFraction> = parts.collect();
         self.urgent = false;
         self.told = now;
         self.hear(now, &parts);
@@ -287,30 +298,34 @@
             return Vec::new();
         }
         self.draws += 1;
-        let addressed = arcs(scene.places, hash::pair(self.seed, self.draws)).into_iter();
+        let addressed = arcs(scene.places, hash::combine(self.seed, self.draws)).into_iter();
         addressed
             .flat_map(|(place, arc)| {
                 let chunks = parts.chunks(ENTRIES);
-                chunks.map(move |parts| Spreading {
+                chunks.map(move |parts| AddressedBroadcast {
                     place,
-                    spread: Spread { parts: parts.to_vec(), arc },
+                    spread: FractionBroadcast { parts: parts.to_vec(), arc },
                 })
             })
             .collect()
     }
 
     /// Takes in what all hosts are told, and whom this host passes it on to.
-    pub fn pass_on(&mut self, scene: &Scene<'_>, spread: &Spread) -> Vec<Spreading> {
+    pub fn pass_on(
+        &mut self,
+        scene: &QuotaContext<'_>,
+        spread: &FractionBroadcast,
+    ) -> Vec<AddressedBroadcast> {
         self.hear(scene.now, &spread.parts);
         let (begin, end) = spread.arc;
         let inside = scene.places.iter().skip(1).filter(|place| (begin..end).contains(place));
-        let passed = Spread { parts: spread.parts.clone(), arc: (0, 0) };
-        inside.map(|place| Spreading { place: *place, spread: passed.clone() }).collect()
+        let passed = FractionBroadcast { parts: spread.parts.clone(), arc: (0, 0) };
+        inside.map(|place| AddressedBroadcast { place: *place, spread: passed.clone() }).collect()
     }
 
-    fn hear(&mut self, now: Time, parts: &[Told]) {
-        for Told { part, place, stamp } in parts {
-            let new = Given { place: *place, part: part.value(), stamp: *stamp, at: now };
+    fn hear(&mut self, now: Time, parts: &[BroadcastFraction]) {
+        for BroadcastFraction { part, place, stamp } in parts {
+            let new = Grant { place: *place, part: part.value(), stamp: *stamp, at: now };
             let known = self.heard.entry(part.workspace).or_default();
             known.retain(|given| now.since(given.at) < HOLD);
             match known.iter_mut().find(|given| given.place == new.place) {
@@ -355,7 +370,7 @@
     }
 }
 
-impl Own {
+impl LocalUsage {
     /// Requests are let through, or were not run after all.
     fn count(&mut self, now: Time, window: u64, by: i32) {
         self.let_through = self.let_through.wrapping_add_signed(by);
@@ -382,7 +397,7 @@
         (self.reported != self.asked).then_some(self.vain)
     }
 
-    fn answered(&mut self, given: Given) {
+    fn answered(&mut self, given: Grant) {
         self.unanswered = None;
         self.vain = 0;
         self.given.retain(|old| old.place != given.place && given.at.since(old.at) < FRESH);
@@ -390,7 +405,7 @@
     }
 
     /// The least part that was given lately.
-    fn given(&self, now: Time) -> Option<Given> {
+    fn given(&self, now: Time) -> Option<Grant> {
         least(self.given.iter().filter(|given| now.since(given.at) < FRESH))
     }
 }
@@ -399,25 +414,25 @@
 ///
 /// Where that is not a whole number the host draws whether it has one more, so that all
 /// hosts together have as many as they may have. They would have one each otherwise.
-pub fn own_part(seed: u64, scene: &Scene<'_>, member: &Member) -> u32 {
+pub fn local_share(seed: u64, scene: &QuotaContext<'_>, member: &WorkspaceEntry) -> u32 {
     let hosts = scene.heard.known.max(1) as f64;
     let share = tally::limit(scene.bounds, &member.workspace) / hosts;
     let epoch = scene.now.0 / DRAW_EVERY;
-    let draw = hash::unit(hash::pair(hash::pair(seed, member.id), epoch));
+    let draw = hash::unit_interval(hash::combine(hash::combine(seed, member.id), epoch));
     (share + draw) as u32
 }
 
 /// The least part that all hosts were told lately.
-fn told(heard: &FxHashMap<u64, Vec<Given>>, now: Time, id: u64) -> Option<Given> {
+fn told(heard: &FxHashMap<u64, Vec<Grant>>, now: Time, id: u64) -> Option<Grant> {
     least(heard.get(&id)?.iter().filter(|given| now.since(given.at) < HOLD))
 }
 
-fn least<'a>(given: impl Iterator<Item = &'a Given>) -> Option<Given> {
+fn least<'a>(given: impl Iterator<Item = &'a Grant>) -> Option<Grant> {
     given.copied().min_by(|one, other| one.part.total_cmp(&other.part))
 }
 
 /// The one that came last.
-fn latest(one: Option<Given>, other: Option<Given>) -> Option<Given> {
+fn latest(one: Option<Grant>, other: Option<Grant>) -> Option<Grant> {
     one.into_iter().chain(other).max_by_key(|given| given.at)
 }
 
@@ -439,7 +454,7 @@
     let mut first: Vec<Option<u64>> = vec![None; count as usize + 1];
     for place in others {
         let best = &mut first[(place / width) as usize];
-        if best.is_none_or(|known| hash::pair(*place, draw) > hash::pair(known, draw)) {
+        if best.is_none_or(|known| hash::combine(*place, draw) > hash::combine(known, draw)) {
             *best = Some(*place);
         }
     }
@@ -452,15 +467,15 @@
 fn ranked(places: &[u64], id: u64, again: u8) -> Vec<u64> {
     // Whoever has asked in vain for long begins anew.
     let round = usize::from(again) % (usize::from(UNANSWERED) + 1);
-    let most = TALLIES * (round + 1);
+    let most = TALLY_REPLICAS * (round + 1);
     let mut first: Vec<(u64, u64)> = Vec::with_capacity(most + 1);
     for place in places {
-        let weight = hash::pair(*place, id);
+        let weight = hash::combine(*place, id);
         let at = first.partition_point(|(other, _)| *other > weight);
         if at < most {
             first.insert(at, (weight, *place));
             first.truncate(most);
         }
     }
-    first.into_iter().skip(TALLIES * round).map(|(_, place)| place).collect()
+    first.into_iter().skip(TALLY_REPLICAS * round).map(|(_, place)| place).collect()
 }
--- a/elmstream_steer/src/readers.rs
+++ b/elmstream_steer/src/reader_rank.rs
@@ -6,7 +6,7 @@
 //! ranks. Two readers do no harm. Fast ones come first as a long way, a thin link or
 //! a slow processor makes large answers late.
 //!
-//! A few ranks take over one after the other; `calls` says when the others ask. They are
+//! A few ranks take over one after the other; `store_schedule` says when the others ask. They are
 //! of failure domains of their own, and not all of one region, as the fastest readers
 //! stand together beside the store and would be lost together.
 
@@ -27,10 +27,10 @@
 /// Each further rank waits this much longer.
 const STEP: u64 = 60 * MILLI;
 /// Ranks that take over one after the other.
-pub const RANKS: u64 = 3;
+pub const READER_RANKS: u64 = 3;
 
 /// Age at which a host of this rank asks the store for a table.
-pub fn patience(table: Table, rank: u64, bound_ms: u64) -> u64 {
+pub fn read_delay(table: Table, rank: u64, bound_ms: u64) -> u64 {
     let first = match table {
         Table::Servers => ASK_SERVERS,
         Table::Rules | Table::Rollouts => ASK_RULES,
@@ -39,7 +39,7 @@
         return first;
     }
     let second = (bound_ms as f64 * SECOND_PART) as u64 * MILLI;
-    second.max(first + first / 2) + STEP * (rank - 1).min(RANKS)
+    second.max(first + first / 2) + STEP * (rank - 1).min(READER_RANKS)
 }
 
 /// Time that a host is taken to need before it has read the store.
@@ -49,7 +49,7 @@
 
 /// A host that may read.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reader<'a> {
+pub struct RankedReader<'a> {
     /// Hash of its name.
     pub host: u64,
     /// Time of a whole reading, in milliseconds. Times within a factor of two count as alike.
@@ -58,16 +58,20 @@
     pub place: (&'a str, &'a str),
 }
 
-impl Reader<'_> {
+impl RankedReader<'_> {
     /// Those that read sooner have a lower one.
     pub(crate) fn order(&self) -> (u32, u64) {
-        (self.millis.max(NEAR_MS).ilog2(), !hash::pair(self.host, 0))
+        (self.millis.max(NEAR_MS).ilog2(), !hash::combine(self.host, 0))
     }
 }
 
-/// Rank of a host among those whom the store serves; [`RANKS`] for all that have none.
-pub fn rank<'a>(own: Reader<'a>, served: impl Iterator<Item = Reader<'a>> + Clone) -> u64 {
-    let mut ranked: [Option<Reader<'a>>; RANKS as usize] = [None; RANKS as usize];
+/// Rank of a host among those whom the store serves; [`READER_RANKS`] for all that have none.
+pub fn rank<'a>(
+    own: RankedReader<'a>,
+    served: impl Iterator<Item = RankedReader<'a>> + Clone,
+) -> u64 {
+    let mut ranked: [Option<RankedReader<'a>>; READER_RANKS as usize] =
+        [None; READER_RANKS as usize];
     for place in 0..ranked.len() {
         let (before, _) = ranked.split_at(place);
         let rest = served.clone().chain([own]);
@@ -79,14 +83,14 @@
         }
         ranked[place] = first;
     }
-    RANKS
+    READER_RANKS
 }
 
 /// Whether a reader is of a failure domain that those before it are not of, and of
 /// another region if it is the last rank and these are all of one.
-fn widens(before: &[Option<Reader<'_>>], reader: &Reader<'_>) -> bool {
+fn widens(before: &[Option<RankedReader<'_>>], reader: &RankedReader<'_>) -> bool {
     let places = || before.iter().flatten().map(|reader| reader.place);
-    let last = before.len() as u64 + 1 == RANKS;
+    let last = before.len() as u64 + 1 == READER_RANKS;
     let same_region = places().all(|(_, region)| region == reader.place.1);
     places().all(|(domain, _)| domain != reader.place.0) && !(last && same_region)
 }
--- a/elmstream_steer/src/demand.rs
+++ b/elmstream_steer/src/region_shares.rs
@@ -24,12 +24,12 @@
 
 /// Requests of this host that fade with time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Count {
+pub struct DecayingCount {
     value: f64,
     at: Time,
 }
 
-impl Count {
+impl DecayingCount {
     /// One more request.
     pub fn add(&mut self, now: Time) {
         self.value = self.value(now) + 1.0;
@@ -44,7 +44,7 @@
 
 /// Slots and demand of one region.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Region {
+pub struct RegionDemand {
     /// Slots of the service that may be used.
     pub slots: f64,
     /// Requests of the region's callers.
@@ -53,17 +53,17 @@
 
 /// The regions' parts for one service.
 #[derive(Clone, Debug, Default)]
-pub struct Division {
+pub struct RegionShares {
     kept: BTreeMap<String, f64>,
     spare: Vec<(String, f64)>,
 }
 
-impl Division {
+impl RegionShares {
     /// Divides the demand of regions by their slots.
-    pub fn new(regions: &BTreeMap<String, Region>) -> Division {
+    pub fn new(regions: &BTreeMap<String, RegionDemand>) -> RegionShares {
         let slots: f64 = regions.values().map(|region| region.slots).sum();
         let demand: f64 = regions.values().map(|region| region.demand + PRIOR).sum();
-        let mut division = Division::default();
+        let mut division = RegionShares::default();
         for (name, region) in regions {
             let worth = if slots > 0.0 { region.slots / slots } else { 0.0 };
             let part = (region.demand + PRIOR) / demand;
@@ -82,11 +82,11 @@
     /// Regions that are not named follow in no special order.
     pub fn order(&self, home: &str, key: u64) -> Vec<&str> {
         let kept = self.kept.get(home).copied().unwrap_or(0.0);
-        let stays = hash::unit(hash::pair(key, HOME_SEED)) < kept;
+        let stays = hash::unit_interval(hash::combine(key, HOME_SEED)) < kept;
         let mut away: Vec<(f64, &str)> = Vec::new();
         for (name, weight) in self.spare.iter().filter(|(name, _)| name != home) {
-            let draw =
-                hash::unit(hash::pair(key, hash::of(name) ^ AWAY_SEED)).max(f64::MIN_POSITIVE);
+            let draw = hash::unit_interval(hash::combine(key, hash::of(name) ^ AWAY_SEED))
+                .max(f64::MIN_POSITIVE);
             away.push((-draw.ln() / weight, name));
         }
         away.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/elmstream_steer/src/returning.rs
+++ b/elmstream_steer/src/restore.rs
@@ -3,9 +3,9 @@
 use elmstream::time::{MILLI, Time};
 
 use crate::{
-    steer::{Change, Returned, Steer},
+    steer::{StateChange, Steer, StoreRestored},
     version::StoreVersion,
-    view::{Key, Table},
+    view::{RowKey, Table},
 };
 
 /// Servers that the store drops within this time after it was away may come back.
@@ -28,14 +28,14 @@
         now: Time,
         table: Table,
         before: StoreVersion,
-        changes: &[Change],
-    ) -> Change {
+        changes: &[StateChange],
+    ) -> StateChange {
         // Servers that the store has lost write themselves down again.
         self.lenient_until = now + AFTER_OUTAGE;
         // What this fleet wrote since the copy is gone.
         self.registry.look_again();
         self.urgent = true;
-        Change::StoreReturned(Returned {
+        StateChange::StoreReturned(StoreRestored {
             table,
             before,
             version: self.view.mark(table).version,
@@ -45,12 +45,12 @@
     }
 
     /// Ends what has held on for long enough against what the store says.
-    pub(crate) fn end_holds(&mut self, now: Time) -> Vec<Change> {
+    pub(crate) fn end_holds(&mut self, now: Time) -> Vec<StateChange> {
         let mut changes = Vec::new();
         for key in self.view.end_holds(now) {
-            changes.push(Change::HoldEnded(key.clone()));
+            changes.push(StateChange::HoldEnded(key.clone()));
             match (&key, self.view.get(&key)) {
-                (Key::Server(id), None) => self.drop_server(id, &mut changes),
+                (RowKey::Server(id), None) => self.drop_server(id, &mut changes),
                 _ => self.apply(now, &key, &mut changes),
             }
         }
--- a/elmstream_steer/src/returns.rs
+++ b/elmstream_steer/src/returning_callers.rs
@@ -14,11 +14,11 @@
 
 /// The time that first tries of each route bring.
 #[derive(Clone, Debug, Default)]
-pub struct Returns {
+pub struct ReturningCallers {
     usual: HashMap<String, (u64, Time)>,
 }
 
-impl Returns {
+impl ReturningCallers {
     /// Whether a request of a route with so many milliseconds left comes back.
     pub fn returns(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
         let Some((usual, seen)) = self.usual.get_mut(route) else {
--- a/elmstream_steer/src/rollout.rs
+++ b/elmstream_steer/src/rollout.rs
@@ -24,14 +24,14 @@
 const CANARIES_LEAST: usize = 3;
 /// Part of the requests that may reach a version which is not trusted that is used on trial.
 /// The rest is for what it gets as traffic shifts, until it is found out to be bad after all.
-pub const TRIAL_PART: f64 = 0.5;
+pub const CANARY_SHARE: f64 = 0.5;
 /// For how long servers of other versions that were there before get nothing once a
 /// roll-out is completed: the platform stops them, and their entries lapse.
 pub(crate) const STOPPED: u64 = 10_000 * MILLI;
 
 /// An operator's order to move a service to another version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Order {
+pub struct RolloutOrder {
     /// The version that servers have to be of.
     pub target: String,
     /// Time from the order until it has to be decided, in milliseconds.
@@ -40,7 +40,7 @@
 
 /// How far a roll-out has come.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Stage {
+pub enum RolloutStage {
     /// A small part of the requests tries the version out.
     Trial,
     /// So many hundredths of the keys go there; with 100 the other servers get nothing.
@@ -51,57 +51,57 @@
     RolledBack,
 }
 
-impl Stage {
+impl RolloutStage {
     /// Whether nothing follows it.
     pub fn ends(self) -> bool {
-        matches!(self, Stage::Completed | Stage::RolledBack)
+        matches!(self, RolloutStage::Completed | RolloutStage::RolledBack)
     }
 
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Stage::Trial => "trial",
-            Stage::Shift(_) => "shift",
-            Stage::Completed => "completed",
-            Stage::RolledBack => "rolled_back",
+            RolloutStage::Trial => "trial",
+            RolloutStage::Shift(_) => "shift",
+            RolloutStage::Completed => "completed",
+            RolloutStage::RolledBack => "rolled_back",
         }
     }
 }
 
 /// The progress of an order, as the store has it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Progress {
+pub struct RolloutProgress {
     /// The store's version of the order's row.
     pub order: StoreVersion,
     /// The ordered version.
     pub target: String,
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: RolloutStage,
     /// When the order was first seen, by the time of day of the host that wrote that, in
     /// milliseconds; used by hosts that have started since.
     pub began_unix_ms: u64,
 }
 
-impl Progress {
+impl RolloutProgress {
     /// Whether it is the progress of an order.
     ///
     /// An order that is written again is a new one. But the operator also writes again what a
     /// store that came back from a copy has lost, and that takes no verdict back.
-    pub fn is_of(&self, order: &Order, version: StoreVersion) -> bool {
+    pub fn is_of(&self, order: &RolloutOrder, version: StoreVersion) -> bool {
         let written_again = self.order.era < version.era;
         self.target == order.target && (self.order == version || written_again)
     }
 
     /// Whether it holds on against another one of the same order.
-    pub fn outranks(&self, other: Option<&Progress>) -> bool {
-        let goes_on = |other: &Progress| self.target == other.target && !other.stage.ends();
+    pub fn outranks(&self, other: Option<&RolloutProgress>) -> bool {
+        let goes_on = |other: &RolloutProgress| self.target == other.target && !other.stage.ends();
         self.stage.ends() && other.is_none_or(goes_on)
     }
 }
 
 /// Whether a server may get requests while its service is rolled out.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Standing {
+pub enum RolloutRole {
     /// No roll-out concerns it.
     #[default]
     Free,
@@ -117,7 +117,7 @@
 
 /// Which servers a request may go to.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Arm {
+pub enum RolloutArm {
     /// All that are not shut.
     #[default]
     Free,
@@ -129,14 +129,14 @@
     Target,
 }
 
-impl Arm {
+impl RolloutArm {
     /// Whether a server is among them.
-    pub fn takes(self, standing: Standing) -> bool {
+    pub fn takes(self, standing: RolloutRole) -> bool {
         match self {
-            Arm::Free => standing != Standing::Shut,
-            Arm::Old => matches!(standing, Standing::Free | Standing::Old),
-            Arm::Canary => standing == Standing::Canary,
-            Arm::Target => matches!(standing, Standing::Canary | Standing::Target),
+            RolloutArm::Free => standing != RolloutRole::Shut,
+            RolloutArm::Old => matches!(standing, RolloutRole::Free | RolloutRole::Old),
+            RolloutArm::Canary => standing == RolloutRole::Canary,
+            RolloutArm::Target => matches!(standing, RolloutRole::Canary | RolloutRole::Target),
         }
     }
 }
@@ -144,20 +144,20 @@
 /// A roll-out as one host knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct Rollout {
-    pub order: Order,
+    pub order: RolloutOrder,
     /// The store's version of the order's row.
     pub version: StoreVersion,
     /// When this host learned of the order.
     pub learned: Time,
     /// Its progress, and since when this host knows of the stage.
-    pub progress: Option<(Progress, Time)>,
-    /// Part of its requests that this host sends on trial, as [`trials`] gives it.
+    pub progress: Option<(RolloutProgress, Time)>,
+    /// Part of its requests that this host sends on trial, as [`canary_multiplier`] gives it.
     pub trials: f64,
 }
 
 impl Rollout {
     /// The stage; none if the order is not known to have begun.
-    pub fn stage(&self) -> Option<Stage> {
+    pub fn stage(&self) -> Option<RolloutStage> {
         self.progress.as_ref().map(|(progress, _)| progress.stage)
     }
 
@@ -168,20 +168,24 @@
 
     /// Where a server of the service stands; `first` says whether it is among the first ones
     /// of the ordered version, `known` since when it is known.
-    pub fn standing(&self, now: Time, version: &str, first: bool, known: Time) -> Standing {
+    pub fn standing(&self, now: Time, version: &str, first: bool, known: Time) -> RolloutRole {
         let target = version == self.order.target;
         match (&self.progress, target) {
-            (None, true) => Standing::Shut,
-            (None, false) => Standing::Old,
+            (None, true) => RolloutRole::Shut,
+            (None, false) => RolloutRole::Old,
             (Some((progress, since)), _) => match (progress.stage, target) {
-                (Stage::Trial | Stage::Shift(_), true) if first => Standing::Canary,
-                (Stage::Trial | Stage::Shift(_), true) => Standing::Target,
-                (Stage::Trial | Stage::Shift(_), false) => Standing::Old,
-                (Stage::RolledBack, true) => Standing::Shut,
-                (Stage::Completed, false) if known <= *since && now.since(*since) < STOPPED => {
-                    Standing::Shut
+                (RolloutStage::Trial | RolloutStage::Shift(_), true) if first => {
+                    RolloutRole::Canary
                 }
-                (Stage::Completed | Stage::RolledBack, _) => Standing::Free,
+                (RolloutStage::Trial | RolloutStage::Shift(_), true) => RolloutRole::Target,
+                (RolloutStage::Trial | RolloutStage::Shift(_), false) => RolloutRole::Old,
+                (RolloutStage::RolledBack, true) => RolloutRole::Shut,
+                (RolloutStage::Completed, false)
+                    if known <= *since && now.since(*since) < STOPPED =>
+                {
+                    RolloutRole::Shut
+                }
+                (RolloutStage::Completed | RolloutStage::RolledBack, _) => RolloutRole::Free,
             },
         }
     }
@@ -189,41 +193,49 @@
     /// Which servers a request of a key goes to. `young` says whether what is known of the
     /// progress is; `again` whether a server has been tried; `affords` whether the bound on
     /// requests on trial leaves one.
-    pub fn arm(&self, key: u64, young: bool, again: bool, affords: impl FnOnce() -> bool) -> Arm {
+    pub fn arm(
+        &self,
+        key: u64,
+        young: bool,
+        again: bool,
+        affords: impl FnOnce() -> bool,
+    ) -> RolloutArm {
         match self.stage() {
-            Some(Stage::Completed | Stage::RolledBack) => Arm::Free,
-            Some(Stage::Shift(100)) if young => Arm::Target,
+            Some(RolloutStage::Completed | RolloutStage::RolledBack) => RolloutArm::Free,
+            Some(RolloutStage::Shift(100)) if young => RolloutArm::Target,
             // One that may have failed there goes where it is safe.
-            Some(Stage::Trial | Stage::Shift(_)) if again => Arm::Old,
-            Some(Stage::Trial) if young && self.trials > 0.0 && affords() => Arm::Canary,
-            Some(Stage::Shift(percent)) if young => {
-                let draw = hash::unit(hash::pair(key, hash::of(&self.order.target)));
-                if draw * 100.0 < f64::from(percent) { Arm::Target } else { Arm::Old }
+            Some(RolloutStage::Trial | RolloutStage::Shift(_)) if again => RolloutArm::Old,
+            Some(RolloutStage::Trial) if young && self.trials > 0.0 && affords() => {
+                RolloutArm::Canary
+            }
+            Some(RolloutStage::Shift(percent)) if young => {
+                let draw = hash::unit_interval(hash::combine(key, hash::of(&self.order.target)));
+                if draw * 100.0 < f64::from(percent) { RolloutArm::Target } else { RolloutArm::Old }
             }
-            _ => Arm::Old,
+            _ => RolloutArm::Old,
         }
     }
 }
 
 /// How long a host goes by what it knows of a roll-out, in microseconds.
-pub fn young(rollback_ms: u64) -> u64 {
+pub fn max_progress_age(rollback_ms: u64) -> u64 {
     (rollback_ms as f64 * YOUNG_PART) as u64 * MILLI
 }
 
 /// How much of its own requests a host sends on trial, as a multiple of the part that all of
 /// them may be: 0 for one that is not drawn to. Whatever hosts take the fleet for, what they
 /// send is that part of all requests on average.
-pub(crate) fn trials(host: u64, order: StoreVersion, fleet: usize) -> f64 {
+pub(crate) fn canary_multiplier(host: u64, order: StoreVersion, fleet: usize) -> f64 {
     let one_of = (fleet as f64 / SENDERS).max(1.0);
-    let drawn = hash::unit(hash::pair(host, order.count)) * one_of < 1.0;
+    let drawn = hash::unit_interval(hash::combine(host, order.count)) * one_of < 1.0;
     if drawn { one_of.min(TRIALS_MOST) } else { 0.0 }
 }
 
 /// Servers of the ordered version that get requests on trial, of so many; together they are
 /// asked about as much as they are with all requests, so that what fails under load shows.
-pub(crate) fn canaries(servers: usize, share: f64, fleet: usize) -> usize {
+pub(crate) fn canary_count(servers: usize, share: f64, fleet: usize) -> usize {
     let one_of = (fleet as f64 / SENDERS).max(1.0);
     let senders = one_of.min(TRIALS_MOST) / one_of;
-    let part = share * TRIAL_PART * senders;
+    let part = share * CANARY_SHARE * senders;
     ((servers as f64 * part).ceil() as usize).max(CANARIES_LEAST)
 }
--- a/elmstream_steer/src/rolling.rs
+++ b/elmstream_steer/src/rollout_control.rs
@@ -10,20 +10,23 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Ask,
-    beat::Message,
+    PickRequest,
     budget::Budgets,
-    evidence::{Evidence, RolloutReport, Seen, Usuals},
+    canary_analysis::{AnalysisMethod, CanaryAnalysis, RejectionCause, route_hash},
     hash,
-    readers::Reader,
-    rollout::{self, Arm, Order, Progress, Rollout, STOPPED, Stage, Standing, TRIAL_PART},
-    server::{Entry, Outcome},
-    servers::Index,
-    steer::{Change, Steer},
-    steps::{self, Sight, Stepping},
-    verdict::{Cause, Judge, Judging, route_hash},
+    heartbeat::Message,
+    reader_rank::RankedReader,
+    rollout::{
+        self, CANARY_SHARE, Rollout, RolloutArm, RolloutOrder, RolloutProgress, RolloutRole,
+        RolloutStage, STOPPED,
+    },
+    rollout_counts::{Baselines, ObservedAnswer, RolloutCounts, RolloutReport},
+    rollout_steps::{self, StepContext, StepPolicy},
+    server::{Outcome, ServerEntry},
+    servers::ServerIndex,
+    steer::{StateChange, Steer},
     version::StoreVersion,
-    view::{Item, Key, Table},
+    view::{RowContent, RowKey, Table},
 };
 
 /// A host that learned of an order this soon after its own start goes by when another one saw
@@ -44,17 +47,17 @@
     by_service: BTreeMap<String, Rollout>,
     /// What may be sent on trial, by service.
     exposures: Budgets,
-    evidence: HashMap<String, Evidence>,
+    evidence: HashMap<String, RolloutCounts>,
     /// Routes of each service that callers have asked this host for since the order.
     routes: HashMap<String, BTreeSet<String>>,
-    usuals: Usuals,
-    judges: HashMap<String, Judge>,
+    usuals: Baselines,
+    judges: HashMap<String, CanaryAnalysis>,
     versions: Versions,
     /// Servers, orders or their progress have changed since servers were last looked at.
     changed: bool,
     /// When what is known of the progress was last too old to go by; none if it never was.
     stale: Option<Time>,
-    ways: (Judging, Stepping),
+    ways: (AnalysisMethod, StepPolicy),
 }
 
 impl Rollouts {
@@ -64,12 +67,12 @@
             exposures: Budgets::new(seed),
             evidence: HashMap::new(),
             routes: HashMap::new(),
-            usuals: Usuals::default(),
+            usuals: Baselines::default(),
             judges: HashMap::new(),
             versions: Versions::default(),
             changed: false,
             stale: None,
-            ways: (Judging::default(), Stepping::default()),
+            ways: (AnalysisMethod::default(), StepPolicy::default()),
         }
     }
 
@@ -79,7 +82,7 @@
 
     /// Where servers stand may change without news.
     fn moves(&self, now: Time) -> bool {
-        let recent = |(_, since): &(Progress, Time)| now.since(*since) < STOPPED + SECOND;
+        let recent = |(_, since): &(RolloutProgress, Time)| now.since(*since) < STOPPED + SECOND;
         let going = |r: &Rollout| r.goes_on() || r.progress.as_ref().is_some_and(recent);
         self.changed || self.versions.waits() || self.by_service.values().any(going)
     }
@@ -128,27 +131,27 @@
     /// The service.
     pub service: String,
     /// What is to be written.
-    pub progress: Progress,
+    pub progress: RolloutProgress,
     /// The store's counters that the rows of the progress and of the order must have; 0 for
     /// one that is not there.
     pub expected: (u64, u64),
     /// Why the version is turned away, if it is.
-    pub cause: Option<Cause>,
+    pub cause: Option<RejectionCause>,
 }
 
 impl Steer {
     /// Judges and steps in other ways than usual.
-    pub fn set_rollout_ways(&mut self, judging: Judging, stepping: Stepping) {
+    pub fn set_rollout_ways(&mut self, judging: AnalysisMethod, stepping: StepPolicy) {
         self.rollouts.ways = (judging, stepping);
     }
 
     // The store.
 
     /// An order has come, changed or gone.
-    pub(crate) fn ordered(&mut self, now: Time, service: &str, order: Option<&Order>) {
+    pub(crate) fn ordered(&mut self, now: Time, service: &str, order: Option<&RolloutOrder>) {
         self.rollouts.changed = true;
         self.urgent = true;
-        let key = Key::Rollout(service.to_owned());
+        let key = RowKey::Rollout(service.to_owned());
         let Some((order, version)) = order.zip(self.view.row_version(&key)) else {
             self.rollouts.by_service.remove(service);
             return;
@@ -162,7 +165,7 @@
             self.rollouts.evidence.remove(service);
             self.rollouts.routes.remove(service);
             self.rollouts.judges.remove(service);
-            let trials = rollout::trials(self.hash, version, self.fleet);
+            let trials = rollout::canary_multiplier(self.hash, version, self.fleet);
             let new =
                 Rollout { order: order.clone(), version, learned: now, progress: None, trials };
             self.rollouts.by_service.insert(service.to_owned(), new);
@@ -171,18 +174,22 @@
     }
 
     /// How far the roll-out of a service has come; none if it has not begun.
-    pub fn rollout_stage(&self, service: &str) -> Option<Stage> {
+    pub fn rollout_stage(&self, service: &str) -> Option<RolloutStage> {
         self.rollouts.get(service)?.stage()
     }
 
     /// The progress of a service's order may have changed; its version and stage if that is
     /// new.
-    pub(crate) fn progressed(&mut self, now: Time, service: &str) -> Option<(String, Stage)> {
+    pub(crate) fn progressed(
+        &mut self,
+        now: Time,
+        service: &str,
+    ) -> Option<(String, RolloutStage)> {
         self.rollouts.changed = true;
         self.urgent = true;
         let rollout = self.rollouts.by_service.get_mut(service)?;
-        let item = self.view.get(&Key::Progress(service.to_owned()));
-        let Some(Item::Progress(progress)) = item else { return None };
+        let item = self.view.get(&RowKey::Progress(service.to_owned()));
+        let Some(RowContent::Progress(progress)) = item else { return None };
         if !progress.is_of(&rollout.order, rollout.version) {
             return None;
         }
@@ -237,11 +244,11 @@
                 Some(rollout) => {
                     rollout.standing(now, version, firsts.contains(&index), entry.known)
                 }
-                None if rollouts.versions.holds_back(service, version) => Standing::Shut,
+                None if rollouts.versions.holds_back(service, version) => RolloutRole::Shut,
                 None if undecided.get(service).is_some_and(|target| target == version) => {
-                    Standing::Shut
+                    RolloutRole::Shut
                 }
-                None => Standing::Free,
+                None => RolloutRole::Free,
             };
         }
     }
@@ -251,8 +258,8 @@
     fn without_order(&self) -> BTreeMap<String, String> {
         let services = self.servers.services().filter(|name| self.rollouts.get(name).is_none());
         let undecided = services.filter_map(|service| {
-            match self.view.get(&Key::Progress(service.to_owned()))? {
-                Item::Progress(progress) if progress.stage != Stage::Completed => {
+            match self.view.get(&RowKey::Progress(service.to_owned()))? {
+                RowContent::Progress(progress) if progress.stage != RolloutStage::Completed => {
                     Some((service.to_owned(), progress.target.clone()))
                 }
                 _ => None,
@@ -262,60 +269,60 @@
     }
 
     /// Servers that get requests on trial: the first ones by a draw of the order.
-    fn canaries(&self) -> Vec<Index> {
+    fn canaries(&self) -> Vec<ServerIndex> {
         let mut canaries = Vec::new();
         for (service, rollout) in self.rollouts.by_service.iter().filter(|(_, r)| r.goes_on()) {
             let target = &rollout.order.target;
-            let target = |entry: &Entry| entry.server.version == *target && !entry.departs();
+            let target = |entry: &ServerEntry| entry.server.version == *target && !entry.departs();
             let all = self.servers.of(service).filter(|(_, entry)| target(entry));
-            let mut ranked: Vec<(u64, Index)> = all
-                .map(|(index, entry)| (hash::pair(entry.hash, rollout.version.count), index))
+            let mut ranked: Vec<(u64, ServerIndex)> = all
+                .map(|(index, entry)| (hash::combine(entry.hash, rollout.version.count), index))
                 .collect();
             ranked.sort_unstable();
             let share = self.settings.bounds.exposure_share;
-            let most = rollout::canaries(ranked.len(), share, self.fleet);
+            let most = rollout::canary_count(ranked.len(), share, self.fleet);
             canaries.extend(ranked.into_iter().take(most).map(|(_, index)| index));
         }
         canaries
     }
 
     /// Which servers a request may go to.
-    pub(crate) fn arm(&mut self, now: Time, ask: &Ask<'_>) -> Arm {
-        let Ask { service, key, route, .. } = *ask;
+    pub(crate) fn arm(&mut self, now: Time, ask: &PickRequest<'_>) -> RolloutArm {
+        let PickRequest { service, key, route, .. } = *ask;
         if self.rollouts.by_service.is_empty() {
-            return Arm::Free;
+            return RolloutArm::Free;
         }
         let again = !ask.tried.is_empty();
         let rested = self.rollouts.stale.is_none_or(|stale| now.since(stale) >= RESUMED);
         let young = rested && self.knows_progress(now);
         let Rollouts { by_service, exposures, .. } = &mut self.rollouts;
-        let Some(rollout) = by_service.get(service) else { return Arm::Free };
+        let Some(rollout) = by_service.get(service) else { return RolloutArm::Free };
         rollout.arm(key, young, again, || exposures.affords(&kind(service, &route.name)))
     }
 
     /// Whether what is known of the progress of roll-outs is young enough to go by.
     fn knows_progress(&self, now: Time) -> bool {
-        let most = rollout::young(self.settings.bounds.rollback_ms);
+        let most = rollout::max_progress_age(self.settings.bounds.rollback_ms);
         self.view.age(now, Table::Rollouts).is_some_and(|age| age < most)
     }
 
     /// Whether the servers of other versions get nothing more, whatever those of the ordered
     /// version can take.
     pub(crate) fn has_left(&self, service: &str) -> bool {
-        self.rollout_stage(service) == Some(Stage::Shift(100))
+        self.rollout_stage(service) == Some(RolloutStage::Shift(100))
     }
 
     /// A request was sent to a server; on trial it is spent.
-    pub(crate) fn sent_on_trial(&mut self, service: &str, route: &str, index: Index) {
+    pub(crate) fn sent_on_trial(&mut self, service: &str, route: &str, index: ServerIndex) {
         let stage = self.rollout_stage(service);
         let standing = self.servers.get(index).map(|entry| entry.standing);
-        if stage == Some(Stage::Trial) && standing == Some(Standing::Canary) {
+        if stage == Some(RolloutStage::Trial) && standing == Some(RolloutRole::Canary) {
             self.rollouts.exposures.spend(&kind(service, route));
         }
     }
 
     /// What became of a request of a route counts for its service's roll-out.
-    pub fn count_outcome(&mut self, now: Time, index: Index, route: &str, outcome: Outcome) {
+    pub fn count_outcome(&mut self, now: Time, index: ServerIndex, route: &str, outcome: Outcome) {
         let Some(entry) = self.servers.get(index) else { return };
         let service = entry.server.service.as_str();
         let rollout = self.rollouts.by_service.get(service).filter(|r| r.goes_on());
@@ -323,7 +330,7 @@
             Outcome::Answered { micros, .. } => Time(now.0.saturating_sub(micros)),
             _ => now,
         };
-        let seen = Seen {
+        let seen = ObservedAnswer {
             server: entry.hash as u32,
             route: route_hash(route),
             outcome,
@@ -337,7 +344,7 @@
         let Some((rollout, stage)) = rollout.and_then(|r| Some((r, r.stage()?))) else { return };
         let evidence = self.rollouts.evidence.entry(service.to_owned()).or_default();
         let answered = evidence.count(&seen, slow);
-        if answered && stage == Stage::Trial && rollout.trials > 0.0 {
+        if answered && stage == RolloutStage::Trial && rollout.trials > 0.0 {
             let service = service.to_owned();
             self.earn_trial(&service, route);
         }
@@ -358,7 +365,7 @@
             exposures.grant(&kind(service, route), slack, hosts);
         }
         let part = 1.0 / routes.len() as f64;
-        let share = bounds.exposure_share * TRIAL_PART * rollout.trials * part;
+        let share = bounds.exposure_share * CANARY_SHARE * rollout.trials * part;
         for route in routes.iter() {
             exposures.earn(&kind(service, route), share, slack * rollout.trials * part, hosts);
         }
@@ -370,7 +377,7 @@
     pub(crate) fn rollout_reports(&mut self, now: Time) -> Vec<(SocketAddr, Message)> {
         let mut due = Vec::new();
         for (service, rollout) in &self.rollouts.by_service {
-            let shifted = rollout.stage() == Some(Stage::Shift(100));
+            let shifted = rollout.stage() == Some(RolloutStage::Shift(100));
             if rollout.goes_on() && rollout.stage().is_some() && (rollout.trials > 0.0 || shifted) {
                 let report = self.report_of(service, rollout);
                 due.push((service.clone(), report));
@@ -390,7 +397,7 @@
     }
 
     fn report_of(&self, service: &str, rollout: &Rollout) -> RolloutReport {
-        let old = self.servers.of(service).filter(|(_, entry)| entry.standing == Standing::Old);
+        let old = self.servers.of(service).filter(|(_, entry)| entry.standing == RolloutRole::Old);
         let in_flight: u32 = old.map(|(_, entry)| entry.own).sum();
         RolloutReport {
             service: hash::of(service) as u32,
@@ -401,7 +408,7 @@
             target: Vec::new(),
             old: Vec::new(),
             stage: rollout.stage(),
-            left: rollout.stage() == Some(Stage::Shift(100)) && in_flight == 0,
+            left: rollout.stage() == Some(RolloutStage::Shift(100)) && in_flight == 0,
         }
     }
 
@@ -412,16 +419,17 @@
             hash::of(service) as u32 == report.service && rollout.version == report.order
         });
         let Some((service, _)) = service else { return };
-        let judge = judges.entry(service.clone()).or_insert_with(|| Judge::new(ways.0));
+        let judge = judges.entry(service.clone()).or_insert_with(|| CanaryAnalysis::new(ways.0));
         judge.take(now, report);
     }
 
     /// Where the host is that reads, and writes, for all; none if that is this one.
     fn first_reader(&self, now: Time) -> Option<SocketAddr> {
-        let own = Reader { host: self.hash, millis: self.store_ms, place: ("", "") };
+        let own = RankedReader { host: self.hash, millis: self.store_ms, place: ("", "") };
         let served = self.members.live(now).filter(|member| !member.leaving);
         let others = served.filter_map(|member| {
-            let reader = Reader { host: member.hash, millis: member.store_ms?, place: ("", "") };
+            let reader =
+                RankedReader { host: member.hash, millis: member.store_ms?, place: ("", "") };
             Some((reader.order(), member.host.peers))
         });
         let first = others.min()?;
@@ -455,37 +463,40 @@
 
     fn due_of(&self, now: Time, unix_ms: u64, service: &str) -> Option<RolloutWrite> {
         let rollout = self.rollouts.get(service)?;
-        let key = Key::Progress(service.to_owned());
+        let key = RowKey::Progress(service.to_owned());
         let known = rollout.progress.as_ref().map(|(progress, _)| progress);
         let lost =
             known.is_some_and(|known| known.order != rollout.version || self.view.is_held(&key));
         let judge = self.rollouts.judges.get(service);
         let sight = self.sight(now, unix_ms, service, rollout);
-        let next = steps::next(self.rollouts.ways.1, &sight);
+        let next = rollout_steps::next_stage(self.rollouts.ways.1, &sight);
         let stage = next.or(known.filter(|_| lost).map(|known| known.stage))?;
         let since_order = sight.since_order_ms;
-        let progress = Progress {
+        let progress = RolloutProgress {
             order: rollout.version,
             target: rollout.order.target.clone(),
             stage,
             began_unix_ms: known.map_or(unix_ms.saturating_sub(since_order), |p| p.began_unix_ms),
         };
         let expected = (self.view.store_count(&key), rollout.version.count);
-        let cause = judge.and_then(Judge::bad).filter(|_| stage == Stage::RolledBack).cloned();
+        let cause = judge
+            .and_then(CanaryAnalysis::bad)
+            .filter(|_| stage == RolloutStage::RolledBack)
+            .cloned();
         Some(RolloutWrite { service: service.to_owned(), progress, expected, cause })
     }
 
     /// Whether so few requests are left until the deadline that a version which is bad could
     /// not get too many.
     fn few(&self, since_order_ms: u64, service: &str, rollout: &Rollout) -> bool {
-        let asked = self.rollouts.judges.get(service).map_or(0, Judge::asked);
+        let asked = self.rollouts.judges.get(service).map_or(0, CanaryAnalysis::asked);
         let left = rollout.order.duration_ms.saturating_sub(since_order_ms);
         let told = (rollout::SENDERS / self.fleet as f64).min(1.0);
         let rate = f64::from(asked) / since_order_ms.max(1) as f64 / told;
         rate * left as f64 <= self.settings.bounds.exposure_slack * FEW_PART
     }
 
-    fn sight(&self, now: Time, unix_ms: u64, service: &str, rollout: &Rollout) -> Sight {
+    fn sight(&self, now: Time, unix_ms: u64, service: &str, rollout: &Rollout) -> StepContext {
         let judge = self.rollouts.judges.get(service);
         let since = |at: Time| now.since(at) / MILLI;
         let mut since_order_ms = since(rollout.learned);
@@ -495,13 +506,13 @@
             let told = unix_ms.saturating_sub(progress.began_unix_ms);
             since_order_ms = since_order_ms.max(told.min(2 * rollout.order.duration_ms));
         }
-        let calm = judge.is_none_or(Judge::is_calm);
+        let calm = judge.is_none_or(CanaryAnalysis::is_calm);
         let few = calm && self.few(since_order_ms, service, rollout);
         let others_left = judge.is_some_and(|judge| {
             let own = self.places.first().is_some_and(|place| judge.left(now, *place));
             own && self.members.live(now).all(|member| judge.left(now, member.place))
         });
-        Sight {
+        StepContext {
             stage: rollout.stage(),
             since_order_ms,
             since_stage_ms: rollout.progress.as_ref().map_or(0, |(_, at)| since(*at)),
@@ -509,8 +520,8 @@
             longest_ms: self.longest_ms(service),
             news_ms: self.settings.bounds.configuration_ms,
             bad: judge.is_some_and(|judge| judge.bad().is_some()),
-            trusted: judge.is_some_and(Judge::trusts) || few,
-            routes_trusted: judge.is_some_and(Judge::trusts_routes) || few,
+            trusted: judge.is_some_and(CanaryAnalysis::trusts) || few,
+            routes_trusted: judge.is_some_and(CanaryAnalysis::trusts_routes) || few,
             left: others_left,
             slots: self.slots(service, &rollout.order.target),
         }
@@ -542,15 +553,15 @@
         now: Time,
         write: &RolloutWrite,
         version: StoreVersion,
-    ) -> Vec<Change> {
-        let key = Key::Progress(write.service.clone());
-        let item = Some(Item::Progress(write.progress.clone()));
+    ) -> Vec<StateChange> {
+        let key = RowKey::Progress(write.service.clone());
+        let item = Some(RowContent::Progress(write.progress.clone()));
         self.take(now, Table::Rollouts, vec![crate::view::Row::new(key, version, item)])
     }
 
     /// Answers of the ordered version that are known here, and why it is bad if it is, for
     /// lines and metrics.
-    pub fn rollout_judged(&self, service: &str) -> Option<&Judge> {
+    pub fn rollout_judged(&self, service: &str) -> Option<&CanaryAnalysis> {
         self.rollouts.judges.get(service)
     }
 }
--- a/elmstream_steer/src/evidence.rs
+++ b/elmstream_steer/src/rollout_counts.rs
@@ -8,10 +8,10 @@
 use elmstream::time::{MILLI, SECOND, Time};
 use serde::{Deserialize, Serialize};
 
-use crate::{hash, rollout::Stage, server::Outcome, version::StoreVersion};
+use crate::{hash, rollout::RolloutStage, server::Outcome, version::StoreVersion};
 
 /// Time between two reports of a host that has something to say.
-pub const REPORT_EVERY: u64 = 500 * MILLI;
+pub const REPORT_INTERVAL: u64 = 500 * MILLI;
 /// The same if nothing has changed, so that a judge that took over learns it.
 const REPEAT_EVERY: u64 = SECOND;
 /// An answer is slow if it took this many times as long as the other versions' do: bad
@@ -30,14 +30,14 @@
 
 /// Answers by how they were.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Marks {
+pub struct AnswerCounts {
     /// As they should be.
     pub good: u32,
     /// Failures, and answers that took too long.
     pub bad: u32,
 }
 
-impl Marks {
+impl AnswerCounts {
     /// All of them.
     pub fn all(self) -> u32 {
         self.good + self.bad
@@ -51,9 +51,9 @@
     }
 
     /// What has come since an earlier count of the same start.
-    pub fn since(self, before: Marks) -> Marks {
+    pub fn since(self, before: AnswerCounts) -> AnswerCounts {
         let good = self.good.saturating_sub(before.good);
-        Marks { good, bad: self.bad.saturating_sub(before.bad) }
+        AnswerCounts { good, bad: self.bad.saturating_sub(before.bad) }
     }
 }
 
@@ -71,11 +71,11 @@
     /// Region of the host.
     pub region: String,
     /// Answers of servers of the ordered version, by hashes of the server and the route.
-    pub target: Vec<(u32, u32, Marks)>,
+    pub target: Vec<(u32, u32, AnswerCounts)>,
     /// Answers of the other servers, by hash of the route.
-    pub old: Vec<(u32, Marks)>,
+    pub old: Vec<(u32, AnswerCounts)>,
     /// The stage that the host acts on.
-    pub stage: Option<Stage>,
+    pub stage: Option<RolloutStage>,
     /// Whether it has nothing in flight at servers of other versions and sends nothing more
     /// there.
     pub left: bool,
@@ -85,18 +85,18 @@
 /// server was taken to know the key: one that has just started knows none, and is slower for
 /// it, but not bad. Counted all the time, as warm servers seldom meet a key that is new.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Usuals(HashMap<(u32, bool), Usual>);
+pub(crate) struct Baselines(HashMap<(u32, bool), Baseline>);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Usual {
+struct Baseline {
     mean_ms: f64,
     count: u32,
 }
 
-impl Usuals {
+impl Baselines {
     /// Takes an answer's time in, unless its server is on trial; whether it is far longer
     /// than usual.
-    pub fn slow(&mut self, seen: &Seen, micros: u64, knew: bool) -> bool {
+    pub fn slow(&mut self, seen: &ObservedAnswer, micros: u64, knew: bool) -> bool {
         let millis = micros as f64 / MILLI as f64;
         if self.0.len() >= KINDS && !self.0.contains_key(&(seen.route, knew)) {
             return false;
@@ -140,16 +140,16 @@
 
 /// What one host has counted of a roll-out.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Evidence {
-    target: BTreeMap<(u32, u32), Marks>,
-    old: BTreeMap<u32, Marks>,
+pub(crate) struct RolloutCounts {
+    target: BTreeMap<(u32, u32), AnswerCounts>,
+    old: BTreeMap<u32, AnswerCounts>,
     /// Last report, and what it said.
     told: Option<(Time, u64)>,
 }
 
 /// An answer that counts.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ObservedAnswer {
     /// Hash of the server.
     pub server: u32,
     /// Hash of the route.
@@ -161,9 +161,9 @@
     pub target: bool,
 }
 
-impl Evidence {
+impl RolloutCounts {
     /// Counts an answer, which took far longer than usual or not; whether it was one.
-    pub fn count(&mut self, seen: &Seen, slow: bool) -> bool {
+    pub fn count(&mut self, seen: &ObservedAnswer, slow: bool) -> bool {
         let bad = match seen.outcome {
             Outcome::Answered { .. } => slow && !seen.cold,
             Outcome::Failed | Outcome::Unknown | Outcome::Ended | Outcome::Silent => true,
@@ -188,7 +188,7 @@
         let report = RolloutReport { target: target.collect(), old: old.collect(), ..report };
         let digest = hash::of(words(&report));
         let due = self.told.is_none_or(|(at, told)| {
-            let apart = if told == digest { REPEAT_EVERY } else { REPORT_EVERY };
+            let apart = if told == digest { REPEAT_EVERY } else { REPORT_INTERVAL };
             now.since(at) >= apart
         });
         due.then(|| {
@@ -204,7 +204,11 @@
 }
 
 /// The count of a kind, or of all others if there are too many kinds.
-fn bounded<K: Copy + Ord>(counts: &mut BTreeMap<K, Marks>, kind: K, others: K) -> &mut Marks {
+fn bounded<K: Copy + Ord>(
+    counts: &mut BTreeMap<K, AnswerCounts>,
+    kind: K,
+    others: K,
+) -> &mut AnswerCounts {
     let room = counts.len() < KINDS || counts.contains_key(&kind);
     counts.entry(if room { kind } else { others }).or_default()
 }
--- a/elmstream_steer/src/steps.rs
+++ b/elmstream_steer/src/rollout_steps.rs
@@ -5,7 +5,7 @@
 //! short: a quarter of the keys first, under which a version that is bad under load shows,
 //! then all, until nothing is in flight at the other servers.
 
-use crate::rollout::Stage;
+use crate::rollout::RolloutStage;
 
 /// Part of the keys that go to the version first, in hundredths.
 const FIRST_SHIFT: u8 = 25;
@@ -28,7 +28,7 @@
 
 /// A way of stepping.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Stepping {
+pub enum StepPolicy {
     /// On trial for as long as the shift leaves time.
     #[default]
     Late,
@@ -38,9 +38,9 @@
 
 /// What the next stage rests on.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight {
+pub struct StepContext {
     /// The present stage; none if the order has not begun.
-    pub stage: Option<Stage>,
+    pub stage: Option<RolloutStage>,
     /// Time since the order, in milliseconds.
     pub since_order_ms: u64,
     /// Time since the stage began, in milliseconds.
@@ -63,7 +63,7 @@
     pub slots: (u32, u32),
 }
 
-impl Sight {
+impl StepContext {
     /// Time since the order at which traffic begins to shift.
     fn shift_at(&self) -> u64 {
         let shift = FIRST_SHIFT_MS + REST_MS + self.longest_ms;
@@ -84,41 +84,41 @@
 }
 
 /// The stage that follows now; none if the present one goes on.
-pub fn next(stepping: Stepping, sight: &Sight) -> Option<Stage> {
-    let Some(stage) = sight.stage else { return Some(Stage::Trial) };
+pub fn next_stage(stepping: StepPolicy, sight: &StepContext) -> Option<RolloutStage> {
+    let Some(stage) = sight.stage else { return Some(RolloutStage::Trial) };
     if stage.ends() {
         return None;
     }
     if sight.bad {
-        return Some(Stage::RolledBack);
+        return Some(RolloutStage::RolledBack);
     }
     let late = sight.since_order_ms + ROOM_MS >= sight.duration_ms;
     let first_shift = sight.since_stage_ms >= FIRST_SHIFT_MS;
     match (stage, stepping) {
-        (Stage::Shift(100), _) => sight.moved().then_some(Stage::Completed),
-        (Stage::Trial, Stepping::Late) if sight.since_order_ms >= sight.shift_at() => {
+        (RolloutStage::Shift(100), _) => sight.moved().then_some(RolloutStage::Completed),
+        (RolloutStage::Trial, StepPolicy::Late) if sight.since_order_ms >= sight.shift_at() => {
             let time = sight.since_order_ms + SHIFT_LEAST_MS <= sight.duration_ms;
-            let shift = (time && sight.may_shift()).then_some(Stage::Shift(FIRST_SHIFT));
-            shift.or(late.then_some(Stage::RolledBack))
+            let shift = (time && sight.may_shift()).then_some(RolloutStage::Shift(FIRST_SHIFT));
+            shift.or(late.then_some(RolloutStage::RolledBack))
         }
-        (Stage::Trial, Stepping::Late) => None,
-        (_, Stepping::Late) => {
+        (RolloutStage::Trial, StepPolicy::Late) => None,
+        (_, StepPolicy::Late) => {
             // A route with few requests may not have been tried before; now it is.
             let goes_on = first_shift && sight.routes_trusted;
-            let shift = goes_on.then_some(Stage::Shift(100));
-            shift.or(late.then_some(Stage::RolledBack))
+            let shift = goes_on.then_some(RolloutStage::Shift(100));
+            shift.or(late.then_some(RolloutStage::RolledBack))
         }
-        (stage, Stepping::Fixed) => fixed(sight, stage),
+        (stage, StepPolicy::Fixed) => fixed(sight, stage),
     }
 }
 
-fn fixed(sight: &Sight, stage: Stage) -> Option<Stage> {
+fn fixed(sight: &StepContext, stage: RolloutStage) -> Option<RolloutStage> {
     let step = sight.shift_at() / (FIXED.len() as u64 + 1);
     let steps = (sight.since_order_ms / step.max(1)) as usize;
     let percent = match steps {
         0 => return None,
         steps => FIXED.get(steps - 1).copied().unwrap_or(100),
     };
-    let next = Stage::Shift(percent);
+    let next = RolloutStage::Shift(percent);
     (next != stage && sight.slots.0 > 0).then_some(next)
 }
--- a/elmstream_steer/src/routes.rs
+++ b/elmstream_steer/src/routes.rs
@@ -41,7 +41,7 @@
 /// The service that a request of a route goes to; `draw` decides by weight.
 pub fn service(route: &Route, draw: u64) -> &str {
     let total: f64 = route.parts.iter().map(|part| part.weight).sum();
-    let mut left = hash::unit(draw) * total;
+    let mut left = hash::unit_interval(draw) * total;
     let mut last = "";
     for part in route.parts.iter().filter(|part| part.weight > 0.0) {
         last = &part.service;
--- a/elmstream_steer/src/server.rs
+++ b/elmstream_steer/src/server.rs
@@ -2,7 +2,7 @@
 
 use elmstream::time::{MILLI, SECOND, Time};
 
-use crate::{hash, model::Server, rollout::Standing, server_limit::Limited};
+use crate::{hash, model::Server, rollout::RolloutRole, server_limit::ServerLimit};
 
 /// Weight of one more answer in the mean of answer times.
 const MEAN_WEIGHT: f64 = 0.05;
@@ -49,7 +49,7 @@
 
 /// A backend server.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Its id, anew at each start.
     pub id: String,
     /// Hash of the id.
@@ -92,7 +92,7 @@
     /// Requests that it last said to have, and when.
     told: Option<(u32, Time)>,
     /// The limit that it names, and this host's part in it.
-    pub limited: Limited,
+    pub limited: ServerLimit,
     /// Whether it said that it is about to leave.
     pub leaving: bool,
     /// It wants nothing from this host until then.
@@ -108,7 +108,7 @@
     /// Since when it is known.
     pub known: Time,
     /// Whether it may get requests while its service is rolled out.
-    pub standing: Standing,
+    pub standing: RolloutRole,
 }
 
 /// What became of a request at a server.
@@ -169,7 +169,7 @@
 
 /// Answer times of one service.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct AnswerTimes {
     /// Mean answer time, in milliseconds.
     pub mean_ms: f64,
     /// The same of servers that were taken to know the key.
@@ -178,9 +178,9 @@
     pub unknowing_ms: f64,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace {
+impl Default for AnswerTimes {
+    fn default() -> AnswerTimes {
+        AnswerTimes {
             mean_ms: FIRST_GUESS_MS,
             knowing_ms: FIRST_GUESS_MS,
             unknowing_ms: FIRST_GUESS_MS * UNKNOWING,
@@ -188,7 +188,7 @@
     }
 }
 
-impl Pace {
+impl AnswerTimes {
     /// Takes an answer time in; how long it was against the service's mean of its kind.
     fn learn(&mut self, millis: f64, knew: bool) -> f64 {
         self.mean_ms += (millis - self.mean_ms) * MEAN_WEIGHT;
@@ -199,10 +199,10 @@
     }
 }
 
-impl Entry {
+impl ServerEntry {
     /// A server that has just come up in the store.
-    pub fn new(now: Time, id: &str, server: &Server, region: &str) -> Entry {
-        let mut entry = Entry {
+    pub fn new(now: Time, id: &str, server: &Server, region: &str) -> ServerEntry {
+        let mut entry = ServerEntry {
             id: id.to_owned(),
             hash: hash::of(id),
             server: server.clone(),
@@ -224,7 +224,7 @@
             down_until: Time(0),
             refused_until: Time(0),
             told: None,
-            limited: Limited::default(),
+            limited: ServerLimit::default(),
             leaving: false,
             rests_until: Time(0),
             failing: 0.0,
@@ -232,7 +232,7 @@
             judged: now,
             lapses: None,
             known: now,
-            standing: Standing::Free,
+            standing: RolloutRole::Free,
         };
         entry.keep_cold(now, server.cold_ms);
         entry
@@ -272,7 +272,7 @@
     }
 
     /// Whether this host waits for answers of it in vain, or lately did.
-    pub fn silent(&self, now: Time, pace: Pace) -> bool {
+    pub fn silent(&self, now: Time, pace: AnswerTimes) -> bool {
         let patience = (pace.mean_ms * SILENT_MEANS) as u64 * MILLI;
         let patience = patience.clamp(SILENT_MIN, SILENT_MAX);
         self.waiting_since.is_some_and(|since| now.since(since) > patience) || self.suspect(now)
@@ -312,7 +312,7 @@
     /// An answer to any host shows that the server runs, so one lost answer does not
     /// take it from anybody. One host's word alone does not count either: the way from
     /// that host may be cut.
-    pub fn shunned(&self, now: Time, pace: Pace, hosts: usize) -> bool {
+    pub fn shunned(&self, now: Time, pace: AnswerTimes, hosts: usize) -> bool {
         if self.silent(now, pace) {
             return self.answers_elsewhere == 0 || self.unanswered >= CUT_OFF;
         }
@@ -370,12 +370,12 @@
     pub fn start(&self) -> u64 {
         match self.server.born {
             0 => self.hash,
-            born => hash::pair(self.hash, born),
+            born => hash::combine(self.hash, born),
         }
     }
 
     /// Takes in what became of a request that was sent.
-    pub fn done(&mut self, now: Time, outcome: Outcome, pace: &mut Pace) {
+    pub fn done(&mut self, now: Time, outcome: Outcome, pace: &mut AnswerTimes) {
         self.own = self.own.saturating_sub(1);
         match outcome {
             Outcome::Answered { micros, knew } => {
@@ -428,7 +428,7 @@
 
     /// Whether it has fallen silent, or takes no connections; some if that has turned
     /// since this was last asked.
-    pub fn turned(&mut self, now: Time, pace: Pace) -> Option<bool> {
+    pub fn turned(&mut self, now: Time, pace: AnswerTimes) -> Option<bool> {
         let silent = self.silent(now, pace) || self.failures > 1;
         let turned = silent != self.was_silent;
         self.was_silent = silent;
--- a/elmstream_steer/src/server_limit.rs
+++ b/elmstream_steer/src/server_limit.rs
@@ -6,7 +6,7 @@
 //! nobody asks is lost. Whoever is told a limit by the server tells the other hosts.
 //!
 //! In a window each sender sends its part of the limit and one request more, which it had
-//! saved up. With the senders that [`senders`] names that is 3 + 5.5 x limit in
+//! saved up. With the senders that [`sender_count`] names that is 3 + 5.5 x limit in
 //! four seconds, where 5 + 6 x limit are allowed: what is left is for senders that change. If
 //! each host sent its part, each would save up one request, and a large fleet would send
 //! more than is allowed.
@@ -38,13 +38,13 @@
 
 /// Requests a second that a backend server takes from all hosts together.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, PartialOrd, Serialize)]
-pub struct PerSecond(f64);
+pub struct RequestRate(f64);
 
-impl PerSecond {
+impl RequestRate {
     /// Reads a decimal number; none if it is not one, or below 0.
-    pub fn parse(text: &str) -> Option<PerSecond> {
+    pub fn parse(text: &str) -> Option<RequestRate> {
         let number: f64 = text.trim().parse().ok()?;
-        (number.is_finite() && number >= 0.0).then_some(PerSecond(number))
+        (number.is_finite() && number >= 0.0).then_some(RequestRate(number))
     }
 
     /// The number.
@@ -55,13 +55,13 @@
 
 /// What a server last said to a host, as that tells the others.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct LimitTold {
+pub struct LimitNotice {
     /// Hash of the server's id, cut to 32 bits.
     pub server: u32,
     /// Hash of its start, cut to 32 bits.
     pub start: u32,
     /// The limit; none if it names none any more.
-    pub limit: Option<PerSecond>,
+    pub limit: Option<RequestRate>,
     /// Time since it said so, in milliseconds.
     pub age_ms: u16,
 }
@@ -69,14 +69,14 @@
 /// How many hosts send to a server with a limit, if this host hears a part of the fleet.
 ///
 /// The hosts that it does not hear may have been cut off and have senders of their own.
-pub fn senders(limit: PerSecond, part: f64) -> usize {
+pub fn sender_count(limit: RequestRate, part: f64) -> usize {
     ((limit.0 * SENDERS_PER_S + SENDERS) * part).max(1.0) as usize
 }
 
 /// What a host knows of one server's limit, and what it may send there itself.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Limited {
-    limit: Option<PerSecond>,
+pub struct ServerLimit {
+    limit: Option<RequestRate>,
     /// When the server last said so to any host.
     said: Time,
     /// When it last said so to this host, if that has to be told.
@@ -89,9 +89,9 @@
     last: Time,
 }
 
-impl Limited {
+impl ServerLimit {
     /// The limit in force.
-    pub fn limit(&self) -> Option<PerSecond> {
+    pub fn limit(&self) -> Option<RequestRate> {
         self.limit
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// The server said this in an answer to this host; whether it is new.
-    pub fn hear(&mut self, now: Time, limit: Option<PerSecond>) -> bool {
+    pub fn hear(&mut self, now: Time, limit: Option<RequestRate>) -> bool {
         let new = self.learn(limit, now);
         if self.limit == limit && (new || limit.is_some()) {
             self.own = Some(now);
@@ -127,7 +127,7 @@
     }
 
     /// Another host was told this by the server; whether it is new.
-    pub fn hear_of(&mut self, now: Time, told: &LimitTold) -> bool {
+    pub fn hear_of(&mut self, now: Time, told: &LimitNotice) -> bool {
         let said = Time(now.0.saturating_sub(u64::from(told.age_ms) * MILLI));
         let new = self.learn(told.limit, said);
         if new {
@@ -137,7 +137,7 @@
         new
     }
 
-    fn learn(&mut self, limit: Option<PerSecond>, said: Time) -> bool {
+    fn learn(&mut self, limit: Option<RequestRate>, said: Time) -> bool {
         if limit == self.limit {
             self.said = self.said.max(said);
             return false;
@@ -156,16 +156,16 @@
     }
 
     /// What the other hosts have to know; `hash` and `start` are the server's.
-    pub fn tell(&self, now: Time, hash: u64, start: u64) -> Option<LimitTold> {
+    pub fn tell(&self, now: Time, hash: u64, start: u64) -> Option<LimitNotice> {
         let age = now.since(self.own.filter(|own| now.since(*own) < TELL)?);
         let (server, start) = (hash as u32, start as u32);
-        Some(LimitTold { server, start, limit: self.limit, age_ms: (age / MILLI) as u16 })
+        Some(LimitNotice { server, start, limit: self.limit, age_ms: (age / MILLI) as u16 })
     }
 
     /// Forgets a limit that nobody has heard for long.
     pub fn forget(&mut self, now: Time) {
         if self.limit.is_some() && now.since(self.said) >= FORGET {
-            *self = Limited { said: now, ..Limited::default() };
+            *self = ServerLimit { said: now, ..ServerLimit::default() };
         }
     }
 
@@ -181,10 +181,10 @@
 
     /// Finds out whether this host is a sender; `own` is the hash of its address, `part` the
     /// part of the fleet that it hears.
-    pub fn pick(&mut self, now: Time, own: u64, among: &[Candidate], server: u64, part: f64) {
+    pub fn pick(&mut self, now: Time, own: u64, among: &[SenderCandidate], server: u64, part: f64) {
         self.picked = Some(now);
         let Some(limit) = self.limit else { return };
-        let Some(share) = share(own, among, server, senders(limit, part)) else {
+        let Some(share) = share(own, among, server, sender_count(limit, part)) else {
             self.spacing = None;
             return;
         };
@@ -192,7 +192,7 @@
         let spacing = (SECOND as f64 / rate) as u64;
         if self.spacing.is_none() {
             // Senders begin at different times, not all of them at once.
-            let saved = spacing as f64 * hash::unit(hash::pair(own, server));
+            let saved = spacing as f64 * hash::unit_interval(hash::combine(own, server));
             self.last = self.last.max(Time(now.0.saturating_sub(saved as u64)));
         }
         self.spacing = Some(spacing);
@@ -201,7 +201,7 @@
 
 /// A host that may become a sender.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate {
+pub struct SenderCandidate {
     /// Hash of its address.
     pub place: u64,
     /// How much it is asked, against the others; none for 0.
@@ -214,7 +214,7 @@
 ///
 /// `near` hosts are in the server's region and go before all others that are asked as much:
 /// it is them whose requests meet the server.
-pub fn weight(asked: u32, most: u32, near: bool) -> f64 {
+pub fn sender_weight(asked: u32, most: u32, near: bool) -> f64 {
     let step = match u64::from(most) {
         most if most < FEW_ASKED => 64.0,
         most if u64::from(asked) * 4 >= most => 64.0,
@@ -226,10 +226,11 @@
 }
 
 /// The part of a host among the senders, which are drawn by weight; none if it is not one.
-fn share(own: u64, among: &[Candidate], server: u64, senders: usize) -> Option<f64> {
+fn share(own: u64, among: &[SenderCandidate], server: u64, senders: usize) -> Option<f64> {
     // Weighted rendezvous hashing.
-    let rank = |candidate: &Candidate| {
-        let draw = hash::unit(hash::pair(candidate.place, server)).max(f64::MIN_POSITIVE);
+    let rank = |candidate: &SenderCandidate| {
+        let draw =
+            hash::unit_interval(hash::combine(candidate.place, server)).max(f64::MIN_POSITIVE);
         -draw.ln() / candidate.weight
     };
     let me = among.iter().find(|candidate| candidate.place == own && candidate.weight > 0.0)?;
--- a/elmstream_steer/src/servers.rs
+++ b/elmstream_steer/src/servers.rs
@@ -6,46 +6,46 @@
 use rustc_hash::FxHashMap;
 
 use crate::model::Server;
-pub use crate::server::{Entry, Outcome, Pace};
+pub use crate::server::{AnswerTimes, Outcome, ServerEntry};
 
 /// Place of a server in the table.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Index(pub usize);
+pub struct ServerIndex(pub usize);
 
 /// All backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
-    entries: FxHashMap<usize, Entry>,
-    by_id: HashMap<String, Index>,
-    by_hash: FxHashMap<u32, Index>,
-    by_service: HashMap<String, Vec<Index>>,
-    paces: HashMap<String, Pace>,
+    entries: FxHashMap<usize, ServerEntry>,
+    by_id: HashMap<String, ServerIndex>,
+    by_hash: FxHashMap<u32, ServerIndex>,
+    by_service: HashMap<String, Vec<ServerIndex>>,
+    paces: HashMap<String, AnswerTimes>,
     next: usize,
 }
 
 impl ServerTable {
     /// A server by its place.
-    pub fn get(&self, index: Index) -> Option<&Entry> {
+    pub fn get(&self, index: ServerIndex) -> Option<&ServerEntry> {
         self.entries.get(&index.0)
     }
 
     /// A server by its place, to be changed.
-    pub fn get_mut(&mut self, index: Index) -> Option<&mut Entry> {
+    pub fn get_mut(&mut self, index: ServerIndex) -> Option<&mut ServerEntry> {
         self.entries.get_mut(&index.0)
     }
 
     /// Place of a server by its id.
-    pub fn find(&self, id: &str) -> Option<Index> {
+    pub fn find(&self, id: &str) -> Option<ServerIndex> {
         self.by_id.get(id).copied()
     }
 
     /// Place of a server by the hash of its id, cut to 32 bits.
-    pub fn place(&self, hash: u32) -> Option<Index> {
+    pub fn place(&self, hash: u32) -> Option<ServerIndex> {
         self.by_hash.get(&hash).copied()
     }
 
     /// A server by the hash of its id, cut to 32 bits, to be changed.
-    pub fn by_hash(&mut self, hash: u32) -> Option<&mut Entry> {
+    pub fn by_hash(&mut self, hash: u32) -> Option<&mut ServerEntry> {
         let index = self.by_hash.get(&hash)?;
         self.entries.get_mut(&index.0)
     }
@@ -57,28 +57,28 @@
     }
 
     /// Servers of a service.
-    pub fn of(&self, service: &str) -> impl Iterator<Item = (Index, &Entry)> {
+    pub fn of(&self, service: &str) -> impl Iterator<Item = (ServerIndex, &ServerEntry)> {
         let places = self.by_service.get(service).into_iter().flatten();
         places.filter_map(|index| Some((*index, self.get(*index)?)))
     }
 
     /// All servers.
-    pub fn all(&self) -> impl Iterator<Item = (Index, &Entry)> {
-        self.entries.iter().map(|(index, entry)| (Index(*index), entry))
+    pub fn all(&self) -> impl Iterator<Item = (ServerIndex, &ServerEntry)> {
+        self.entries.iter().map(|(index, entry)| (ServerIndex(*index), entry))
     }
 
     /// All servers, to be changed.
-    pub fn all_mut(&mut self) -> impl Iterator<Item = &mut Entry> {
+    pub fn all_mut(&mut self) -> impl Iterator<Item = &mut ServerEntry> {
         self.entries.values_mut()
     }
 
     /// All servers with their places, to be changed.
-    pub fn all_mut_indexed(&mut self) -> impl Iterator<Item = (Index, &mut Entry)> {
-        self.entries.iter_mut().map(|(index, entry)| (Index(*index), entry))
+    pub fn all_mut_indexed(&mut self) -> impl Iterator<Item = (ServerIndex, &mut ServerEntry)> {
+        self.entries.iter_mut().map(|(index, entry)| (ServerIndex(*index), entry))
     }
 
     /// Answer times of a service.
-    pub fn pace(&self, service: &str) -> Pace {
+    pub fn pace(&self, service: &str) -> AnswerTimes {
         self.paces.get(service).copied().unwrap_or_default()
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Takes a server in as the store has it now.
-    pub fn put(&mut self, now: Time, id: &str, server: &Server, region: &str) -> Index {
+    pub fn put(&mut self, now: Time, id: &str, server: &Server, region: &str) -> ServerIndex {
         if let Some(index) = self.find(id)
             && let Some(entry) = self.entries.get_mut(&index.0)
         {
@@ -104,9 +104,9 @@
             entry.keep_cold(now, server.cold_ms);
             return index;
         }
-        let index = Index(self.next);
+        let index = ServerIndex(self.next);
         self.next += 1;
-        let entry = Entry::new(now, id, server, region);
+        let entry = ServerEntry::new(now, id, server, region);
         self.by_hash.insert(entry.hash as u32, index);
         self.by_id.insert(id.to_owned(), index);
         self.by_service.entry(server.service.clone()).or_default().push(index);
@@ -125,7 +125,7 @@
     }
 
     /// Takes in what became of a request that was sent.
-    pub fn done(&mut self, now: Time, index: Index, outcome: Outcome) {
+    pub fn done(&mut self, now: Time, index: ServerIndex, outcome: Outcome) {
         let Some(entry) = self.entries.get_mut(&index.0) else { return };
         let pace = self.paces.entry(entry.server.service.clone()).or_default();
         entry.done(now, outcome, pace);
--- a/elmstream_steer/src/usage.rs
+++ b/elmstream_steer/src/sliding_window.rs
@@ -9,13 +9,13 @@
 
 /// Requests in a sliding window.
 #[derive(Clone, Debug, Default)]
-pub struct Usage {
+pub struct SlidingWindow {
     counts: [u32; PARTS + 1],
     /// Number of the part that was counted in last, since the beginning of time.
     last: u64,
 }
 
-impl Usage {
+impl SlidingWindow {
     /// One more request; `window` is in microseconds and the same in each call.
     pub fn add(&mut self, now: Time, window: u64) {
         self.change(now, window, 1);
--- a/elmstream_steer/src/start.rs
+++ b/elmstream_steer/src/startup.rs
@@ -19,16 +19,16 @@
 const SEEN_BY: u64 = 200 * MILLI;
 /// Time for which the other hosts wait to be told: a reading of the store by the first
 /// ones (300 ms on a thin link) and two hands of 150 ms.
-pub const TOLD_BY: u64 = 600 * MILLI;
+pub const PEER_WAIT_MAX: u64 = 600 * MILLI;
 /// Those whom nobody has told by then ask the store this far apart, within a time that
 /// does not grow with the fleet.
 const APART: u64 = 5 * MILLI;
 /// Longest time by which they are apart.
-pub const SPREAD: u64 = 300 * MILLI;
+pub const READ_SPREAD: u64 = 300 * MILLI;
 
 /// What a host that has just started goes by.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct StartupContext {
     /// When it started.
     pub began: Time,
     /// Whether others ask it first, or it knows of no others.
@@ -41,7 +41,7 @@
     pub draw: f64,
 }
 
-impl Start {
+impl StartupContext {
     /// Whether the host asks the store itself by now.
     pub fn due(&self, now: Time) -> bool {
         let waited = now.since(self.began);
@@ -51,7 +51,7 @@
         if self.draw < FIRST_PART {
             return self.untold || waited >= SEEN_BY;
         }
-        let apart = (self.hosts * APART).min(SPREAD) as f64 * self.draw;
-        waited >= TOLD_BY + apart as u64
+        let apart = (self.hosts * APART).min(READ_SPREAD) as f64 * self.draw;
+        waited >= PEER_WAIT_MAX + apart as u64
     }
 }
--- a/elmstream_steer/src/steer.rs
+++ b/elmstream_steer/src/steer.rs
@@ -1,6 +1,6 @@
 //! The decisions of one host, and its requests.
 //!
-//! `reading` takes in the store, `hearing` the other hosts.
+//! `store_reads` takes in the store, `gossip` the other hosts.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -13,31 +13,31 @@
 
 use crate::{
     budget::Budgets,
-    calls::Calls,
-    choose::{self, Ask, Choice, Scene},
-    demand::{Count, Division},
     digest::RequestDigest,
-    era::Holds,
-    harm::{Harms, Turn},
+    era::Retention,
     hash,
-    leaving::Leavings,
-    lookup::{self, Ready},
+    host_registry::Registry,
+    leaving::LeavingServers,
+    lookup::{self, ReadyHost},
     members::Members,
     model::{Limits, Route},
-    quota::{self, Quotas, Ruling},
-    readers::FAR_MS,
-    registry::Registry,
-    returns::Returns,
-    rolling::Rollouts,
-    rollout::{Arm, Stage},
+    pick::{self, Pick, PickContext, PickRequest},
+    poison::{PoisonChange, PoisonTracker},
+    quota::{self, QuotaDecision, Quotas},
+    reader_rank::FAR_MS,
+    region_shares::{DecayingCount, RegionShares},
+    returning_callers::ReturningCallers,
+    rollout::{RolloutArm, RolloutStage},
+    rollout_control::Rollouts,
     routes::RouteTable,
-    servers::{Index, Outcome, ServerTable},
+    servers::{Outcome, ServerIndex, ServerTable},
     settings::{Bounds, Settings},
-    tally::Heard,
+    store_schedule::StoreSchedule,
+    tally::FleetView,
     version::StoreVersion,
-    view::{Key, NEEDED, Table, View},
-    warmth::Warmth,
-    workspaces::{Denial, Member, Shown, WorkspaceTable},
+    view::{REQUIRED_TABLES, RowKey, Table, View},
+    warm_keys::WarmKeys,
+    workspaces::{Denial, PresentedKey, WorkspaceEntry, WorkspaceTable},
 };
 
 /// Part of a rest by which it is longer at most.
@@ -58,28 +58,29 @@
     pub(crate) evacuated: BTreeSet<String>,
     pub(crate) cold: HashMap<String, (u64, f64)>,
     pub(crate) servers: ServerTable,
-    pub(crate) leavings: Leavings,
-    pub(crate) counts: HashMap<String, Count>,
-    pub(crate) divisions: HashMap<String, Division>,
+    pub(crate) leavings: LeavingServers,
+    pub(crate) counts: HashMap<String, DecayingCount>,
+    pub(crate) divisions: HashMap<String, RegionShares>,
     pub(crate) divided: Time,
-    pub(crate) warmth: Warmth,
+    pub(crate) warmth: WarmKeys,
     pub(crate) members: Members,
     pub(crate) budgets: Budgets,
-    pub(crate) harms: Harms,
-    pub(crate) returns: Returns,
+    pub(crate) harms: PoisonTracker,
+    pub(crate) returns: ReturningCallers,
     pub(crate) rollouts: Rollouts,
     pub(crate) number: u64,
-    pub(crate) calls: Calls,
+    pub(crate) calls: StoreSchedule,
     pub(crate) registry: Registry,
     /// Whether hosts that start ask this one first.
     pub(crate) asked_first: bool,
     /// Whether a host that this one asked could tell it nothing.
     pub(crate) untold: bool,
     /// News of each table that others know and this host lacks.
-    pub(crate) behind: [Option<Told>; 3],
+    pub(crate) behind: [Option<PendingNews>; 3],
     /// Version of each table that this host has itself read the store up to.
     pub(crate) covered: [StoreVersion; 3],
-    /// What hosts told of that holds on from an earlier era, as [`crate::beat::Known::held`] names it.
+    /// What hosts told of that holds on from an earlier era, as
+    /// [`crate::heartbeat::TableStatus::held`] names it.
     pub(crate) held_taken: HashSet<u32>,
     pub(crate) store_ms: u16,
     pub(crate) ready: bool,
@@ -101,7 +102,7 @@
 
 /// News that another host told of.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Told {
+pub(crate) struct PendingNews {
     /// Version of the table that the other host knows.
     pub(crate) version: StoreVersion,
     /// When it was first told.
@@ -110,20 +111,20 @@
 
 /// What a change of the view brought about, for logs.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum StateChange {
     /// A configuration is in force.
     Configuration(u64),
     /// A failure domain is evacuated, or taken back.
     Evacuation(String, bool),
     /// A server came, changed, left or fell silent.
-    Server(String, State),
+    Server(String, ServerState),
     /// A host is no longer heard of.
     HostLost(String),
     /// The store has come back from a copy.
-    StoreReturned(Returned),
+    StoreReturned(StoreRestored),
     /// What held on from an earlier era of the store does no longer; what the store says is
     /// in force.
-    HoldEnded(Key),
+    HoldEnded(RowKey),
     /// A service is to be rolled out to a version, or that has come so far.
     Rollout {
         /// The service.
@@ -131,13 +132,13 @@
         /// The version; none if the order was taken back.
         target: Option<String>,
         /// How far it has come; none if it has not begun.
-        stage: Option<Stage>,
+        stage: Option<RolloutStage>,
     },
 }
 
 /// What a host found as it first knew a table of a new era of the store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Returned {
+pub struct StoreRestored {
     /// The table.
     pub table: Table,
     /// Version up to which the table was known in the era before.
@@ -147,12 +148,12 @@
     /// Rows that are in force in another way since.
     pub changed: usize,
     /// Rows that hold on against what the store says.
-    pub held: Vec<Key>,
+    pub held: Vec<RowKey>,
 }
 
 /// What a host believes of a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum State {
+pub enum ServerState {
     /// The store lists it.
     Ready,
     /// It is about to leave.
@@ -171,18 +172,18 @@
     Answers,
 }
 
-impl State {
+impl ServerState {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            State::Ready => "ready",
-            State::Draining => "draining",
-            State::Lapsed => "lapsed",
-            State::Gone => "gone",
-            State::Unreadable => "unreadable",
-            State::Restarted => "restarted",
-            State::Silent => "silent",
-            State::Answers => "answers",
+            ServerState::Ready => "ready",
+            ServerState::Draining => "draining",
+            ServerState::Lapsed => "lapsed",
+            ServerState::Gone => "gone",
+            ServerState::Unreadable => "unreadable",
+            ServerState::Restarted => "restarted",
+            ServerState::Silent => "silent",
+            ServerState::Answers => "answers",
         }
     }
 }
@@ -191,9 +192,9 @@
     /// A host that has just started and knows nothing.
     pub fn new(settings: Settings, now: Time) -> Steer {
         let hash = hash::of(&settings.host.name);
-        let reader = hash::pair(hash, settings.incarnation);
+        let reader = hash::combine(hash, settings.incarnation);
         let members = Members::new(&settings.host.region);
-        let place = hash::place(settings.host.peers);
+        let place = hash::address(settings.host.peers);
         Steer {
             settings,
             hash,
@@ -206,18 +207,18 @@
             evacuated: BTreeSet::new(),
             cold: HashMap::new(),
             servers: ServerTable::default(),
-            leavings: Leavings::default(),
+            leavings: LeavingServers::default(),
             counts: HashMap::new(),
             divisions: HashMap::new(),
             divided: Time(0),
-            warmth: Warmth::default(),
+            warmth: WarmKeys::default(),
             members,
             budgets: Budgets::new(reader),
-            harms: Harms::default(),
-            returns: Returns::default(),
+            harms: PoisonTracker::default(),
+            returns: ReturningCallers::default(),
             rollouts: Rollouts::new(reader),
             number: 0,
-            calls: Calls::default(),
+            calls: StoreSchedule::default(),
             registry: Registry::default(),
             asked_first: false,
             untold: false,
@@ -238,7 +239,7 @@
     }
 
     /// What an earlier era of the store said holds on for other times than usual.
-    pub fn set_holds(&mut self, holds: Holds) {
+    pub fn set_holds(&mut self, holds: Retention) {
         self.view.set_holds(holds);
     }
 
@@ -321,23 +322,23 @@
         &self,
         now: Time,
         route: &Route,
-        shown: Shown,
-    ) -> Result<Option<Rc<Member>>, Denial> {
+        shown: PresentedKey,
+    ) -> Result<Option<Rc<WorkspaceEntry>>, Denial> {
         self.workspaces.admit(route, shown, self.vouches(now))
     }
 
     /// Rules on a request of a workspace by its limit, and counts it if it is within.
-    pub fn rule(&mut self, now: Time, member: &Member) -> Ruling {
+    pub fn rule(&mut self, now: Time, member: &WorkspaceEntry) -> QuotaDecision {
         self.with_quotas(now, |quotas, scene, _| quotas.rule(scene, member))
     }
 
     /// A request that was within its limit is sent to one more server.
-    pub fn sent_again(&mut self, now: Time, member: &Member) {
+    pub fn sent_again(&mut self, now: Time, member: &WorkspaceEntry) {
         self.with_quotas(now, |quotas, scene, _| quotas.sent_again(scene, member));
     }
 
     /// A request that was within its limit was run by no server.
-    pub fn not_run(&mut self, now: Time, member: &Member) {
+    pub fn not_run(&mut self, now: Time, member: &WorkspaceEntry) {
         self.with_quotas(now, |quotas, scene, _| quotas.not_run(scene, member));
     }
 
@@ -350,12 +351,12 @@
     pub(crate) fn with_quotas<T>(
         &mut self,
         now: Time,
-        act: impl FnOnce(&mut Quotas, &quota::Scene<'_>, &WorkspaceTable) -> T,
+        act: impl FnOnce(&mut Quotas, &quota::QuotaContext<'_>, &WorkspaceTable) -> T,
     ) -> T {
-        let scene = quota::Scene {
+        let scene = quota::QuotaContext {
             now,
             bounds: &self.settings.bounds,
-            heard: Heard { known: self.fleet, live: self.heard, near: self.near },
+            heard: FleetView { known: self.fleet, live: self.heard, near: self.near },
             hosts_known: self.registry.known(),
             places: &self.places,
         };
@@ -365,14 +366,15 @@
     // Requests.
 
     /// Chooses the server of a request and counts it as sent.
-    pub fn send(&mut self, now: Time, ask: &Ask<'_>) -> Choice {
+    pub fn send(&mut self, now: Time, ask: &PickRequest<'_>) -> Pick {
         let arm = self.arm(now, ask);
         let mut choice = self.choose(now, ask, arm);
-        let falls_back = matches!(arm, Arm::Canary | Arm::Target) && !self.has_left(ask.service);
-        if matches!(choice, Choice::Refuse(_)) && falls_back {
-            choice = self.choose(now, ask, Arm::Old);
+        let falls_back =
+            matches!(arm, RolloutArm::Canary | RolloutArm::Target) && !self.has_left(ask.service);
+        if matches!(choice, Pick::Refuse(_)) && falls_back {
+            choice = self.choose(now, ask, RolloutArm::Old);
         }
-        if let Choice::Send(index) = choice
+        if let Pick::Send(index) = choice
             && let Some(entry) = self.servers.get_mut(index)
         {
             entry.sent(now);
@@ -381,10 +383,10 @@
         choice
     }
 
-    fn choose(&self, now: Time, ask: &Ask<'_>, arm: Arm) -> Choice {
+    fn choose(&self, now: Time, ask: &PickRequest<'_>, arm: RolloutArm) -> Pick {
         let host = &self.settings.host;
-        let empty = Division::default();
-        let scene = Scene {
+        let empty = RegionShares::default();
+        let scene = PickContext {
             arm,
             now,
             started: self.started,
@@ -396,23 +398,23 @@
             division: self.divisions.get(ask.service).unwrap_or(&empty),
             warmth: &self.warmth,
         };
-        choose::choose(&scene, ask)
+        pick::pick_server(&scene, ask)
     }
 
     /// Takes in what became of a request that was sent.
-    pub fn done(&mut self, now: Time, index: Index, outcome: Outcome) {
+    pub fn done(&mut self, now: Time, index: ServerIndex, outcome: Outcome) {
         self.servers.done(now, index, outcome);
     }
 
     /// Takes in what a server said of its load.
-    pub fn tell(&mut self, now: Time, index: Index, requests: u32) {
+    pub fn tell(&mut self, now: Time, index: ServerIndex, requests: u32) {
         if let Some(entry) = self.servers.get_mut(index) {
             entry.tell(now, requests);
         }
     }
 
     /// A server said in an answer that it is about to leave; whether that is new.
-    pub fn says_leaving(&mut self, now: Time, index: Index) -> bool {
+    pub fn says_leaving(&mut self, now: Time, index: ServerIndex) -> bool {
         let start = self.servers.get(index).map(|entry| entry.start());
         start.is_some_and(|start| self.learn_leaving(now, start).is_some())
     }
@@ -420,16 +422,16 @@
     /// Whether what a server has said since it was chosen still lets a request go there.
     ///
     /// A connection may take 0.4 s to come up.
-    pub fn lets_go(&self, now: Time, index: Index) -> bool {
+    pub fn lets_go(&self, now: Time, index: ServerIndex) -> bool {
         self.servers.get(index).is_some_and(|entry| !entry.leaving && !entry.rests(now))
     }
 
     /// A server turned a request away and wants nothing from this host for a time; whether
     /// it was not at rest before.
-    pub fn asks_for_rest(&mut self, now: Time, index: Index, rest: Duration) -> bool {
+    pub fn asks_for_rest(&mut self, now: Time, index: ServerIndex, rest: Duration) -> bool {
         let Some(entry) = self.servers.get_mut(index) else { return false };
         // Servers that turn all hosts away at once do not get them all back at once.
-        let draw = hash::unit(hash::pair(self.hash, entry.hash ^ now.0));
+        let draw = hash::unit_interval(hash::combine(self.hash, entry.hash ^ now.0));
         let spread = 1.0 + REST_SPREAD * draw;
         entry.rest(now, (rest.as_micros() as f64 * spread) as u64)
     }
@@ -438,7 +440,7 @@
     ///
     /// It counts as knowing it from then on, so that the key's next requests, from
     /// other hosts too, do not meet yet another server.
-    pub fn learn(&mut self, now: Time, index: Index, key: u64) -> bool {
+    pub fn learn(&mut self, now: Time, index: ServerIndex, key: u64) -> bool {
         let knew = self.warmth.knows(now, index, key);
         if let Some(entry) = self.servers.get(index) {
             self.warmth.learn(now, (index, entry.hash as u32), key);
@@ -447,7 +449,7 @@
     }
 
     /// Whether a server is taken to know a key.
-    pub fn knows(&self, now: Time, index: Index, key: u64) -> bool {
+    pub fn knows(&self, now: Time, index: ServerIndex, key: u64) -> bool {
         self.warmth.knows(now, index, key)
     }
 
@@ -481,12 +483,12 @@
     // Requests under which servers end.
 
     /// What is known of them.
-    pub fn harms(&self) -> &Harms {
+    pub fn harms(&self) -> &PoisonTracker {
         &self.harms
     }
 
     /// The same, to be changed; what other hosts must know is told by [`Steer::ended`].
-    pub fn harms_mut(&mut self) -> &mut Harms {
+    pub fn harms_mut(&mut self) -> &mut PoisonTracker {
         &mut self.harms
     }
 
@@ -499,10 +501,10 @@
         digest: RequestDigest,
         server: u64,
         known: u8,
-    ) -> Turn {
+    ) -> PoisonChange {
         self.leave_ended(now, server);
         let turn = self.harms.ended(now, unix_s, digest, server, known);
-        self.urgent |= turn != Turn::None;
+        self.urgent |= turn != PoisonChange::None;
         turn
     }
 
@@ -511,26 +513,26 @@
     /// Entry hosts for callers of a failure domain who want a host name.
     pub fn lookup(&self, now: Time, name: &str, domain: &str, region: &str) -> Vec<SocketAddr> {
         let own = &self.settings.host;
-        let mut hosts: Vec<Ready<'_>> = Vec::new();
+        let mut hosts: Vec<ReadyHost<'_>> = Vec::new();
         if self.serves() {
             let (domain, region) = (own.domain.as_str(), own.region.as_str());
-            hosts.push(Ready { callers: own.callers, domain, region });
+            hosts.push(ReadyHost { callers: own.callers, domain, region });
         }
         for member in self.members.live(now).filter(|member| member.ready && !member.leaving) {
             let host = &member.host;
             let (domain, region) = (host.domain.as_str(), host.region.as_str());
-            hosts.push(Ready { callers: host.callers, domain, region });
+            hosts.push(ReadyHost { callers: host.callers, domain, region });
         }
         let configuration = self.view.configuration();
         let routes = configuration.into_iter().flat_map(|configuration| &configuration.routes);
         let homes = routes.filter(|route| route.host == name).flat_map(|route| &route.homes);
         let homes: Vec<String> = homes.cloned().collect();
-        lookup::answer(&hosts, domain, region, &homes)
+        lookup::entry_hosts(&hosts, domain, region, &homes)
     }
 
     /// How old what is known of the store is, in microseconds.
     pub fn staleness(&self, now: Time) -> u64 {
-        let ages = NEEDED.map(|table| self.view.age(now, table).unwrap_or(60 * SECOND));
+        let ages = REQUIRED_TABLES.map(|table| self.view.age(now, table).unwrap_or(60 * SECOND));
         ages[0].max(ages[1])
     }
 }
--- a/elmstream_steer/src/reading.rs
+++ b/elmstream_steer/src/store_reads.rs
@@ -3,18 +3,18 @@
 use elmstream::time::{MILLI, Time};
 
 use crate::{
-    beat::Reading,
-    calls::{self, Scene, Why},
     era::LAPSE,
     hash,
+    heartbeat::StoreRead,
     model::Server,
-    readers::{self, Reader},
-    returning::AFTER_OUTAGE,
+    reader_rank::{self, RankedReader},
+    restore::AFTER_OUTAGE,
     routes::RouteTable,
-    start::Start,
-    steer::{Change, State, Steer, Told},
+    startup::StartupContext,
+    steer::{PendingNews, ServerState, StateChange, Steer},
+    store_schedule::{self, ReadContext, ReadReason},
     version::StoreVersion,
-    view::{Item, Key, Row, Table},
+    view::{Row, RowContent, RowKey, Table},
     workspaces::WorkspaceTable,
 };
 
@@ -31,7 +31,7 @@
 
 impl Steer {
     /// Whether this host has to ask the store for a table now, and why.
-    pub fn must_read(&self, now: Time, table: Table) -> Option<Why> {
+    pub fn must_read(&self, now: Time, table: Table) -> Option<ReadReason> {
         if self.rests(now, table) || table == Table::Rollouts && !self.rolls_out() {
             return None;
         }
@@ -41,32 +41,32 @@
     /// Whether no host has a reason to ask yet, whatever its rank. That is so most of the
     /// time, and a rank takes a look at all hosts.
     fn rests(&self, now: Time, table: Table) -> bool {
-        let first = readers::patience(table, 0, self.settings.bounds.configuration_ms);
+        let first = reader_rank::read_delay(table, 0, self.settings.bounds.configuration_ms);
         let young = self.view.age(now, table).is_some_and(|age| age < first);
         young && self.calls.served() && self.behind(table).is_none()
     }
 
     /// What the host goes by as long as it knows nothing.
-    pub(crate) fn start(&self) -> Start {
-        Start {
+    pub(crate) fn start(&self) -> StartupContext {
+        StartupContext {
             began: self.started,
             asked_first: self.asked_first || self.members.is_empty(),
             untold: self.untold,
             hosts: self.places.len() as u64,
-            draw: hash::unit(hash::pair(self.reader, START_SEED)),
+            draw: hash::unit_interval(hash::combine(self.reader, START_SEED)),
         }
     }
 
-    pub(crate) fn scene(&self, now: Time, table: Table) -> Scene {
+    pub(crate) fn scene(&self, now: Time, table: Table) -> ReadContext {
         let staying = self.members.live(now).filter(|member| !member.leaving);
         let served = staying.filter_map(|member| {
             let place = (member.host.domain.as_str(), member.host.region.as_str());
-            Some(Reader { host: member.hash, millis: member.store_ms?, place })
+            Some(RankedReader { host: member.hash, millis: member.store_ms?, place })
         });
         let place = (self.settings.host.domain.as_str(), self.settings.host.region.as_str());
-        let own = Reader { host: self.hash, millis: self.store_ms, place };
+        let own = RankedReader { host: self.hash, millis: self.store_ms, place };
         let ahead = match self.calls.served() && !self.leaving {
-            true => readers::rank(own, served),
+            true => reader_rank::rank(own, served),
             false => served.count() as u64,
         };
         let mark = self.view.mark(table);
@@ -77,10 +77,10 @@
             Table::Rollouts => mark.fresh.or(self.ordered_since()),
             Table::Rules | Table::Servers => mark.fresh,
         };
-        Scene {
+        ReadContext {
             fresh,
             start: self.start(),
-            draw: hash::unit(hash::pair(self.reader, stamp)),
+            draw: hash::unit_interval(hash::combine(self.reader, stamp)),
             ahead,
             hosts: self.live as u64,
             behind: behind.map(|told| told.at),
@@ -100,7 +100,7 @@
     }
 
     /// News of a table that this host was told of and still lacks.
-    fn behind(&self, table: Table) -> Option<Told> {
+    fn behind(&self, table: Table) -> Option<PendingNews> {
         self.behind[table as usize].filter(|told| told.version > self.knows_up_to(table))
     }
 
@@ -108,8 +108,14 @@
     /// up to `version`.
     ///
     /// That covers whatever other hosts told of before: they have it from the store.
-    pub fn store_answered(&mut self, table: Table, why: Why, asked: Time, version: StoreVersion) {
-        self.calls.answered(table, why == Why::Check);
+    pub fn store_answered(
+        &mut self,
+        table: Table,
+        why: ReadReason,
+        asked: Time,
+        version: StoreVersion,
+    ) {
+        self.calls.answered(table, why == ReadReason::Check);
         self.view.complete(table, version);
         let told = self.behind(table).filter(|told| told.at <= asked);
         let covered = &mut self.covered[table as usize];
@@ -125,12 +131,12 @@
 
     /// How long this host waits before it asks the store once more, in microseconds.
     pub fn store_pause(&self, now: Time) -> u64 {
-        calls::pause(self.live as u64, self.draw(now))
+        store_schedule::retry_pause(self.live as u64, self.draw(now))
     }
 
     /// A number from 0 up to 1 that differs by host and time.
     fn draw(&self, now: Time) -> f64 {
-        hash::unit(hash::pair(self.reader, now.0))
+        hash::unit_interval(hash::combine(self.reader, now.0))
     }
 
     /// Version of a table up to which this host knows all that matters.
@@ -150,7 +156,7 @@
         table: Table,
         version: StoreVersion,
         rows: Vec<Row>,
-    ) -> Vec<Change> {
+    ) -> Vec<StateChange> {
         self.read_all_of(now, now, table, version, rows)
     }
 
@@ -162,7 +168,7 @@
         table: Table,
         version: StoreVersion,
         rows: Vec<Row>,
-    ) -> Vec<Change> {
+    ) -> Vec<StateChange> {
         let before = self.view.mark(table).version;
         if version < before {
             return Vec::new();
@@ -190,7 +196,7 @@
         version: StoreVersion,
         mut rows: Vec<Row>,
     ) -> Vec<Row> {
-        let mut present: Vec<Key> = rows.iter().map(|row| row.key.clone()).collect();
+        let mut present: Vec<RowKey> = rows.iter().map(|row| row.key.clone()).collect();
         present.sort();
         let gone = self.view.missing(table, &present);
         rows.extend(gone.into_iter().map(|key| Row::new(key, version, None)));
@@ -198,7 +204,7 @@
     }
 
     /// Rows that the store says have changed.
-    pub fn read(&mut self, now: Time, table: Table, rows: Vec<Row>) -> Vec<Change> {
+    pub fn read(&mut self, now: Time, table: Table, rows: Vec<Row>) -> Vec<StateChange> {
         self.read_of(now, now, table, rows)
     }
 
@@ -210,9 +216,9 @@
         moment: Time,
         table: Table,
         rows: Vec<Row>,
-    ) -> Vec<Change> {
+    ) -> Vec<StateChange> {
         let changes = self.take(now, table, rows);
-        let reading = Reading { reader: self.reader, stamp: moment.0 / MILLI };
+        let reading = StoreRead { reader: self.reader, stamp: moment.0 / MILLI };
         // The store's counter also rises with what does not matter, so the table's
         // version is that of its last row that did.
         let mark = self.view.mark(table).version;
@@ -220,7 +226,7 @@
         changes
     }
 
-    pub(crate) fn take(&mut self, now: Time, table: Table, rows: Vec<Row>) -> Vec<Change> {
+    pub(crate) fn take(&mut self, now: Time, table: Table, rows: Vec<Row>) -> Vec<StateChange> {
         let before = self.view.age(now, Table::Servers);
         if table == Table::Servers && before.is_some_and(|age| age > OUTAGE) {
             self.lenient_until = now + AFTER_OUTAGE;
@@ -238,10 +244,10 @@
     }
 
     /// Brings the tables in line with a row of the view.
-    pub(crate) fn apply(&mut self, now: Time, key: &Key, changes: &mut Vec<Change>) {
+    pub(crate) fn apply(&mut self, now: Time, key: &RowKey, changes: &mut Vec<StateChange>) {
         let item = self.view.get(key).cloned();
         match (key, item) {
-            (Key::Configuration, Some(Item::Configuration(configuration))) => {
+            (RowKey::Configuration, Some(RowContent::Configuration(configuration))) => {
                 self.routes = RouteTable::new(&configuration);
                 let workspaces = WorkspaceTable::new(&configuration);
                 let before = std::mem::replace(&mut self.workspaces, workspaces);
@@ -249,9 +255,9 @@
                 let services = configuration.services.iter();
                 self.cold = services.map(|s| (s.name.clone(), (s.cold_ms, s.cold_per_s))).collect();
                 self.urgent = true;
-                changes.push(Change::Configuration(configuration.version));
+                changes.push(StateChange::Configuration(configuration.version));
             }
-            (Key::Evacuation(domain), item) => {
+            (RowKey::Evacuation(domain), item) => {
                 let begins = item.is_some();
                 self.urgent = true;
                 if begins {
@@ -259,55 +265,56 @@
                 } else if self.evacuated.remove(domain) {
                     self.take_back(now, domain);
                 }
-                changes.push(Change::Evacuation(domain.clone(), begins));
+                changes.push(StateChange::Evacuation(domain.clone(), begins));
             }
-            (Key::Rollout(service), item) => {
+            (RowKey::Rollout(service), item) => {
                 let order = match &item {
-                    Some(Item::Rollout(order)) => Some(order),
+                    Some(RowContent::Rollout(order)) => Some(order),
                     _ => None,
                 };
                 self.ordered(now, service, order);
                 let target = order.map(|order| order.target.clone());
                 let stage = self.rollout_stage(service);
-                changes.push(Change::Rollout { service: service.clone(), target, stage });
+                changes.push(StateChange::Rollout { service: service.clone(), target, stage });
             }
-            (Key::Progress(service), _) => {
+            (RowKey::Progress(service), _) => {
                 if let Some((target, stage)) = self.progressed(now, service) {
                     let (target, stage) = (Some(target), Some(stage));
-                    changes.push(Change::Rollout { service: service.clone(), target, stage });
+                    changes.push(StateChange::Rollout { service: service.clone(), target, stage });
                 }
             }
-            (Key::Server(id), Some(Item::Server(server))) => {
+            (RowKey::Server(id), Some(RowContent::Server(server))) => {
                 self.saw_version(now, &server.service, &server.version);
                 let region = self.settings.domains.get(&server.domain);
                 let region = region.cloned().unwrap_or_default();
                 if self.started_anew(id, &server) {
                     // Nothing that was learned of the one before holds for this one.
                     self.forget_start(id);
-                    changes.push(Change::Server(id.clone(), State::Restarted));
+                    changes.push(StateChange::Server(id.clone(), ServerState::Restarted));
                 }
                 let index = self.servers.put(now, id, &server, &region);
                 if let Some(entry) = self.servers.get_mut(index) {
                     // Its entry may have gone and come back, or be older than its word.
                     entry.leaving = self.leavings.knows(entry.start());
                 }
-                let state = if server.draining { State::Draining } else { State::Ready };
+                let state =
+                    if server.draining { ServerState::Draining } else { ServerState::Ready };
                 self.urgent |= server.draining;
-                changes.push(Change::Server(id.clone(), state));
+                changes.push(StateChange::Server(id.clone(), state));
             }
-            (Key::Server(id), Some(Item::Unreadable)) => {
+            (RowKey::Server(id), Some(RowContent::Unreadable)) => {
                 self.urgent = true;
                 self.remove(id);
-                changes.push(Change::Server(id.clone(), State::Unreadable));
+                changes.push(StateChange::Server(id.clone(), ServerState::Unreadable));
             }
-            (Key::Server(id), _) => {
+            (RowKey::Server(id), _) => {
                 if now < self.lenient_until
                     && let Some(index) = self.servers.find(id)
                     && let Some(entry) = self.servers.get_mut(index)
                     && !entry.departs()
                 {
                     entry.lapses = Some(now + LAPSE);
-                    changes.push(Change::Server(id.clone(), State::Lapsed));
+                    changes.push(StateChange::Server(id.clone(), ServerState::Lapsed));
                 } else {
                     self.drop_server(id, changes);
                 }
@@ -326,10 +333,10 @@
         })
     }
 
-    pub(crate) fn drop_server(&mut self, id: &str, changes: &mut Vec<Change>) {
+    pub(crate) fn drop_server(&mut self, id: &str, changes: &mut Vec<StateChange>) {
         self.urgent = true;
         self.remove(id);
-        changes.push(Change::Server(id.to_owned(), State::Gone));
+        changes.push(StateChange::Server(id.to_owned(), ServerState::Gone));
     }
 
     /// Another start has come under a server's id.
--- a/elmstream_steer/src/calls.rs
+++ b/elmstream_steer/src/store_schedule.rs
@@ -2,20 +2,20 @@
 //!
 //! A few ranks take over one after the other. All further hosts, and those whose last
 //! call failed, ask at times of their own, drawn so that the fleet as a whole asks once in
-//! a [`SLOT`] on average, whatever its size. The draws have no memory: hosts that failed
+//! a [`FLEET_READ_SLOT`] on average, whatever its size. The draws have no memory: hosts that failed
 //! together do not pause together. So a store that comes back is found within a few
 //! slots, by whichever host asks next, and is not crowded.
 
 use elmstream::time::{MILLI, Time};
 
 use crate::{
-    readers::{RANKS, patience},
-    start::Start,
+    reader_rank::{READER_RANKS, read_delay},
+    startup::StartupContext,
     view::Table,
 };
 
 /// Time between two calls of the whole fleet for a table that nobody gets.
-pub const SLOT: u64 = 100 * MILLI;
+pub const FLEET_READ_SLOT: u64 = 100 * MILLI;
 /// Longest time that a draw may come to, as a multiple of a slot for each host; a draw of
 /// more than that is one of 55.
 const DRAW_MOST: f64 = 4.0;
@@ -28,7 +28,7 @@
 const CHECK_LEAST: u64 = 5_000 * MILLI;
 /// Time after which a host that was told of news, but could not get them from the
 /// others, asks the store itself.
-pub const BEHIND: u64 = 500 * MILLI;
+pub const BEHIND_WAIT: u64 = 500 * MILLI;
 /// Such hosts ask this far apart, within a time that does not grow with the fleet.
 pub const BEHIND_SLOT: u64 = 5 * MILLI;
 /// Longest time by which they are apart.
@@ -36,11 +36,11 @@
 
 /// What a host goes by when it decides whether to ask the store for a table.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene {
+pub struct ReadContext {
     /// When the table was last known to be current; none if it is not known at all.
     pub fresh: Option<Time>,
     /// What the host goes by as long as the table is not known at all.
-    pub start: Start,
+    pub start: StartupContext,
     /// A draw from 0 up to 1, another one for each host and reading.
     pub draw: f64,
     /// Live hosts whom the store serves, and that come before this one.
@@ -55,7 +55,7 @@
 
 /// Why a host asks the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Why {
+pub enum ReadReason {
     /// It knows nothing of the table yet.
     Start,
     /// It is its turn by rank.
@@ -68,15 +68,15 @@
     Check,
 }
 
-impl Why {
+impl ReadReason {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Why::Start => "start",
-            Why::Rank => "rank",
-            Why::Slot => "slot",
-            Why::Behind => "behind",
-            Why::Check => "check",
+            ReadReason::Start => "start",
+            ReadReason::Rank => "rank",
+            ReadReason::Slot => "slot",
+            ReadReason::Behind => "behind",
+            ReadReason::Check => "check",
         }
     }
 }
@@ -91,11 +91,11 @@
 
 /// What became of one host's calls to the store.
 #[derive(Clone, Debug, Default)]
-pub struct Calls {
+pub struct StoreSchedule {
     failures: [Option<Failure>; 3],
 }
 
-impl Calls {
+impl StoreSchedule {
     /// Whether the store served the host's last calls.
     pub fn served(&self) -> bool {
         self.failures.iter().all(Option::is_none)
@@ -116,27 +116,27 @@
     }
 
     /// Whether the host has to ask the store for a table now, and why.
-    pub fn due(&self, now: Time, table: Table, scene: &Scene) -> Option<Why> {
+    pub fn due(&self, now: Time, table: Table, scene: &ReadContext) -> Option<ReadReason> {
         let rested = |pause: fn(&Failure, u64) -> u64| {
             let failure = self.failures[table as usize];
             failure.is_none_or(|failure| now.since(failure.at) >= pause(&failure, scene.hosts))
         };
         let Some(fresh) = scene.fresh else {
             let due = scene.start.due(now) && rested(Failure::pause);
-            return due.then_some(Why::Start);
+            return due.then_some(ReadReason::Start);
         };
         let (age, served) = (now.since(fresh), self.served());
-        let turn = patience(table, scene.ahead, scene.bound_ms);
-        if served && scene.ahead < RANKS && age >= turn {
-            return Some(Why::Rank);
+        let turn = read_delay(table, scene.ahead, scene.bound_ms);
+        if served && scene.ahead < READER_RANKS && age >= turn {
+            return Some(ReadReason::Rank);
         }
         if scene.lacks(now) && rested(Failure::behind) {
-            return Some(Why::Behind);
+            return Some(ReadReason::Behind);
         }
-        let turn = patience(table, scene.ahead.max(1), scene.bound_ms);
+        let turn = read_delay(table, scene.ahead.max(1), scene.bound_ms);
         let spread = drawn(scene.hosts, scene.draw);
         if age >= turn + spread && rested(Failure::pause) {
-            return Some(Why::Slot);
+            return Some(ReadReason::Slot);
         }
         // The rules are the smaller table, so they are asked for if both calls failed.
         let asked = match table {
@@ -144,28 +144,28 @@
             Table::Servers => self.failures[Table::Rules as usize].is_none() && !served,
             Table::Rollouts => false,
         };
-        (asked && rested(Failure::check)).then_some(Why::Check)
+        (asked && rested(Failure::check)).then_some(ReadReason::Check)
     }
 }
 
-impl Scene {
+impl ReadContext {
     /// Whether this host has lacked for long what others have told it of.
     fn lacks(&self, now: Time) -> bool {
         let apart = (self.hosts * BEHIND_SLOT).min(BEHIND_SPREAD) as f64 * self.draw;
-        self.behind.is_some_and(|since| now.since(since) >= BEHIND + apart as u64)
+        self.behind.is_some_and(|since| now.since(since) >= BEHIND_WAIT + apart as u64)
     }
 }
 
 impl Failure {
     /// Pause before the next call for a table that nobody gets.
     fn pause(&self, hosts: u64) -> u64 {
-        pause(hosts, self.draw)
+        retry_pause(hosts, self.draw)
     }
 
     /// Pause before the next call for news that others have got; no longer than it takes
     /// to find out that they cannot be fetched.
     fn behind(&self, hosts: u64) -> u64 {
-        (hosts * BEHIND_SLOT).clamp(PAUSE_LEAST, BEHIND + BEHIND_SPREAD)
+        (hosts * BEHIND_SLOT).clamp(PAUSE_LEAST, BEHIND_WAIT + BEHIND_SPREAD)
     }
 
     /// Time until the host finds out whether the store serves it again.
@@ -176,7 +176,7 @@
 }
 
 /// Pause of one of so many hosts after a failed call; `draw` is from 0 up to 1.
-pub fn pause(hosts: u64, draw: f64) -> u64 {
+pub fn retry_pause(hosts: u64, draw: f64) -> u64 {
     drawn(hosts, draw).max(PAUSE_LEAST)
 }
 
@@ -184,5 +184,5 @@
 /// on average, from any moment on and whatever they did before: an exponential draw.
 fn drawn(hosts: u64, draw: f64) -> u64 {
     let part = (-(1.0 - draw).ln()).min(DRAW_MOST);
-    ((hosts * SLOT) as f64 * part) as u64
+    ((hosts * FLEET_READ_SLOT) as f64 * part) as u64
 }
--- a/elmstream_steer/src/kept.rs
+++ b/elmstream_steer/src/stored_row.rs
@@ -3,32 +3,32 @@
 use elmstream::time::Time;
 
 use crate::{
-    era::{Earlier, Era, Holds, alike},
+    era::{EarlierRow, Era, Retention, same_content},
     version::StoreVersion,
-    view::{Counts, Item, Key, Row},
+    view::{RemovedCounters, Row, RowContent, RowKey},
 };
 
 /// A row of the view and when it came.
 #[derive(Clone, Debug)]
-pub(crate) struct Kept {
+pub(crate) struct StoredRow {
     /// Version of the last change that matters.
     pub version: StoreVersion,
     /// Newest version that was seen.
     pub seen: StoreVersion,
-    pub item: Option<Item>,
+    pub item: Option<RowContent>,
     pub at: Time,
-    pub counts: Counts,
+    pub counts: RemovedCounters,
     /// The version that it had in an earlier era, if the store says the same in this one.
     pub carried: Option<StoreVersion>,
     /// What the store's era says, if this holds on from an earlier one against it.
-    pub copy: Option<Copied>,
+    pub copy: Option<StoreCopy>,
 }
 
 /// What the store says, and is not in force yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Copied {
+pub(crate) struct StoreCopy {
     pub version: StoreVersion,
-    pub item: Option<Item>,
+    pub item: Option<RowContent>,
 }
 
 /// What a row that was taken in came to.
@@ -42,18 +42,18 @@
     Changed,
 }
 
-impl Kept {
-    pub fn new(now: Time, version: StoreVersion, item: Option<Item>) -> Kept {
-        Kept { version, seen: version, item, at: now, counts: None, carried: None, copy: None }
+impl StoredRow {
+    pub fn new(now: Time, version: StoreVersion, item: Option<RowContent>) -> StoredRow {
+        StoredRow { version, seen: version, item, at: now, counts: None, carried: None, copy: None }
     }
 
     /// What an earlier era said, if the row is not of the store's own.
-    pub fn earlier<'a>(&'a self, key: &'a Key) -> Earlier<'a> {
-        Earlier { key, item: self.item.as_ref(), counts: self.counts }
+    pub fn earlier<'a>(&'a self, key: &'a RowKey) -> EarlierRow<'a> {
+        EarlierRow { key, item: self.item.as_ref(), counts: self.counts }
     }
 
     /// Takes in what the store says.
-    pub fn take(&mut self, now: Time, row: &Row, era: &Era, holds: &Holds) -> Effect {
+    pub fn take(&mut self, now: Time, row: &Row, era: &Era, holds: &Retention) -> Effect {
         let newest = self.copy.as_ref().map_or(self.seen, |copy| copy.version);
         if newest >= row.version {
             return Effect::Nothing;
@@ -64,8 +64,8 @@
             let until = era.holds_until(holds, self.earlier(&row.key), (row.version, new));
             if until.is_some_and(|until| now < until) {
                 let known =
-                    self.copy.replace(Copied { version: row.version, item: row.item.clone() });
-                let again = known.is_some_and(|known| alike(known.item.as_ref(), new));
+                    self.copy.replace(StoreCopy { version: row.version, item: row.item.clone() });
+                let again = known.is_some_and(|known| same_content(known.item.as_ref(), new));
                 return if again { Effect::Nothing } else { Effect::Noted };
             }
         } else if goes_back(before, new) {
@@ -77,15 +77,17 @@
             // A copy may be of before the last return, when the row had other counters.
             let known = self.item.is_some() && self.carried.is_none();
             let there = known.then_some([self.version, seen]);
-            *self = Kept::new(now, row.version, row.item.clone());
+            *self = StoredRow::new(now, row.version, row.item.clone());
             self.counts = row.counts.or(there.map(|there| there.map(|at| at.count)));
             return Effect::Changed;
         }
-        if let (Some(Item::Server(known)), Some(Item::Server(new))) = (&mut self.item, new) {
+        if let (Some(RowContent::Server(known)), Some(RowContent::Server(new))) =
+            (&mut self.item, new)
+        {
             known.entries = new.entries;
         }
         // An operator asks again for what others may hold on to an earlier era against.
-        let again = matches!(new, Some(Item::Evacuation));
+        let again = matches!(new, Some(RowContent::Evacuation));
         if !against && !crosses && !again {
             return Effect::Nothing;
         }
@@ -98,7 +100,7 @@
     }
 
     /// What the store says, with a version of its era.
-    pub fn says(&self, era: u64) -> (StoreVersion, Option<Item>) {
+    pub fn says(&self, era: u64) -> (StoreVersion, Option<RowContent>) {
         match &self.copy {
             Some(copy) => (copy.version, copy.item.clone()),
             None => (self.seen.max(StoreVersion::absent(era)), self.item.clone()),
@@ -106,7 +108,7 @@
     }
 
     /// What the store says, with the version of its last change that matters.
-    pub fn said(&self, key: &Key) -> Row {
+    pub fn said(&self, key: &RowKey) -> Row {
         match &self.copy {
             Some(copy) => Row::new(key.clone(), copy.version, copy.item.clone()),
             None => self.in_force(key),
@@ -120,7 +122,7 @@
     }
 
     /// What is in force.
-    pub fn in_force(&self, key: &Key) -> Row {
+    pub fn in_force(&self, key: &RowKey) -> Row {
         let counts = self.counts;
         Row { counts, ..Row::new(key.clone(), self.version, self.item.clone()) }
     }
@@ -132,8 +134,8 @@
 
     /// Whether what holds on here goes before what holds on at another host.
     pub fn outranks(&self, other: &Row) -> bool {
-        let rank = |item: Option<&Item>, version| match item {
-            Some(Item::Configuration(configuration)) => (configuration.version, version),
+        let rank = |item: Option<&RowContent>, version| match item {
+            Some(RowContent::Configuration(configuration)) => (configuration.version, version),
             _ => (0, version),
         };
         let own = rank(self.item.as_ref(), self.version);
@@ -144,26 +146,26 @@
 /// Whether a row of the same era would take the configuration or a verdict back or away.
 ///
 /// A roll-out that was decided stays so until there is another order.
-fn goes_back(known: Option<&Item>, new: Option<&Item>) -> bool {
+fn goes_back(known: Option<&RowContent>, new: Option<&RowContent>) -> bool {
     match (known, new) {
-        (Some(Item::Configuration(known)), Some(Item::Configuration(new))) => {
+        (Some(RowContent::Configuration(known)), Some(RowContent::Configuration(new))) => {
             new.version <= known.version
         }
-        (Some(Item::Configuration(_)), _) => true,
-        (Some(Item::Progress(known)), Some(Item::Progress(new))) => {
+        (Some(RowContent::Configuration(_)), _) => true,
+        (Some(RowContent::Progress(known)), Some(RowContent::Progress(new))) => {
             known.order == new.order && known.stage.ends() && new.stage != known.stage
         }
-        (Some(Item::Progress(known)), _) => known.stage.ends(),
+        (Some(RowContent::Progress(known)), _) => known.stage.ends(),
         _ => false,
     }
 }
 
 /// Whether two contents mean the same; a server that is cold counts as changed.
-fn same(known: Option<&Item>, new: Option<&Item>) -> bool {
+fn same(known: Option<&RowContent>, new: Option<&RowContent>) -> bool {
     match new {
-        Some(Item::Server(server)) if server.cold_ms > 0 => false,
+        Some(RowContent::Server(server)) if server.cold_ms > 0 => false,
         // An order that is written again is another one.
-        Some(Item::Rollout(_)) => false,
-        _ => alike(known, new),
+        Some(RowContent::Rollout(_)) => false,
+        _ => same_content(known, new),
     }
 }
--- a/elmstream_steer/src/telling.rs
+++ b/elmstream_steer/src/table_sync.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    beat::Known,
-    steer::{Change, Steer},
+    heartbeat::TableStatus,
+    steer::{StateChange, Steer},
     version::StoreVersion,
     view::{Row, Table},
 };
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TableRows {
     /// How far the teller knows the table.
-    pub known: Known,
+    pub known: TableStatus,
     /// Rows as the store has them.
     pub rows: Vec<Row>,
     /// The version up to which the asker knew the table.
@@ -41,12 +41,12 @@
     /// Rows in which an earlier era holds on against what the store says.
     pub held: Vec<Row>,
     /// The newest era that the teller knows of; the table may not be of it yet.
-    pub era: EraTold,
+    pub era: EraNotice,
 }
 
 /// An era of the store as a host tells of it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct EraTold {
+pub struct EraNotice {
     /// Its number.
     pub number: u64,
     /// The store's counter in the first reading of it that the teller knows of.
@@ -58,28 +58,28 @@
 
 /// How far a host knows a table when it asks another one for more.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked {
+pub struct SyncRequest {
     /// The table's version; 0 if it knows nothing.
     pub after: StoreVersion,
     /// Version up to which it lacks nothing, removals too.
     pub complete: StoreVersion,
 }
 
-impl From<StoreVersion> for Asked {
-    fn from(after: StoreVersion) -> Asked {
-        Asked { after, complete: after }
+impl From<StoreVersion> for SyncRequest {
+    fn from(after: StoreVersion) -> SyncRequest {
+        SyncRequest { after, complete: after }
     }
 }
 
 impl Steer {
     /// How far this host knows a table when it asks for more.
-    pub fn asks(&self, table: Table) -> Asked {
+    pub fn asks(&self, table: Table) -> SyncRequest {
         let mark = self.view.mark(table);
-        Asked { after: mark.version, complete: mark.complete() }
+        SyncRequest { after: mark.version, complete: mark.complete() }
     }
 
     /// Whether another host has something of a table that this one lacks.
-    pub fn wants(&self, table: Table, known: &Known) -> bool {
+    pub fn wants(&self, table: Table, known: &TableStatus) -> bool {
         let mark = self.view.mark(table);
         if mark.fresh.is_none() || known.version > mark.version {
             return true;
@@ -89,8 +89,8 @@
     }
 
     /// What another host is told of a table that it knows up to a version.
-    pub fn tell_rows(&self, now: Time, table: Table, asked: impl Into<Asked>) -> TableRows {
-        let (view, Asked { after, complete }) = (&self.view, asked.into());
+    pub fn tell_rows(&self, now: Time, table: Table, asked: impl Into<SyncRequest>) -> TableRows {
+        let (view, SyncRequest { after, complete }) = (&self.view, asked.into());
         let (full, bridge, era) = (view.mark(table), view.bridge(table), view.era());
         let mark = full.version;
         let bridged = bridge.is_some_and(|known| known.era == after.era && after <= known);
@@ -107,7 +107,7 @@
             whole,
             bridge,
             held: view.held(table),
-            era: EraTold {
+            era: EraNotice {
                 number: era.number,
                 first: era.first,
                 age_ms: era.began.map(|began| now.since(began) / MILLI),
@@ -118,7 +118,7 @@
     /// Takes in what another host told of a table.
     ///
     /// News go from an era of the store to a later one, never back.
-    pub fn told(&mut self, now: Time, table: Table, told: TableRows) -> Vec<Change> {
+    pub fn told(&mut self, now: Time, table: Table, told: TableRows) -> Vec<StateChange> {
         let TableRows { known, rows, carried, after, whole, bridge, held, era, .. } = told;
         let knew = self.view.mark(table);
         let before = knew.version;
@@ -165,7 +165,7 @@
     }
 
     /// Takes in what holds on at another host.
-    fn hold_on(&mut self, now: Time, held: Vec<Row>, changes: &mut Vec<Change>) {
+    fn hold_on(&mut self, now: Time, held: Vec<Row>, changes: &mut Vec<StateChange>) {
         for row in held {
             let key = row.key.clone();
             if self.view.merge_earlier(now, row) {
