--- a/elmstream_steer/src/tally.rs
+++ b/elmstream_steer/src/tally.rs
@@ -12,7 +12,7 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use crate::{model::Workspace, settings::Bounds, usage::Usage};
+use crate::{model::Workspace, settings::Bounds, sliding_window::SlidingWindow};
 
 /// Part of the allowed overshoot that is given out, and none of the slack. The rest is for
 /// what comes while hosts do not know the latest part yet, above all in the seconds in
@@ -56,7 +56,7 @@
 
 /// What a host was asked by one workspace, and let through.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Use {
+pub struct WorkspaceUsage {
     /// The workspace's id.
     pub workspace: u64,
     /// Requests since the host's start, modulo 2^32.
@@ -69,28 +69,28 @@
 
 /// A host's report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Report {
+pub struct UsageReport {
     /// Hash of the host's start.
     pub reader: u64,
     /// What workspaces asked and used.
-    pub uses: Vec<Use>,
+    pub uses: Vec<WorkspaceUsage>,
     /// Whether hosts that rank before the receiver did not answer.
     pub in_vain: bool,
 }
 
 /// What part of a workspace's requests may be let through.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Part {
+pub struct AdmitFraction {
     /// The workspace's id.
     pub workspace: u64,
     /// The part, 65,535 for all.
     pub part: u16,
 }
 
-impl Part {
+impl AdmitFraction {
     /// A part from 0 to 1.
-    pub fn new(workspace: u64, part: f64) -> Part {
-        Part { workspace, part: (part * f64::from(u16::MAX)) as u16 }
+    pub fn new(workspace: u64, part: f64) -> AdmitFraction {
+        AdmitFraction { workspace, part: (part * f64::from(u16::MAX)) as u16 }
     }
 
     /// The part, from 0 to 1.
@@ -101,9 +101,9 @@
 
 /// A part that all hosts are told.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Told {
+pub struct BroadcastFraction {
     /// The part.
-    pub part: Part,
+    pub part: AdmitFraction,
     /// Hash of the address of the host that worked it out, cut to 32 bits.
     pub place: u32,
     /// When that was, in milliseconds of that host's clock, modulo 2^32.
@@ -112,9 +112,9 @@
 
 /// Parts for all hosts, on their way.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Spread {
+pub struct FractionBroadcast {
     /// The parts.
-    pub parts: Vec<Told>,
+    pub parts: Vec<BroadcastFraction>,
     /// Hosts that the receiver passes them on to: those the hashes of whose addresses are
     /// from the first one up to the second one; none if both are alike.
     pub arc: (u64, u64),
@@ -122,16 +122,16 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Verdict {
+pub struct UsageReply {
     /// Hash of the address of the host that sums.
     pub place: u64,
     /// Parts of the workspaces of the report.
-    pub parts: Vec<Part>,
+    pub parts: Vec<AdmitFraction>,
 }
 
 /// How much of the fleet a host knows and hears.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct FleetView {
     /// Hosts that may be running, this one included.
     pub known: usize,
     /// Those of them that are heard, this one included.
@@ -140,7 +140,7 @@
     pub near: usize,
 }
 
-impl Heard {
+impl FleetView {
     /// The part of the fleet that is heard.
     ///
     /// Hosts that are not heard may have been cut off and go on by themselves, so their
@@ -179,14 +179,14 @@
 
 /// What one host last reported.
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct HostReport {
     asked: u32,
     let_through: u32,
     used: u32,
     at: Time,
 }
 
-impl Reported {
+impl HostReport {
     fn silent(&self, now: Time, window: u64) -> bool {
         let apart = window / u64::from(self.used.max(1));
         (SILENT.max(apart * SILENT_TIMES)..window).contains(&now.since(self.at))
@@ -195,14 +195,14 @@
 
 /// What a host still gives out that has not run for a window yet.
 #[derive(Clone, Copy)]
-struct Young {
+struct StartupAllowance {
     /// Requests a second.
     rate: f64,
     /// Requests that are left.
     left: f64,
 }
 
-impl Young {
+impl StartupAllowance {
     /// Requests over a time from now.
     fn room(self, span: u64) -> f64 {
         self.left + self.rate * span as f64 / 1e6
@@ -212,9 +212,9 @@
 /// The sum of one workspace.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    hosts: FxHashMap<u64, Reported>,
+    hosts: FxHashMap<u64, HostReport>,
     /// Requests that were let through.
-    used: Usage,
+    used: SlidingWindow,
     /// Those of them that this host heard of as new.
     heard: i64,
     /// Requests asked for, by tenth of a second.
@@ -229,14 +229,14 @@
 
 impl Tally {
     /// A host told of its requests.
-    pub fn hear(&mut self, now: Time, window: u64, from: &Report, told: Use) {
+    pub fn hear(&mut self, now: Time, window: u64, from: &UsageReport, told: WorkspaceUsage) {
         self.advance(now);
         let reader = from.reader;
         if !from.in_vain {
             self.first_asked = now;
         }
-        let Use { asked, let_through, used, .. } = told;
-        let new = Reported { asked, let_through, used, at: now };
+        let WorkspaceUsage { asked, let_through, used, .. } = told;
+        let new = HostReport { asked, let_through, used, at: now };
         let asked = match self.hosts.insert(reader, new) {
             // Reports that come out of order show less than is known.
             Some(old) if (asked.wrapping_sub(old.asked) as i32) < 0 => {
@@ -270,7 +270,7 @@
         now: Time,
         bounds: &Bounds,
         workspace: &Workspace,
-        heard: Heard,
+        heard: FleetView,
         age: u64,
     ) -> f64 {
         if self.worked_out.is_some_and(|at| now.since(at) < WORKED_OUT) {
@@ -294,7 +294,7 @@
 
     /// Requests that may still be let through in the window up to now; below 0 if there
     /// were too many.
-    fn room(&mut self, now: Time, bounds: &Bounds, workspace: &Workspace, heard: Heard) -> f64 {
+    fn room(&mut self, now: Time, bounds: &Bounds, workspace: &Workspace, heard: FleetView) -> f64 {
         let window = window(bounds);
         let kept = |at: u64| 1.0 - (at.min(window) as f64 / window as f64);
         let limit = limit(bounds, workspace);
@@ -314,13 +314,13 @@
         &self,
         bounds: &Bounds,
         workspace: &Workspace,
-        heard: Heard,
+        heard: FleetView,
         age: u64,
-    ) -> Option<Young> {
+    ) -> Option<StartupAllowance> {
         let part = heard.part();
         let rate = workspace.rate_per_s * YOUNG * part;
         let given = rate * age as f64 / 1e6 + bounds.limit_slack * YOUNG_SLACK * part;
-        (age < window(bounds)).then_some(Young { rate, left: given - self.heard as f64 })
+        (age < window(bounds)).then_some(StartupAllowance { rate, left: given - self.heard as f64 })
     }
 
     /// What hosts have to know that do not report, and when it was worked out; none if
--- a/elmstream_steer/src/view.rs
+++ b/elmstream_steer/src/view.rs
@@ -16,12 +16,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    beat::{Known, Reading},
-    era::{Earlier, Era, Holds, alike},
+    era::{EarlierRow, Era, Retention, same_content},
     hash,
-    kept::{Copied, Effect, Kept},
+    heartbeat::{StoreRead, TableStatus},
     model::{Configuration, Server},
-    rollout::{Order, Progress},
+    rollout::{RolloutOrder, RolloutProgress},
+    stored_row::{Effect, StoreCopy, StoredRow},
     version::StoreVersion,
 };
 
@@ -50,11 +50,11 @@
 /// All tables.
 pub const TABLES: [Table; 3] = [Table::Rules, Table::Servers, Table::Rollouts];
 /// Tables that each host has to know.
-pub const NEEDED: [Table; 2] = [Table::Rules, Table::Servers];
+pub const REQUIRED_TABLES: [Table; 2] = [Table::Rules, Table::Servers];
 
 /// Names a row.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub enum Key {
+pub enum RowKey {
     /// The configuration.
     Configuration,
     /// The evacuation of a failure domain.
@@ -67,39 +67,39 @@
     Progress(String),
 }
 
-impl Key {
+impl RowKey {
     /// The table that the row is in.
     pub fn table(&self) -> Table {
         match self {
-            Key::Configuration | Key::Evacuation(_) | Key::Rollout(_) => Table::Rules,
-            Key::Progress(_) => Table::Rollouts,
-            Key::Server(_) => Table::Servers,
+            RowKey::Configuration | RowKey::Evacuation(_) | RowKey::Rollout(_) => Table::Rules,
+            RowKey::Progress(_) => Table::Rollouts,
+            RowKey::Server(_) => Table::Servers,
         }
     }
 }
 
-impl Key {
+impl RowKey {
     /// A hash that is alike on all hosts.
     fn hash(&self) -> u64 {
         hash::of(self.to_string())
     }
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for RowKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Key::Configuration => write!(f, "configuration"),
-            Key::Evacuation(domain) => write!(f, "evacuation of {domain}"),
-            Key::Server(id) => write!(f, "server {id}"),
-            Key::Rollout(service) => write!(f, "roll-out of {service}"),
-            Key::Progress(service) => write!(f, "progress of {service}"),
+            RowKey::Configuration => write!(f, "configuration"),
+            RowKey::Evacuation(domain) => write!(f, "evacuation of {domain}"),
+            RowKey::Server(id) => write!(f, "server {id}"),
+            RowKey::Rollout(service) => write!(f, "roll-out of {service}"),
+            RowKey::Progress(service) => write!(f, "progress of {service}"),
         }
     }
 }
 
 /// Content of a row.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Item {
+pub enum RowContent {
     /// A configuration.
     Configuration(Configuration),
     /// An evacuation is asked for.
@@ -109,31 +109,31 @@
     /// What stands there cannot be read, so it names no server to use.
     Unreadable,
     /// An order to roll out a service.
-    Rollout(Order),
+    Rollout(RolloutOrder),
     /// How far that has come.
-    Progress(Progress),
+    Progress(RolloutProgress),
 }
 
 /// A row as it travels between hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Row {
     /// Names the row.
-    pub key: Key,
+    pub key: RowKey,
     /// The store's version of the last change that matters.
     pub version: StoreVersion,
     /// The content; none if the row was removed.
-    pub item: Option<Item>,
+    pub item: Option<RowContent>,
     /// The counters at which it was there before, if it was removed and they are known.
-    pub counts: Counts,
+    pub counts: RemovedCounters,
 }
 
 /// The store's counters at which a row was there before it was removed: of its last change
 /// that matters, and of when it was last written.
-pub type Counts = Option<[u64; 2]>;
+pub type RemovedCounters = Option<[u64; 2]>;
 
 impl Row {
     /// A row as the store has it.
-    pub fn new(key: Key, version: StoreVersion, item: Option<Item>) -> Row {
+    pub fn new(key: RowKey, version: StoreVersion, item: Option<RowContent>) -> Row {
         Row { key, version, item, counts: None }
     }
 }
@@ -141,12 +141,12 @@
 /// What a host knows of the store's tables.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    rows: BTreeMap<Key, Kept>,
-    marks: [Mark; 3],
+    rows: BTreeMap<RowKey, StoredRow>,
+    marks: [Watermark; 3],
     /// Readings of each host that are known of.
-    seen: [HashMap<u64, Seen>; 3],
+    seen: [HashMap<u64, ReaderClock>; 3],
     era: Era,
-    holds: Holds,
+    holds: Retention,
     /// Whether any row may hold on against what the store says.
     holding: bool,
     /// Versions up to which each table was known when the era began here; none if nothing
@@ -158,7 +158,7 @@
 
 /// Readings of one host.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct ReaderClock {
     /// The last one that is known of, by that host's clock, in milliseconds.
     stamp: u64,
     /// Least time by which one seemed to be older here than by that host's clock, in
@@ -168,13 +168,13 @@
 
 /// How far a table is known.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mark {
+pub struct Watermark {
     /// Version up to which all changes that matter are known; 0 for nothing.
     pub version: StoreVersion,
     /// When the store was last known to say just this.
     pub fresh: Option<Time>,
     /// The reading that this rests on.
-    pub reading: Option<Reading>,
+    pub reading: Option<StoreRead>,
     /// Removals since this version are known. A first whole reading shows nothing of what
     /// went before it, so what is told from before this version on lacks removals.
     pub floor: StoreVersion,
@@ -183,7 +183,7 @@
     pub complete: StoreVersion,
 }
 
-impl Mark {
+impl Watermark {
     /// Version up to which nothing is missing, by what was read and what was told.
     pub fn complete(&self) -> StoreVersion {
         self.complete.max(self.version)
@@ -192,7 +192,7 @@
 
 impl View {
     /// How far a table is known.
-    pub fn mark(&self, table: Table) -> Mark {
+    pub fn mark(&self, table: Table) -> Watermark {
         self.marks[table as usize]
     }
 
@@ -206,16 +206,16 @@
     /// A reading that is not later than one of the same host says nothing new. One that
     /// took longer on its way than others of that host counts as that much older, so that
     /// a reader's last reading is not taken for a fresh one when it comes late.
-    pub fn confirm(&mut self, now: Time, table: Table, version: StoreVersion, reading: Reading) {
+    pub fn confirm(&mut self, now: Time, table: Table, version: StoreVersion, reading: StoreRead) {
         let mark = &mut self.marks[table as usize];
         mark.version = mark.version.max(version);
         let seems = (now.0 / MILLI) as i64 - reading.stamp as i64;
-        let new = Seen { stamp: 0, least: seems };
+        let new = ReaderClock { stamp: 0, least: seems };
         let seen = self.seen[table as usize].entry(reading.reader).or_insert(new);
         if seen.stamp >= reading.stamp {
             return;
         }
-        *seen = Seen { stamp: reading.stamp, least: seen.least.min(seems) };
+        *seen = ReaderClock { stamp: reading.stamp, least: seen.least.min(seems) };
         let late = (seems - seen.least) as u64 * MILLI;
         let fresh = Time(now.0.saturating_sub(late));
         if mark.fresh.is_none_or(|known| fresh > known) {
@@ -230,7 +230,7 @@
     }
 
     /// How long what an earlier era said holds on, in place of the usual.
-    pub fn set_holds(&mut self, holds: Holds) {
+    pub fn set_holds(&mut self, holds: Retention) {
         self.holds = holds;
     }
 
@@ -275,7 +275,7 @@
             None => {
                 // A removal of what was never known still has to outlive late news.
                 let effect = row.item.as_ref().map_or(Effect::Nothing, |_| Effect::Changed);
-                let mut kept = Kept::new(now, version, row.item);
+                let mut kept = StoredRow::new(now, version, row.item);
                 kept.counts = row.counts;
                 self.rows.insert(row.key, kept);
                 effect
@@ -299,24 +299,24 @@
         // A host that has just started goes by the others, who hold on to it.
         self.era.began.get_or_insert(now);
         let era = self.era;
-        let lacking = || Kept::new(now, StoreVersion::absent(era.number), None);
+        let lacking = || StoredRow::new(now, StoreVersion::absent(era.number), None);
         let known = self.rows.get(&row.key).cloned().unwrap_or_else(lacking);
         // A host that was behind in the earlier era may hold on to what had changed since.
         let behind =
             |carried: StoreVersion| carried.era == row.version.era && carried >= row.version;
         let later = known.carried.is_some_and(behind);
-        if later || alike(known.item.as_ref(), row.item.as_ref()) || known.outranks(&row) {
+        if later || same_content(known.item.as_ref(), row.item.as_ref()) || known.outranks(&row) {
             return false;
         }
         let (version, item) = known.says(era.number);
-        let earlier = Earlier { key: &row.key, item: row.item.as_ref(), counts: row.counts };
+        let earlier = EarlierRow { key: &row.key, item: row.item.as_ref(), counts: row.counts };
         let until = era.holds_until(&self.holds, earlier, (version, item.as_ref()));
         if until.is_none_or(|until| now >= until) {
             return false;
         }
-        let mut kept = Kept::new(now, row.version, row.item);
+        let mut kept = StoredRow::new(now, row.version, row.item);
         kept.counts = row.counts;
-        kept.copy = Some(Copied { version, item });
+        kept.copy = Some(StoreCopy { version, item });
         self.digests[row.key.table() as usize].set(None);
         self.rows.insert(row.key, kept);
         self.holding = true;
@@ -325,7 +325,7 @@
 
     /// Ends what has held on for long enough against what the store says; the rows in which
     /// that changed what is in force.
-    pub fn end_holds(&mut self, now: Time) -> Vec<Key> {
+    pub fn end_holds(&mut self, now: Time) -> Vec<RowKey> {
         let (era, holds) = (self.era, self.holds);
         let mut ended = Vec::new();
         if !std::mem::take(&mut self.holding) {
@@ -336,7 +336,7 @@
             let said = (copy.version, copy.item.as_ref());
             let until = era.holds_until(&holds, row.earlier(key), said);
             if until.is_none_or(|until| now >= until) {
-                *row = Kept::new(now, copy.version, copy.item.clone());
+                *row = StoredRow::new(now, copy.version, copy.item.clone());
                 self.digests[key.table() as usize].set(None);
                 ended.push(key.clone());
             } else {
@@ -364,7 +364,7 @@
             return 0;
         }
         let rows = self.rows.iter().filter(|(key, row)| key.table() == table && row.copy.is_some());
-        let each = rows.map(|(key, row)| hash::pair(key.hash(), row.version.count));
+        let each = rows.map(|(key, row)| hash::combine(key.hash(), row.version.count));
         each.fold(0, |sum, hash| sum ^ hash as u32)
     }
 
@@ -408,7 +408,7 @@
 
     /// Another host knows a table up to the same version. If it knows the same keys, nothing
     /// that it knows to be gone is missing here.
-    pub fn agree(&mut self, table: Table, known: &Known) {
+    pub fn agree(&mut self, table: Table, known: &TableStatus) {
         let mark = self.mark(table);
         let above = known.floor.era == mark.version.era && known.floor > mark.complete();
         if above && known.keys == self.keys_digest(table) {
@@ -418,7 +418,7 @@
 
     /// Whether another host knows a removal that is missing here, though it knows the table
     /// up to the same version.
-    pub fn lacks_removals(&self, table: Table, known: &Known) -> bool {
+    pub fn lacks_removals(&self, table: Table, known: &TableStatus) -> bool {
         let mark = self.mark(table);
         let alike = known.version == mark.version && known.floor.era == mark.version.era;
         alike && known.floor > mark.complete() && known.keys != self.keys_digest(table)
@@ -426,7 +426,7 @@
 
     /// Keys of a table that the store has, as far as is known, but not in `present`, which
     /// is sorted.
-    pub fn missing(&self, table: Table, present: &[Key]) -> Vec<Key> {
+    pub fn missing(&self, table: Table, present: &[RowKey]) -> Vec<RowKey> {
         let there = self.rows.iter().filter(|(key, row)| key.table() == table && row.is_there());
         let gone = there.filter(|(key, _)| present.binary_search(key).is_err());
         gone.map(|(key, _)| key.clone()).collect()
@@ -434,7 +434,7 @@
 
     /// Rows of a table that changed after a version, removals too, as the store has them.
     pub fn since(&self, table: Table, version: StoreVersion) -> Vec<Row> {
-        let new = |row: &Kept| !row.known_by(version);
+        let new = |row: &StoredRow| !row.known_by(version);
         let rows = self.rows.iter().filter(|(key, row)| key.table() == table && new(row));
         let rows = rows.map(|(key, row)| row.said(key));
         rows.filter(|row| row.version > version).collect()
@@ -482,35 +482,35 @@
     }
 
     /// All rows that are there.
-    pub fn items(&self) -> impl Iterator<Item = (&Key, &Item)> {
+    pub fn items(&self) -> impl Iterator<Item = (&RowKey, &RowContent)> {
         self.rows.iter().filter_map(|(key, row)| Some((key, row.item.as_ref()?)))
     }
 
     /// Version of a row's last change that matters; none if the row is not known.
-    pub fn row_version(&self, key: &Key) -> Option<StoreVersion> {
+    pub fn row_version(&self, key: &RowKey) -> Option<StoreVersion> {
         Some(self.rows.get(key)?.version)
     }
 
     /// The store's counter for a row as it has it; 0 if it is not there.
-    pub fn store_count(&self, key: &Key) -> u64 {
+    pub fn store_count(&self, key: &RowKey) -> u64 {
         let there = self.rows.get(key).filter(|row| row.is_there());
         there.map_or(0, |row| row.says(self.era.number).0.count)
     }
 
     /// Whether a row holds on from an earlier era against what the store says.
-    pub fn is_held(&self, key: &Key) -> bool {
+    pub fn is_held(&self, key: &RowKey) -> bool {
         self.rows.get(key).is_some_and(|row| row.copy.is_some())
     }
 
     /// The content of a row, if it is there.
-    pub fn get(&self, key: &Key) -> Option<&Item> {
+    pub fn get(&self, key: &RowKey) -> Option<&RowContent> {
         self.rows.get(key)?.item.as_ref()
     }
 
     /// The configuration, if one is known.
     pub fn configuration(&self) -> Option<&Configuration> {
-        match self.get(&Key::Configuration)? {
-            Item::Configuration(configuration) => Some(configuration),
+        match self.get(&RowKey::Configuration)? {
+            RowContent::Configuration(configuration) => Some(configuration),
             _ => None,
         }
     }
--- a/elmstream_steer/src/warmth.rs
+++ b/elmstream_steer/src/warm_keys.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use crate::servers::Index;
+use crate::servers::ServerIndex;
 
 /// How long a server is taken to know a key.
 const KNOWS: u64 = 20 * SECOND;
@@ -27,7 +27,7 @@
 
 /// A server works on a request of a key.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Lesson {
+pub struct WarmKey {
     /// Hash of the server's id, cut to 32 bits.
     pub server: u32,
     /// Hash of the key, cut to 32 bits.
@@ -36,20 +36,20 @@
 
 /// What servers know.
 #[derive(Clone, Debug, Default)]
-pub struct Warmth {
-    known: FxHashMap<Index, FxHashMap<u32, Time>>,
+pub struct WarmKeys {
+    known: FxHashMap<ServerIndex, FxHashMap<u32, Time>>,
     /// Lessons for the other hosts, and in how many beats they still go.
-    untold: VecDeque<(Lesson, u8)>,
+    untold: VecDeque<(WarmKey, u8)>,
 }
 
-impl Warmth {
+impl WarmKeys {
     /// A server, by its place and the hash of its id, works on a request of a key.
-    pub fn learn(&mut self, now: Time, server: (Index, u32), key: u64) {
+    pub fn learn(&mut self, now: Time, server: (ServerIndex, u32), key: u64) {
         let (index, hash) = server;
         let key = key as u32;
         let before = self.known.get(&index).and_then(|keys| keys.get(&key));
         if before.is_none_or(|at| now.since(*at) >= TELL_AGAIN) {
-            self.untold.push_back((Lesson { server: hash, key }, TELLS));
+            self.untold.push_back((WarmKey { server: hash, key }, TELLS));
             if self.untold.len() > WAITING {
                 self.untold.pop_front();
             }
@@ -58,20 +58,20 @@
     }
 
     /// Another host sent a server a request of a key.
-    pub fn hear(&mut self, now: Time, server: Index, key: u32) {
+    pub fn hear(&mut self, now: Time, server: ServerIndex, key: u32) {
         self.keep(now, server, key);
     }
 
     /// What the next beat tells.
-    pub fn tell(&mut self) -> Vec<Lesson> {
+    pub fn tell(&mut self) -> Vec<WarmKey> {
         let count = self.untold.len().min(LESSONS);
-        let due: Vec<(Lesson, u8)> = self.untold.drain(..count).collect();
+        let due: Vec<(WarmKey, u8)> = self.untold.drain(..count).collect();
         let again = due.iter().filter(|(_, left)| *left > 1);
         self.untold.extend(again.map(|(lesson, left)| (*lesson, left - 1)));
         due.into_iter().map(|(lesson, _)| lesson).collect()
     }
 
-    fn keep(&mut self, now: Time, server: Index, key: u32) {
+    fn keep(&mut self, now: Time, server: ServerIndex, key: u32) {
         let keys = self.known.entry(server).or_default();
         keys.insert(key, now);
         if keys.len() > KEYS
@@ -82,13 +82,13 @@
     }
 
     /// Whether a server is taken to know a key.
-    pub fn knows(&self, now: Time, server: Index, key: u64) -> bool {
+    pub fn knows(&self, now: Time, server: ServerIndex, key: u64) -> bool {
         let at = self.known.get(&server).and_then(|keys| keys.get(&(key as u32)));
         at.is_some_and(|at| now.since(*at) < KNOWS)
     }
 
     /// A server is gone.
-    pub fn forget(&mut self, server: Index) {
+    pub fn forget(&mut self, server: ServerIndex) {
         self.known.remove(&server);
     }
 }
--- a/elmstream_steer/src/workspaces.rs
+++ b/elmstream_steer/src/workspaces.rs
@@ -10,7 +10,7 @@
 
 /// What a request shows of a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Shown {
+pub enum PresentedKey {
     /// Nothing.
     Nothing,
     /// A key.
@@ -34,7 +34,7 @@
 
 /// A workspace, and what it goes by in messages between hosts.
 #[derive(Debug)]
-pub struct Member {
+pub struct WorkspaceEntry {
     /// As it is configured.
     pub workspace: Workspace,
     /// Hash of its name.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct WorkspaceTable {
     /// In the order of ids.
-    all: Vec<Rc<Member>>,
+    all: Vec<Rc<WorkspaceEntry>>,
     /// Each key and the place of its workspace in `all`, in the order of digests.
     keys: Vec<(KeyDigest, u32)>,
 }
@@ -55,9 +55,10 @@
     pub fn new(configuration: &Configuration) -> WorkspaceTable {
         let member = |workspace: &Workspace| {
             let id = hash::of(&workspace.name);
-            Rc::new(Member { workspace: workspace.clone(), id })
+            Rc::new(WorkspaceEntry { workspace: workspace.clone(), id })
         };
-        let mut all: Vec<Rc<Member>> = configuration.workspaces.iter().map(member).collect();
+        let mut all: Vec<Rc<WorkspaceEntry>> =
+            configuration.workspaces.iter().map(member).collect();
         all.sort_by_key(|member| member.id);
         let places = all.iter().zip(0u32..);
         let keys = places.flat_map(|(member, place)| {
@@ -74,18 +75,18 @@
     }
 
     /// All workspaces.
-    pub fn all(&self) -> impl Iterator<Item = &Rc<Member>> {
+    pub fn all(&self) -> impl Iterator<Item = &Rc<WorkspaceEntry>> {
         self.all.iter()
     }
 
     /// A workspace by its id.
-    pub fn get(&self, id: u64) -> Option<&Rc<Member>> {
+    pub fn get(&self, id: u64) -> Option<&Rc<WorkspaceEntry>> {
         let at = self.all.binary_search_by_key(&id, |member| member.id).ok()?;
         self.all.get(at)
     }
 
     /// The workspace that holds a key; none if several do.
-    pub fn find(&self, digest: &KeyDigest) -> Option<&Rc<Member>> {
+    pub fn find(&self, digest: &KeyDigest) -> Option<&Rc<WorkspaceEntry>> {
         let begin = self.keys.partition_point(|(known, _)| known.place() < digest.place());
         let alike = self.keys[begin..].iter().take_while(|(k, _)| k.place() == digest.place());
         let mut holders = alike.filter(|(known, _)| known == digest).map(|(_, place)| *place);
@@ -104,19 +105,19 @@
     pub fn admit(
         &self,
         route: &Route,
-        shown: Shown,
+        shown: PresentedKey,
         sure: bool,
-    ) -> Result<Option<Rc<Member>>, Denial> {
+    ) -> Result<Option<Rc<WorkspaceEntry>>, Denial> {
         if self.is_empty() {
             return Ok(None);
         }
         let denial = match shown {
-            Shown::Key(digest) => match self.find(&digest) {
+            PresentedKey::Key(digest) => match self.find(&digest) {
                 Some(member) => return Ok(Some(Rc::clone(member))),
                 None => Denial::Unknown,
             },
-            Shown::Nothing => Denial::Missing,
-            Shown::Unclear => Denial::Unclear,
+            PresentedKey::Nothing => Denial::Missing,
+            PresentedKey::Unclear => Denial::Unclear,
         };
         match (route.open, sure) {
             (true, _) => Ok(None),
--- a/elmstream_steer/tests/access_cost.rs
+++ b/elmstream_steer/tests/access_cost.rs
@@ -11,8 +11,8 @@
     Bounds,
     key::KeyDigest,
     model::{Configuration, Workspace},
-    quota::{Quotas, Scene},
-    tally::Heard,
+    quota::{QuotaContext, Quotas},
+    tally::FleetView,
     workspaces::WorkspaceTable,
 };
 
@@ -49,10 +49,10 @@
         let mut quotas = Quotas::new(1, Time(0));
         let began = Instant::now();
         for (n, key) in keys.iter().enumerate() {
-            let scene = Scene {
+            let scene = QuotaContext {
                 now: Time(n as u64 * MILLI),
                 bounds: &bounds,
-                heard: Heard { known: 75, live: 75, near: 25 },
+                heard: FleetView { known: 75, live: 75, near: 25 },
                 hosts_known: true,
                 places: &[],
             };
--- a/elmstream_steer/tests/choose.rs
+++ b/elmstream_steer/tests/choose.rs
@@ -5,22 +5,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use elmstream_steer::{
-    Choice, Steer,
-    choose::Reason,
-    model::Repeat,
-    servers::{Index, Outcome},
-    view::{Item, Key, Row, Table},
+    Pick, Steer,
+    model::Repeatability,
+    pick::RefusalReason,
+    servers::{Outcome, ServerIndex},
+    view::{Row, RowContent, RowKey, Table},
 };
 use support::{at, beats, id, ms, ready, route, send, server, servers};
 
-fn sent(steer: &mut Steer, at: u64, key: u64) -> Option<Index> {
-    match send(steer, ms(at), &route(Repeat::Safe, &[]), key) {
-        Choice::Send(index) => Some(index),
-        Choice::Refuse(_) => None,
+fn sent(steer: &mut Steer, at: u64, key: u64) -> Option<ServerIndex> {
+    match send(steer, ms(at), &route(Repeatability::Safe, &[]), key) {
+        Pick::Send(index) => Some(index),
+        Pick::Refuse(_) => None,
     }
 }
 
-fn answered(steer: &mut Steer, at: u64, index: Index, key: u64) {
+fn answered(steer: &mut Steer, at: u64, index: ServerIndex, key: u64) {
     let knew = steer.learn(ms(at), index, key);
     steer.done(ms(at), index, Outcome::Answered { micros: 50_000, knew });
 }
@@ -60,13 +60,13 @@
 #[test]
 fn homes_bind_even_when_the_home_is_full() {
     let mut host = ready(0, ms(0), servers(1));
-    let route = route(Repeat::Safe, &["b"]);
+    let route = route(Repeatability::Safe, &["b"]);
     let mut refused = 0;
     for key in 0..200 {
         match send(&mut host, ms(10), &route, key) {
-            Choice::Send(index) => assert!(id(&host, index).starts_with("s-b")),
-            Choice::Refuse(refusal) => {
-                assert_eq!(refusal.reason, Reason::Full);
+            Pick::Send(index) => assert!(id(&host, index).starts_with("s-b")),
+            Pick::Refuse(refusal) => {
+                assert_eq!(refusal.reason, RefusalReason::Full);
                 refused += 1;
             }
         }
@@ -79,9 +79,9 @@
     let mut host = ready(0, ms(0), vec![server("one", "a1", 10)]);
     let mut taken = 0;
     let refusal = loop {
-        match send(&mut host, ms(10), &route(Repeat::Once, &[]), taken) {
-            Choice::Send(_) => taken += 1,
-            Choice::Refuse(refusal) => break refusal,
+        match send(&mut host, ms(10), &route(Repeatability::Once, &[]), taken) {
+            Pick::Send(_) => taken += 1,
+            Pick::Refuse(refusal) => break refusal,
         }
     };
     assert!((6..20).contains(&taken), "{taken} requests at 6 slots");
@@ -138,9 +138,9 @@
     let key = 7;
     let first = sent(&mut fleet[0], 10, key).expect("all are idle");
     answered(&mut fleet[0], 11, first, key);
-    let other = |index: &Index| *index != first;
+    let other = |index: &ServerIndex| *index != first;
     let region = fleet[0].settings().host.region.clone();
-    let of_region = |host: &Steer| -> Vec<Index> {
+    let of_region = |host: &Steer| -> Vec<ServerIndex> {
         let entries = host.servers().all().filter(|(_, entry)| entry.region == region);
         entries.map(|(index, _)| index).collect()
     };
@@ -166,8 +166,8 @@
 #[test]
 fn an_evacuated_domain_gets_nothing_and_is_cold_when_it_is_taken_back() {
     let mut host = ready(0, ms(0), vec![server("one", "a1", 10)]);
-    let key = Key::Evacuation("a1".into());
-    let row = Row::new(key.clone(), at(20), Some(Item::Evacuation));
+    let key = RowKey::Evacuation("a1".into());
+    let row = Row::new(key.clone(), at(20), Some(RowContent::Evacuation));
     host.read(ms(2_000), Table::Rules, vec![row]);
     assert!(sent(&mut host, 2_010, 1).is_none());
     let back = Row::new(key, at(21), None);
@@ -190,10 +190,10 @@
         index == dark
     });
     let key = key.expect("some key is of the dark server");
-    let once = route(Repeat::Once, &[]);
+    let once = route(Repeatability::Once, &[]);
     let mut to_dark = 0;
     for at in (1_800..4_800).step_by(10) {
-        if let Choice::Send(index) = send(&mut host, ms(at), &once, key) {
+        if let Pick::Send(index) = send(&mut host, ms(at), &once, key) {
             to_dark += usize::from(index == dark);
             host.done(ms(at), index, Outcome::Answered { micros: 50_000, knew: true });
         }
--- a/elmstream_steer/tests/cold.rs
+++ b/elmstream_steer/tests/cold.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use elmstream_steer::{Bounds, Choice, model::Repeat, servers::Outcome};
+use elmstream_steer::{Bounds, Pick, model::Repeatability, servers::Outcome};
 use quickcheck::{QuickCheck, TestResult};
 use support::{COLD_PER_S, beats, ms, ready, route, send, server, with};
 
@@ -11,7 +11,7 @@
 fn worst_second(hosts: usize, groups: usize, restart_at: Option<u64>) -> usize {
     let row = with(server("cold", "a1", 10), 10, |server| server.cold_ms = 60_000);
     let mut fleet: Vec<_> = (0..hosts).map(|n| ready(n, ms(0), vec![row.clone()])).collect();
-    let route = route(Repeat::Safe, &[]);
+    let route = route(Repeatability::Safe, &[]);
     let mut sent = Vec::new();
     for at in (1_100..8_000).step_by(20) {
         if restart_at == Some(at) {
@@ -21,7 +21,7 @@
             beats(ms(at), &mut fleet, |from, to| from % groups == to % groups);
         }
         for (n, host) in fleet.iter_mut().enumerate() {
-            if let Choice::Send(index) = send(host, ms(at), &route, (at + n as u64) % 7) {
+            if let Pick::Send(index) = send(host, ms(at), &route, (at + n as u64) % 7) {
                 host.done(ms(at), index, Outcome::Answered { micros: 1_000, knew: true });
                 sent.push(at);
             }
--- a/elmstream_steer/tests/eras.rs
+++ b/elmstream_steer/tests/eras.rs
@@ -14,12 +14,12 @@
 use elmstream::time::MILLI;
 use elmstream_steer::{
     Steer,
-    era::Holds,
+    era::Retention,
     model::Configuration,
-    rollout::{Order, Progress, Stage},
-    steer::Change,
+    rollout::{RolloutOrder, RolloutProgress, RolloutStage},
+    steer::StateChange,
     version::StoreVersion,
-    view::{Item, Key, Row, Table},
+    view::{Row, RowContent, RowKey, Table},
 };
 use eras::{Drill, Seen, Without, play};
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
@@ -131,8 +131,8 @@
 }
 
 fn evacuation() -> Row {
-    let key = Key::Evacuation("a1".into());
-    Row::new(key, StoreVersion::default(), Some(Item::Evacuation))
+    let key = RowKey::Evacuation("a1".into());
+    Row::new(key, StoreVersion::default(), Some(RowContent::Evacuation))
 }
 
 fn draining(entries: u64, draining: bool) -> Row {
@@ -150,7 +150,13 @@
 }
 
 /// The store's rows in its second era, up to a counter.
-fn returns(steer: &mut Steer, at: u64, table: Table, count: u64, rows: Vec<Row>) -> Vec<Change> {
+fn returns(
+    steer: &mut Steer,
+    at: u64,
+    table: Table,
+    count: u64,
+    rows: Vec<Row>,
+) -> Vec<StateChange> {
     steer.read_all(ms(at), table, StoreVersion::new(2, count), rows)
 }
 
@@ -163,9 +169,9 @@
     let mut steer = knows(Table::Rules, 100, vec![configuration(7, 0), evacuation()]);
     let copy = vec![of(2, 60, configuration(5, 0))];
     let changes = returns(&mut steer, 1_000, Table::Rules, 70, copy);
-    let Some(Change::StoreReturned(returned)) = changes.last() else { panic!("{changes:?}") };
+    let Some(StateChange::StoreReturned(returned)) = changes.last() else { panic!("{changes:?}") };
     assert_eq!(returned.before, StoreVersion::new(1, 100));
-    assert_eq!(returned.held, [Key::Configuration, evacuation().key]);
+    assert_eq!(returned.held, [RowKey::Configuration, evacuation().key]);
     assert_eq!((steer.version(), evacuated(&steer)), (Some(7), true));
 }
 
@@ -173,11 +179,14 @@
 fn what_nobody_writes_again_ends() {
     let mut steer = knows(Table::Rules, 100, vec![configuration(7, 0), evacuation()]);
     returns(&mut steer, 1_000, Table::Rules, 70, vec![of(2, 60, configuration(5, 0))]);
-    let Holds { evacuation, configuration, .. } = Holds::default();
+    let Retention { evacuation, configuration, .. } = Retention::default();
     steer.tick(ms(1_000 + evacuation / MILLI - 1));
     assert!(evacuated(&steer));
     let changes = steer.tick(ms(1_000 + evacuation / MILLI));
-    assert!(changes.iter().any(|change| matches!(change, Change::HoldEnded(_))), "{changes:?}");
+    assert!(
+        changes.iter().any(|change| matches!(change, StateChange::HoldEnded(_))),
+        "{changes:?}"
+    );
     assert_eq!((steer.version(), evacuated(&steer)), (Some(7), false));
     steer.tick(ms(1_000 + configuration / MILLI));
     assert_eq!(steer.version(), Some(5));
@@ -233,7 +242,7 @@
 fn a_configuration_of_the_same_version_with_other_content_is_the_stores() {
     let mut steer = knows(Table::Rules, 100, vec![configuration(7, 0)]);
     let other = Configuration { version: 7, ..Configuration::default() };
-    let item = Some(Item::Configuration(other));
+    let item = Some(RowContent::Configuration(other));
     let other = Row { item, ..configuration(7, 0) };
     returns(&mut steer, 1_000, Table::Rules, 70, vec![of(2, 71, other)]);
     assert!(steer.route("shop.example", "/").is_none());
@@ -314,36 +323,40 @@
     assert_eq!(seen.first, None);
 }
 
-fn rolled(stage: Stage) -> Row {
+fn rolled(stage: RolloutStage) -> Row {
     let order = StoreVersion::new(1, 40);
-    let progress = Progress { order, target: "v2".into(), stage, began_unix_ms: 0 };
-    let item = Some(Item::Progress(progress));
-    Row::new(Key::Progress("shop".into()), StoreVersion::default(), item)
+    let progress = RolloutProgress { order, target: "v2".into(), stage, began_unix_ms: 0 };
+    let item = Some(RowContent::Progress(progress));
+    Row::new(RowKey::Progress("shop".into()), StoreVersion::default(), item)
 }
 
 fn ordered() -> Row {
-    let order = Order { target: "v2".into(), duration_ms: 12_000 };
-    Row::new(Key::Rollout("shop".into()), StoreVersion::default(), Some(Item::Rollout(order)))
+    let order = RolloutOrder { target: "v2".into(), duration_ms: 12_000 };
+    Row::new(
+        RowKey::Rollout("shop".into()),
+        StoreVersion::default(),
+        Some(RowContent::Rollout(order)),
+    )
 }
 
 /// Neither an older copy of the store nor older news take a verdict back.
 #[test]
 fn a_verdict_on_a_roll_out_is_never_taken_back() {
-    for copied in [Some(rolled(Stage::Trial)), None] {
+    for copied in [Some(rolled(RolloutStage::Trial)), None] {
         let mut steer = knows(Table::Rules, 40, vec![ordered()]);
-        let rows = vec![of(1, 60, rolled(Stage::RolledBack))];
+        let rows = vec![of(1, 60, rolled(RolloutStage::RolledBack))];
         steer.read_all(ms(0), Table::Rollouts, StoreVersion::new(1, 60), rows);
-        assert_eq!(steer.rollout_stage("shop"), Some(Stage::RolledBack));
-        let older = vec![of(1, 61, rolled(Stage::Trial))];
+        assert_eq!(steer.rollout_stage("shop"), Some(RolloutStage::RolledBack));
+        let older = vec![of(1, 61, rolled(RolloutStage::Trial))];
         steer.read(ms(10), Table::Rollouts, older);
-        assert_eq!(steer.rollout_stage("shop"), Some(Stage::RolledBack));
+        assert_eq!(steer.rollout_stage("shop"), Some(RolloutStage::RolledBack));
         let rows = copied.into_iter().map(|row| of(2, 45, row)).collect();
         returns(&mut steer, 1_000, Table::Rollouts, 50, rows);
         returns(&mut steer, 1_000, Table::Rules, 50, vec![of(2, 40, ordered())]);
         steer.tick(ms(1_100));
-        assert_eq!(steer.rollout_stage("shop"), Some(Stage::RolledBack));
+        assert_eq!(steer.rollout_stage("shop"), Some(RolloutStage::RolledBack));
         // The operator writes again what the copy may have lost.
         steer.read(ms(1_200), Table::Rules, vec![of(2, 55, ordered())]);
-        assert_eq!(steer.rollout_stage("shop"), Some(Stage::RolledBack));
+        assert_eq!(steer.rollout_stage("shop"), Some(RolloutStage::RolledBack));
     }
 }
--- a/elmstream_steer/tests/harm.rs
+++ b/elmstream_steer/tests/harm.rs
@@ -5,10 +5,10 @@
 mod support;
 
 use elmstream_steer::{
-    Choice, Steer,
+    Pick, Steer,
     digest::RequestDigest,
-    harm::{Ending, Harms, Turn},
-    model::Repeat,
+    model::Repeatability,
+    poison::{PoisonChange, PoisonTracker, ServerCrash},
     servers::Outcome,
 };
 use fleets::{Apart, Figures, Fleet, Way, digest};
@@ -21,8 +21,8 @@
 const HARM: u64 = 1;
 const UNIX_S: u64 = 1_000_000;
 
-fn ending(request: u64, server: u64, generation: u8) -> Ending {
-    Ending { digest: digest(request), server, generation, at_s: UNIX_S, void: false }
+fn ending(request: u64, server: u64, generation: u8) -> ServerCrash {
+    ServerCrash { digest: digest(request), server, generation, at_s: UNIX_S, void: false }
 }
 
 fn refuses(host: &Steer, request: u64) -> bool {
@@ -328,9 +328,9 @@
 quickcheck! {
     /// Hosts that hear the same endings in any order, each any number of times, agree.
     fn the_order_of_news_does_not_matter(news: Vec<(u8, u8, u8, bool)>, seed: u64) -> TestResult {
-        let endings: Vec<Ending> = news
+        let endings: Vec<ServerCrash> = news
             .iter()
-            .map(|(request, server, generation, void)| Ending {
+            .map(|(request, server, generation, void)| ServerCrash {
                 void: *void,
                 ..ending(u64::from(request % 3), u64::from(server % 8), 1 + generation % 3)
             })
@@ -338,7 +338,7 @@
         let mut shuffled = endings.clone();
         shuffled.extend(endings.iter().copied());
         shuffled.sort_by_key(|known| {
-            elmstream_steer::hash::pair(seed, known.server << 8 | u64::from(known.generation))
+            elmstream_steer::hash::combine(seed, known.server << 8 | u64::from(known.generation))
         });
         let (mut one, mut two) = (host(0, ms(0)), host(1, ms(0)));
         one.hear_endings(ms(0), &endings);
@@ -355,19 +355,19 @@
 fn what_matters_is_told_at_once() {
     let mut one = host(0, ms(0));
     one.beat(ms(0));
-    assert_eq!(one.ended(ms(0), UNIX_S, digest(HARM), 1, 0), Turn::None);
+    assert_eq!(one.ended(ms(0), UNIX_S, digest(HARM), 1, 0), PoisonChange::None);
     assert!(!one.urgent());
-    assert_eq!(one.ended(ms(0), UNIX_S, digest(HARM), 2, 1), Turn::Grown);
+    assert_eq!(one.ended(ms(0), UNIX_S, digest(HARM), 2, 1), PoisonChange::Grown);
     assert!(one.urgent());
-    assert!(matches!(one.ended(ms(0), UNIX_S, digest(HARM), 3, 2), Turn::Refused(_)));
+    assert!(matches!(one.ended(ms(0), UNIX_S, digest(HARM), 3, 2), PoisonChange::Refused(_)));
 }
 
 /// An end is no failure of the server, and all leave it at once.
 #[test]
 fn a_server_that_ended_is_left_by_all_hosts_at_once() {
     let mut hosts: Vec<Steer> = (0..2).map(|n| ready(n, ms(0), servers(1))).collect();
-    let route = route(Repeat::Safe, &[]);
-    let Choice::Send(index) = send(&mut hosts[0], ms(0), &route, 7) else { panic!("a server") };
+    let route = route(Repeatability::Safe, &[]);
+    let Pick::Send(index) = send(&mut hosts[0], ms(0), &route, 7) else { panic!("a server") };
     let start = hosts[0].servers().get(index).expect("it was chosen").start();
     hosts[0].done(ms(10), index, Outcome::Ended);
     hosts[0].ended(ms(10), UNIX_S, digest(HARM), start, 0);
@@ -375,7 +375,7 @@
     hosts[1].hear(ms(20), &told);
     for host in &mut hosts {
         let chosen = send(host, ms(30), &route, 7);
-        let Choice::Send(other) = chosen else { panic!("another server") };
+        let Pick::Send(other) = chosen else { panic!("another server") };
         assert_ne!(host.servers().get(other).expect("it was chosen").start(), start);
         let ended = host.servers().all().find(|(_, entry)| entry.start() == start);
         let (_, ended) = ended.expect("it is still listed");
@@ -389,10 +389,15 @@
 #[test]
 fn an_operator_lets_a_request_in_for_good_at_a_host_that_is_behind() {
     let digest = RequestDigest::from_hex(&"a1".repeat(16)).expect("a digest");
-    let ending =
-        |server| Ending { digest, server, generation: server as u8, at_s: UNIX_S, void: false };
+    let ending = |server| ServerCrash {
+        digest,
+        server,
+        generation: server as u8,
+        at_s: UNIX_S,
+        void: false,
+    };
     for behind in 0..=3 {
-        let (mut reads, mut other) = (Harms::default(), Harms::default());
+        let (mut reads, mut other) = (PoisonTracker::default(), PoisonTracker::default());
         for server in 1..=3 {
             other.hear(ms(0), &ending(server));
         }
--- a/elmstream_steer/tests/large.rs
+++ b/elmstream_steer/tests/large.rs
@@ -9,10 +9,10 @@
 
 use elmstream::time::MILLI;
 use elmstream_steer::{
-    Bounds, Choice, Steer, hash, members,
-    model::Repeat,
+    Bounds, Pick, Steer, hash, members,
+    model::Repeatability,
     servers::Outcome,
-    view::{Item, NEEDED, Row, Table},
+    view::{REQUIRED_TABLES, Row, RowContent, Table},
 };
 use support::{
     COLD_PER_S, address, configuration, domains, ms, ready, route, send, server, servers, store,
@@ -49,7 +49,7 @@
     /// One round; `alive` says who takes part.
     fn round(&mut self, alive: impl Fn(usize) -> bool) {
         self.round += 1;
-        self.at += members::pause(HOSTS - 1) / MILLI;
+        self.at += members::heartbeat_interval(HOSTS - 1) / MILLI;
         self.beats(|_, n| alive(n), &alive);
     }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    fn hear(&mut self, from: usize, to: usize, beat: &elmstream_steer::beat::Beat) {
+    fn hear(&mut self, from: usize, to: usize, beat: &elmstream_steer::heartbeat::Heartbeat) {
         let now = ms(self.at);
         let Some(news) = self.hosts[to].hear(now, beat) else { return };
         for (table, version) in news.wanted {
@@ -165,7 +165,7 @@
         fleet.round(|_| true);
         let now = ms(fleet.at);
         for host in &mut fleet.hosts {
-            for table in NEEDED {
+            for table in REQUIRED_TABLES {
                 if let Some(why) = host.must_read(now, table) {
                     calls += usize::from(fleet.at > 6_000);
                     store::answered(host, now, (table, why), Vec::new());
@@ -197,7 +197,7 @@
         let mut steer = ready(number, ms(0), vec![row.clone()]);
         steer.change(domains(), self.bounds);
         let mut rules = configuration(2, 20);
-        if let Some(Item::Configuration(configuration)) = &mut rules.item {
+        if let Some(RowContent::Configuration(configuration)) = &mut rules.item {
             configuration.services[0].cold_per_s = self.per_s;
         }
         steer.read(ms(0), Table::Rules, vec![rules]);
@@ -235,14 +235,14 @@
             for to in targets.near.iter().chain(&targets.far) {
                 fleet[places[to]].hear(now, &beat);
             }
-            due[from] = at + members::pause(fleet[from].members().count()) / MILLI;
+            due[from] = at + members::heartbeat_interval(fleet[from].members().count()) / MILLI;
         }
         for (n, host) in fleet.iter_mut().enumerate() {
             if at % 100 == 0 {
                 host.tick(now);
             }
-            let choice = send(host, now, &route(Repeat::Safe, &[]), (at + n as u64) % 7);
-            if let Choice::Send(index) = choice {
+            let choice = send(host, now, &route(Repeatability::Safe, &[]), (at + n as u64) % 7);
+            if let Pick::Send(index) = choice {
                 host.done(now, index, Outcome::Answered { micros: 1_000, knew: true });
                 sent.push(at);
             }
@@ -296,7 +296,7 @@
 /// Hosts that started while others were still writing themselves down know only a part.
 #[test]
 fn the_bound_on_cold_servers_holds_if_each_host_knows_any_half_of_the_others() {
-    let half = |n: usize, other: usize| hash::pair(n as u64, other as u64).is_multiple_of(2);
+    let half = |n: usize, other: usize| hash::combine(n as u64, other as u64).is_multiple_of(2);
     for hosts in [295, 600] {
         let worst = worst_second_after_a_restart(hosts, LARGE, half);
         assert!((3..=LARGE.bound()).contains(&worst), "{worst} in a second, {hosts} hosts");
--- a/elmstream_steer/tests/leaving.rs
+++ b/elmstream_steer/tests/leaving.rs
@@ -3,18 +3,18 @@
 mod support;
 
 use elmstream_steer::{
-    Choice, Steer,
-    model::Repeat,
-    view::{Key, Table},
+    Pick, Steer,
+    model::Repeatability,
+    view::{RowKey, Table},
 };
 use support::{at, beats, gone, ms, ready, route, send, server, with};
 
 /// Whether a server gets any of many keys' requests.
 fn used(host: &mut Steer, now: u64, id: &str) -> bool {
-    let route = route(Repeat::Safe, &[]);
+    let route = route(Repeatability::Safe, &[]);
     (0..200u64).any(|key| match send(host, ms(now), &route, key * 7_919) {
-        Choice::Send(index) => support::id(host, index) == id,
-        Choice::Refuse(_) => false,
+        Pick::Send(index) => support::id(host, index) == id,
+        Pick::Refuse(_) => false,
     })
 }
 
@@ -78,7 +78,7 @@
     let mut host = ready(0, ms(0), two());
     leaves(&mut host, 1_000, "s");
     // The store was away for long, so entries that went are kept for a while.
-    host.read(ms(9_000), Table::Servers, vec![gone(Key::Server("s".into()), 20)]);
+    host.read(ms(9_000), Table::Servers, vec![gone(RowKey::Server("s".into()), 20)]);
     assert!(host.servers().find("s").is_none());
 }
 
--- a/elmstream_steer/tests/limits.rs
+++ b/elmstream_steer/tests/limits.rs
@@ -6,10 +6,10 @@
 use elmstream::time::{SECOND, Time};
 use elmstream_steer::{
     Bounds,
-    beat::Message,
+    heartbeat::Message,
     model::{Configuration, Workspace},
-    quota::{Quotas, Scene},
-    tally::{self, Heard},
+    quota::{QuotaContext, Quotas},
+    tally::{self, FleetView},
     workspaces::WorkspaceTable,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
@@ -300,10 +300,10 @@
     let workspaces = (0..10_000).map(name).collect();
     let table = WorkspaceTable::new(&Configuration { workspaces, ..Configuration::default() });
     let bounds = Bounds::default();
-    let scene = Scene {
+    let scene = QuotaContext {
         now: Time(1_000 * SECOND),
         bounds: &bounds,
-        heard: Heard { known: 2, live: 2, near: 2 },
+        heard: FleetView { known: 2, live: 2, near: 2 },
         hosts_known: true,
         places: &[1, 2],
     };
@@ -316,7 +316,7 @@
     let reports = host.reports(&scene, &table);
     let told: usize = reports.iter().map(|addressed| addressed.report.uses.len()).sum();
     assert_eq!(told, 10_000);
-    let later = Scene { now: scene.now + SECOND, ..scene };
+    let later = QuotaContext { now: scene.now + SECOND, ..scene };
     let size = |message: Message| postcard::to_allocvec(&message).expect("it is small").len();
     let sizes = reports.into_iter().map(|addressed| size(Message::Report(addressed.report)));
     let spread = host.tell(&later).into_iter().map(|told| size(Message::Spread(told.spread)));
--- a/elmstream_steer/tests/members.rs
+++ b/elmstream_steer/tests/members.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use elmstream_steer::{Steer, beat::Word, hash};
+use elmstream_steer::{Steer, hash, heartbeat::LivenessUpdate};
 use support::{address, beats, host, ms, ready, servers};
 
 fn fleet() -> Vec<Steer> {
@@ -81,7 +81,7 @@
     fleet[4].leave();
     let last = fleet[4].beat(ms(70));
     let mut told = fleet[1].beat(ms(75));
-    told.words.push(Word {
+    told.words.push(LivenessUpdate {
         host: hash::of(&last.host.name) as u32,
         start: last.incarnation as u32,
         number: last.number,
--- a/elmstream_steer/tests/outage.rs
+++ b/elmstream_steer/tests/outage.rs
@@ -18,11 +18,11 @@
 use elmstream::time::MILLI;
 use elmstream_steer::{
     Steer,
-    calls::Why,
     members::{self, Member},
-    readers::{self, Reader},
-    telling::TableRows,
-    view::{NEEDED, Table},
+    reader_rank::{self, RankedReader},
+    store_schedule::ReadReason,
+    table_sync::TableRows,
+    view::{REQUIRED_TABLES, Table},
 };
 use support::{DOMAINS, address, configuration, host, ms, ready, servers, store};
 
@@ -43,14 +43,14 @@
 /// A call to the store.
 #[derive(Clone, Copy)]
 struct Call {
-    why: Why,
+    why: ReadReason,
     ends: u64,
     answered: bool,
 }
 
 /// What is on its way to a host.
 enum Message {
-    Beat(Box<elmstream_steer::beat::Beat>),
+    Heartbeat(Box<elmstream_steer::heartbeat::Heartbeat>),
     /// Another host's rows.
     Rows(Table, Box<TableRows>),
 }
@@ -112,7 +112,7 @@
             self.take(at, from, to, message);
         }
         for n in (0..self.hosts.len()).filter(|n| !self.dead.contains(n)).collect::<Vec<_>>() {
-            let pause = members::pause(self.hosts[n].members().count()) / MILLI;
+            let pause = members::heartbeat_interval(self.hosts[n].members().count()) / MILLI;
             let pause = if self.hosts[n].urgent() { pause.min(URGENT) } else { pause };
             if self.due[n].0 + pause <= at {
                 self.beat(at, n);
@@ -120,7 +120,7 @@
             if at.is_multiple_of(100) {
                 self.hosts[n].tick(ms(at));
             }
-            for table in NEEDED {
+            for table in REQUIRED_TABLES {
                 self.read(at, n, table, well);
             }
         }
@@ -133,14 +133,14 @@
         let rank = |n: usize| {
             let known = member(n).expect("all know each other");
             let others = (0..self.hosts.len()).filter(|other| *other != n).filter_map(member);
-            let reader = |member: &'_ Member| Reader {
+            let reader = |member: &'_ Member| RankedReader {
                 host: member.hash,
-                millis: member.store_ms.unwrap_or(readers::FAR_MS),
+                millis: member.store_ms.unwrap_or(reader_rank::FAR_MS),
                 place: DOMAINS
                     [DOMAINS.iter().position(|(name, _)| *name == member.host.domain).unwrap_or(0)],
             };
             let served = others.filter(|other| other.store_ms.is_some());
-            readers::rank(reader(known), served.map(reader))
+            reader_rank::rank(reader(known), served.map(reader))
         };
         assert!(at > 0, "hosts have met");
         let mut hosts: Vec<usize> = (0..self.hosts.len()).collect();
@@ -155,14 +155,14 @@
         let targets = self.hosts[n].targets(ms(at), round);
         let arrives = self.on_the_way.entry(at + WAY).or_default();
         for to in targets.near.iter().chain(&targets.far) {
-            arrives.push((n, self.places[to], Message::Beat(beat.clone())));
+            arrives.push((n, self.places[to], Message::Heartbeat(beat.clone())));
         }
         self.due[n] = (at, round + 1);
     }
 
     fn take(&mut self, at: u64, from: usize, to: usize, message: Message) {
         match message {
-            Message::Beat(beat) => {
+            Message::Heartbeat(beat) => {
                 let Some(news) = self.hosts[to].hear(ms(at), &beat) else { return };
                 let fetches = !self.without_fetches.contains(&to) && !self.dead.contains(&from);
                 for (table, version) in news.wanted.into_iter().filter(|_| fetches) {
--- a/elmstream_steer/tests/patience.rs
+++ b/elmstream_steer/tests/patience.rs
@@ -3,16 +3,16 @@
 mod support;
 
 use elmstream_steer::{
-    Choice, Steer,
-    model::{Repeat, Route},
-    servers::{Index, Outcome},
+    Pick, Steer,
+    model::{Repeatability, Route},
+    servers::{Outcome, ServerIndex},
     view::{Row, Table},
 };
 use support::{id, ms, ready, route, send, server, with};
 
 fn key_of(steer: &mut Steer, at: u64, name: &str) -> u64 {
     let found = (0..1_000).find(|key| {
-        let Choice::Send(index) = send(steer, ms(at), &once(), *key) else { return false };
+        let Pick::Send(index) = send(steer, ms(at), &once(), *key) else { return false };
         let meant = id(steer, index) == name;
         steer.done(ms(at), index, Outcome::Left);
         meant
@@ -21,26 +21,26 @@
 }
 
 fn once() -> Route {
-    route(Repeat::Once, &[])
+    route(Repeatability::Once, &[])
 }
 
 /// Where a request of the key goes that is answered at once.
 fn answered_by(steer: &mut Steer, at: u64, key: u64) -> Option<String> {
-    let Choice::Send(index) = send(steer, ms(at), &once(), key) else { return None };
+    let Pick::Send(index) = send(steer, ms(at), &once(), key) else { return None };
     steer.done(ms(at), index, Outcome::Answered { micros: 150_000, knew: true });
     Some(id(steer, index))
 }
 
 fn to(steer: &mut Steer, at: u64, key: u64) -> Option<String> {
     match send(steer, ms(at), &once(), key) {
-        Choice::Send(index) => Some(id(steer, index)),
-        Choice::Refuse(_) => None,
+        Pick::Send(index) => Some(id(steer, index)),
+        Pick::Refuse(_) => None,
     }
 }
 
 fn taken(route: &Route) -> usize {
     let mut host = ready(0, ms(0), vec![server("one", "a1", 10)]);
-    let sent = |key: &u64| matches!(send(&mut host, ms(10), route, *key), Choice::Send(_));
+    let sent = |key: &u64| matches!(send(&mut host, ms(10), route, *key), Pick::Send(_));
     (0..40).take_while(sent).count()
 }
 
@@ -102,9 +102,9 @@
     assert_eq!(to(&mut host, 1_300, known).as_deref(), Some("cold"));
 }
 
-fn answers(host: &mut Steer, from: u64, index: Index, outcome: Outcome) {
+fn answers(host: &mut Steer, from: u64, index: ServerIndex, outcome: Outcome) {
     for at in (from..from + 400).step_by(10) {
-        let Choice::Send(sent) = send(host, ms(at), &once(), at) else { continue };
+        let Pick::Send(sent) = send(host, ms(at), &once(), at) else { continue };
         let usual = Outcome::Answered { micros: 150_000, knew: false };
         host.done(ms(at), sent, if sent == index { outcome } else { usual });
     }
--- a/elmstream_steer/tests/readers.rs
+++ b/elmstream_steer/tests/readers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use elmstream::time::MILLI;
-use elmstream_steer::{Steer, calls::Why, view::Table};
+use elmstream_steer::{Steer, store_schedule::ReadReason, view::Table};
 use support::{at, beats, configuration, host, ms, ready, server, servers, store};
 
 const HOSTS: usize = 12;
@@ -129,7 +129,7 @@
             host.hear(ms(at), &other.beat(ms(at)));
         }
         let Some(why) = host.must_read(ms(at), Table::Rules) else { continue };
-        calls += usize::from(why == Why::Behind);
+        calls += usize::from(why == ReadReason::Behind);
         store::answered(&mut host, ms(at), (Table::Rules, why), Vec::new());
     }
     assert_eq!(calls, 1, "calls for news that are not there");
--- a/elmstream_steer/tests/registry.rs
+++ b/elmstream_steer/tests/registry.rs
@@ -5,14 +5,16 @@
 use elmstream::time::{MILLI, SECOND};
 use elmstream_steer::{
     Steer,
-    registry::{Edit, GONE, KEEP_EVERY, KEEP_FIRST, Listed},
+    host_registry::{
+        FIRST_UPDATE_AFTER, REMOVE_AFTER, RegisteredHost, RegistryEdit, UPDATE_INTERVAL,
+    },
 };
 use support::{address, beats, host, ms, ready, servers};
 
 const HOSTS: usize = 12;
 
-fn listed(number: usize) -> Listed {
-    Listed { name: format!("host-{number}"), peers: address(2_000 + number) }
+fn listed(number: usize) -> RegisteredHost {
+    RegisteredHost { name: format!("host-{number}"), peers: address(2_000 + number) }
 }
 
 fn fleet() -> Vec<Steer> {
@@ -31,7 +33,7 @@
 #[test]
 fn one_host_writes_down_all_and_writes_nothing_once_they_are_listed() {
     let mut fleet = fleet();
-    let first = KEEP_FIRST / MILLI;
+    let first = FIRST_UPDATE_AFTER / MILLI;
     rest(&mut fleet, 100, first + 100, |_| true);
     let now = ms(first);
     let keepers: Vec<usize> = (0..HOSTS).filter(|n| fleet[*n].must_list(now)).collect();
@@ -40,15 +42,15 @@
     let edit = fleet[keeper].listed(now, &[listed(3)]);
     let mut put = edit.put;
     put.sort();
-    let mut all: Vec<Listed> = (0..HOSTS).filter(|n| *n != 3).map(listed).collect();
+    let mut all: Vec<RegisteredHost> = (0..HOSTS).filter(|n| *n != 3).map(listed).collect();
     all.sort();
     assert_eq!((put, edit.remove), (all, Vec::new()));
     assert!((0..HOSTS).all(|n| !fleet[n].must_list(now)), "it was just looked at");
-    let next = first + KEEP_EVERY / MILLI;
+    let next = first + UPDATE_INTERVAL / MILLI;
     rest(&mut fleet, first + 100, next + 100, |_| true);
     assert!(fleet[keeper].must_list(ms(next)));
-    let all: Vec<Listed> = (0..HOSTS).map(listed).collect();
-    assert_eq!(fleet[keeper].listed(ms(next), &all), Edit::default());
+    let all: Vec<RegisteredHost> = (0..HOSTS).map(listed).collect();
+    assert_eq!(fleet[keeper].listed(ms(next), &all), RegistryEdit::default());
 }
 
 #[test]
@@ -68,9 +70,9 @@
     rest(&mut fleet, 100, 2_000, |_| true);
     let keeper = (0..HOSTS).find(|n| fleet[*n].must_list(ms(2_000))).expect("there is one");
     let gone = (keeper + 1) % HOSTS;
-    let all: Vec<Listed> = (0..HOSTS).map(listed).collect();
+    let all: Vec<RegisteredHost> = (0..HOSTS).map(listed).collect();
     let kept = fleet[keeper].listed(ms(2_000), &all);
-    assert_eq!(kept, Edit::default());
+    assert_eq!(kept, RegistryEdit::default());
     // It keeps the list all the time, as it reads for all.
     for hour in 1..=3 {
         let at = hour * 3_600 * SECOND / MILLI;
@@ -82,7 +84,8 @@
         };
         fleet.iter_mut().for_each(read);
         let edit = fleet[keeper].listed(ms(at), &all);
-        let expected = if at * MILLI > GONE { vec![format!("host-{gone}")] } else { Vec::new() };
+        let expected =
+            if at * MILLI > REMOVE_AFTER { vec![format!("host-{gone}")] } else { Vec::new() };
         assert_eq!(edit.remove, expected, "after {hour} hours");
     }
 }
@@ -90,9 +93,9 @@
 #[test]
 fn a_host_that_hears_few_others_takes_none_off() {
     let mut alone = ready(0, ms(0), servers(1));
-    let at = 2 * GONE / MILLI;
+    let at = 2 * REMOVE_AFTER / MILLI;
     alone.tick(ms(at));
-    let all: Vec<Listed> = (0..HOSTS).map(listed).collect();
+    let all: Vec<RegisteredHost> = (0..HOSTS).map(listed).collect();
     assert!(alone.must_list(ms(at)));
     assert_eq!(alone.listed(ms(at), &all).remove, Vec::<String>::new());
 }
@@ -103,8 +106,8 @@
     new.want_hosts();
     assert!(!new.knows_hosts());
     assert!(new.must_list(ms(60)), "it knows nobody, so it does not wait for others");
-    let all: Vec<Listed> = (0..HOSTS).map(listed).collect();
-    assert_eq!(new.listed(ms(60), &all), Edit::default());
+    let all: Vec<RegisteredHost> = (0..HOSTS).map(listed).collect();
+    assert_eq!(new.listed(ms(60), &all), RegistryEdit::default());
     assert!(new.knows_hosts());
     assert_eq!(new.targets(ms(100), 1,).near.len(), HOSTS - 1);
 }
--- a/elmstream_steer/tests/rest.rs
+++ b/elmstream_steer/tests/rest.rs
@@ -5,26 +5,26 @@
 use std::time::Duration;
 
 use elmstream_steer::{
-    Choice, Steer,
-    choose::Reason,
-    model::Repeat,
-    servers::{Index, Outcome},
+    Pick, Steer,
+    model::Repeatability,
+    pick::RefusalReason,
+    servers::{Outcome, ServerIndex},
 };
 use support::{beats, ms, ready, route, send, server};
 
 /// Whether a server gets any of many keys' requests.
 fn used(host: &mut Steer, now: u64, id: &str) -> bool {
-    let route = route(Repeat::Safe, &[]);
+    let route = route(Repeatability::Safe, &[]);
     (0..200u64).any(|key| match send(host, ms(now), &route, key * 7_919) {
-        Choice::Send(index) => {
+        Pick::Send(index) => {
             host.done(ms(now), index, Outcome::Answered { micros: 1_000, knew: true });
             support::id(host, index) == id
         }
-        Choice::Refuse(_) => false,
+        Pick::Refuse(_) => false,
     })
 }
 
-fn two() -> (Steer, Index, Index) {
+fn two() -> (Steer, ServerIndex, ServerIndex) {
     let host = ready(0, ms(0), vec![server("s", "a1", 10), server("t", "a1", 10)]);
     let place = |id: &str| host.servers().find(id).expect("it is known");
     let (s, t) = (place("s"), place("t"));
@@ -49,11 +49,11 @@
     let (mut host, s, t) = two();
     host.asks_for_rest(ms(1_000), s, Duration::from_secs(3));
     host.asks_for_rest(ms(1_000), t, Duration::from_secs(2));
-    let route = route(Repeat::Once, &[]);
-    let Choice::Refuse(refusal) = send(&mut host, ms(1_500), &route, 1) else {
+    let route = route(Repeatability::Once, &[]);
+    let Pick::Refuse(refusal) = send(&mut host, ms(1_500), &route, 1) else {
         panic!("both rest");
     };
-    assert_eq!((refusal.reason, refusal.spared), (Reason::Spared, 2));
+    assert_eq!((refusal.reason, refusal.spared), (RefusalReason::Spared, 2));
     assert!((1_500..=1_700).contains(&refusal.retry_ms), "{} ms", refusal.retry_ms);
 }
 
@@ -61,8 +61,8 @@
 fn a_server_that_is_only_full_is_tried_again_soon() {
     let (mut host, s, t) = two();
     host.asks_for_rest(ms(1_000), t, Duration::from_secs(9));
-    let route = route(Repeat::Safe, &[]);
-    assert_eq!(send(&mut host, ms(1_000), &route, 1), Choice::Send(s));
+    let route = route(Repeatability::Safe, &[]);
+    assert_eq!(send(&mut host, ms(1_000), &route, 1), Pick::Send(s));
     host.done(ms(1_010), s, Outcome::Full);
     assert!(!used(&mut host, 1_020, "s"));
     assert!(used(&mut host, 1_100, "s"));
--- a/elmstream_steer/tests/returns.rs
+++ b/elmstream_steer/tests/returns.rs
@@ -2,12 +2,14 @@
 
 mod support;
 
-use elmstream_steer::{Ask, Choice, model::Repeat, returns::Returns};
+use elmstream_steer::{
+    Pick, PickRequest, model::Repeatability, returning_callers::ReturningCallers,
+};
 use support::{SERVICE, ms, ready, route, server};
 
 #[test]
 fn a_caller_with_clearly_less_time_than_usual_comes_back() {
-    let mut returns = Returns::default();
+    let mut returns = ReturningCallers::default();
     assert!(!returns.returns(ms(0), "r", 2_000));
     assert!(!returns.returns(ms(10), "r", 2_000));
     assert!(!returns.returns(ms(20), "r", 1_950), "the way here takes a little");
@@ -17,7 +19,7 @@
 
 #[test]
 fn what_is_usual_is_learned_anew_once_it_is_no_longer_seen() {
-    let mut returns = Returns::default();
+    let mut returns = ReturningCallers::default();
     assert!(!returns.returns(ms(0), "r", 2_000));
     assert!(returns.returns(ms(9_000), "r", 1_000));
     assert!(!returns.returns(ms(11_000), "r", 1_000));
@@ -27,11 +29,17 @@
 
 fn taken(returning: bool) -> usize {
     let mut host = ready(0, ms(0), vec![server("one", "a1", 10)]);
-    let route = route(Repeat::Once, &[]);
+    let route = route(Repeatability::Once, &[]);
     let mut sent = |key: &u64| {
-        let ask =
-            Ask { route: &route, service: SERVICE, key: *key, tried: &[], returning, homes: &[] };
-        matches!(host.send(ms(10), &ask), Choice::Send(_))
+        let ask = PickRequest {
+            route: &route,
+            service: SERVICE,
+            key: *key,
+            tried: &[],
+            returning,
+            homes: &[],
+        };
+        matches!(host.send(ms(10), &ask), Pick::Send(_))
     };
     (0..60).take_while(|key| sent(key)).count()
 }
--- a/elmstream_steer/tests/rollouts.rs
+++ b/elmstream_steer/tests/rollouts.rs
@@ -10,7 +10,9 @@
 
 use std::env;
 
-use elmstream_steer::{rollout::Stage, steps::Stepping, verdict::Judging};
+use elmstream_steer::{
+    canary_analysis::AnalysisMethod, rollout::RolloutStage, rollout_steps::StepPolicy,
+};
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use rollouts::{DURATION, Flaw, ORDER, Play, Seen, Without, World};
 
@@ -34,7 +36,7 @@
         for seed in 0..3 {
             let seen = play(&Play::plain(hosts, seed));
             println!("{hosts} hosts, seed {seed}: {seen:?}");
-            assert_eq!(seen.stage, Some(Stage::Completed), "{hosts} hosts, seed {seed}");
+            assert_eq!(seen.stage, Some(RolloutStage::Completed), "{hosts} hosts, seed {seed}");
             assert!(seen.decided.is_some_and(|at| at < ORDER + DURATION), "{seen:?}");
             assert_eq!((seen.cut, seen.undone), (0, 0), "{hosts} hosts, seed {seed}");
         }
@@ -48,7 +50,7 @@
         for (seed, flaw) in flaws.into_iter().enumerate() {
             let seen = play(&Play { flaw, ..Play::plain(hosts, seed as u64) });
             println!("{hosts} hosts, {flaw:?}: {seen:?}");
-            assert_eq!(seen.stage, Some(Stage::RolledBack), "{hosts} hosts, {flaw:?}");
+            assert_eq!(seen.stage, Some(RolloutStage::RolledBack), "{hosts} hosts, {flaw:?}");
             assert!(seen.beyond() <= 0.0 && seen.late == 0, "{seen:?}");
         }
     }
@@ -58,7 +60,7 @@
 fn drawn(seed: u64, hosts: usize) -> Play {
     let mut random = seed;
     let mut draw = |below: u64| {
-        random = elmstream_steer::hash::pair(random, 1);
+        random = elmstream_steer::hash::combine(random, 1);
         random % below
     };
     let flaw = match draw(3) {
@@ -88,26 +90,26 @@
     cut: usize,
 }
 
-fn errors(judging: Judging, stepping: Stepping, plays: u64, hosts: usize) -> Errors {
+fn errors(judging: AnalysisMethod, stepping: StepPolicy, plays: u64, hosts: usize) -> Errors {
     let mut errors = Errors::default();
     for seed in 0..plays {
         let bad = Play { judging, stepping, ..drawn(seed, hosts) };
         let seen = play(&bad);
         let shown = (bad.one_route, bad.later, bad.under_load, bad.flaw);
-        if seen.stage == Some(Stage::Completed) || seen.beyond() > 0.0 || seen.late > 0 {
+        if seen.stage == Some(RolloutStage::Completed) || seen.beyond() > 0.0 || seen.late > 0 {
             println!("{seed}: {shown:?} {seen:?}");
         }
-        errors.completed += usize::from(seen.stage == Some(Stage::Completed));
+        errors.completed += usize::from(seen.stage == Some(RolloutStage::Completed));
         errors.exposed += usize::from(seen.beyond() > 0.0);
         errors.late += usize::from(seen.late > 0);
         let fault = (seed % 2 == 1).then_some((ORDER + 3_000, ORDER + 6_000, 20));
         let good = Play { judging, stepping, fault, ..Play::plain(hosts, seed) };
         let seen = play(&good);
-        errors.turned_away += usize::from(seen.stage == Some(Stage::RolledBack));
+        errors.turned_away += usize::from(seen.stage == Some(RolloutStage::RolledBack));
         let in_time = seen.decided.is_some_and(|at| at < ORDER + DURATION);
         errors.undecided += usize::from(!in_time);
         errors.cut += seen.cut;
-        if seen.stage != Some(Stage::Completed) || !in_time || seen.cut > 0 {
+        if seen.stage != Some(RolloutStage::Completed) || !in_time || seen.cut > 0 {
             println!("good {seed}: {seen:?}");
         }
     }
@@ -117,7 +119,7 @@
 #[test]
 fn both_errors_are_rare_over_drawn_versions() {
     let (plays, hosts) = (given("PLAYS", 6), given("HOSTS", 12) as usize);
-    let errors = errors(Judging::default(), Stepping::default(), plays, hosts);
+    let errors = errors(AnalysisMethod::default(), StepPolicy::default(), plays, hosts);
     println!("{plays} plays, {hosts} hosts: {errors:?}");
     assert_eq!(errors, Errors::default());
 }
@@ -126,8 +128,8 @@
 #[test]
 fn ways_of_judging_and_stepping() {
     let (plays, hosts) = (given("PLAYS", 1), given("HOSTS", 12) as usize);
-    for judging in [Judging::Sequential, Judging::Window] {
-        for stepping in [Stepping::Late, Stepping::Fixed] {
+    for judging in [AnalysisMethod::Sequential, AnalysisMethod::Window] {
+        for stepping in [StepPolicy::Late, StepPolicy::Fixed] {
             let errors = errors(judging, stepping, plays, hosts);
             println!("{judging:?} {stepping:?}: {errors:?} of {plays}");
         }
@@ -222,31 +224,35 @@
 #[test]
 fn a_version_that_was_turned_away_gets_nothing_without_its_order() {
     use elmstream_steer::{
-        Choice,
-        model::Repeat,
-        rollout::{Order, Progress},
-        view::{Item, Key, Row, Table},
+        Pick,
+        model::Repeatability,
+        rollout::{RolloutOrder, RolloutProgress},
+        view::{Row, RowContent, RowKey, Table},
     };
     use support::{at, gone, id, ms, ready, route, send, server, with};
     let of = |name: &str, version: &str| {
         with(server(name, "a1", 10), 10, |server| server.version = version.into())
     };
-    for (stage, shut) in
-        [(Stage::RolledBack, true), (Stage::Trial, true), (Stage::Completed, false)]
-    {
+    for (stage, shut) in [
+        (RolloutStage::RolledBack, true),
+        (RolloutStage::Trial, true),
+        (RolloutStage::Completed, false),
+    ] {
         let mut steer = ready(0, ms(0), vec![of("old", "v1"), of("new", "v2")]);
-        let order = Item::Rollout(Order { target: "v2".into(), duration_ms: 12_000 });
-        let key = Key::Rollout(support::SERVICE.into());
+        let order = RowContent::Rollout(RolloutOrder { target: "v2".into(), duration_ms: 12_000 });
+        let key = RowKey::Rollout(support::SERVICE.into());
         steer.read(ms(10), Table::Rules, vec![Row::new(key.clone(), at(20), Some(order))]);
-        let progress = Progress { order: at(20), target: "v2".into(), stage, began_unix_ms: 0 };
-        let row = Key::Progress(support::SERVICE.into());
-        let row = Row::new(row, at(30), Some(Item::Progress(progress)));
+        let progress =
+            RolloutProgress { order: at(20), target: "v2".into(), stage, began_unix_ms: 0 };
+        let row = RowKey::Progress(support::SERVICE.into());
+        let row = Row::new(row, at(30), Some(RowContent::Progress(progress)));
         steer.read_all(ms(20), Table::Rollouts, at(30), vec![row]);
         steer.read(ms(30), Table::Rules, vec![gone(key, 40)]);
         steer.tick(ms(100));
         let mut reached = 0;
         for key in 0..200 {
-            let Choice::Send(index) = send(&mut steer, ms(20_000), &route(Repeat::Safe, &[]), key)
+            let Pick::Send(index) =
+                send(&mut steer, ms(20_000), &route(Repeatability::Safe, &[]), key)
             else {
                 continue;
             };
--- a/elmstream_steer/tests/server_limits.rs
+++ b/elmstream_steer/tests/server_limits.rs
@@ -6,9 +6,9 @@
 
 use elmstream::time::MILLI;
 use elmstream_steer::{
-    Choice, hash,
-    model::Repeat,
-    server_limit::{Candidate, Limited, PerSecond, senders, weight},
+    Pick, hash,
+    model::Repeatability,
+    server_limit::{RequestRate, SenderCandidate, ServerLimit, sender_count, sender_weight},
     servers::Outcome,
 };
 use needy::{CONTACT, Need, OVERSHOOT, SLACK, WINDOW, World};
@@ -112,7 +112,7 @@
 /// Fleets and troubles drawn by a seed: limits that change and end, restarts one by one and
 /// of many, and halves that lose each other for seconds.
 fn drawn(seed: u64) -> f64 {
-    let hosts = 1 + hash::pair(seed, 1) as usize % 60;
+    let hosts = 1 + hash::combine(seed, 1) as usize % 60;
     let mut world = World::new(hosts, 3, seed);
     let mut at = FROM;
     let limits = [0.0, 0.4, 1.0, 2.0, 3.7, 9.0, 14.0];
@@ -157,7 +157,7 @@
 fn an_answer_that_was_on_its_way_does_not_end_a_limit() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
     let index = host.servers().find("s").expect("it is known");
-    let limit = PerSecond::parse("2.5");
+    let limit = RequestRate::parse("2.5");
     assert!(host.names_limit(ms(1_000), index, limit));
     assert!(!host.names_limit(ms(1_100), index, None));
     assert!(host.names_limit(ms(1_500), index, None), "it is over");
@@ -167,7 +167,7 @@
 fn a_limit_that_nobody_hears_again_is_tried_without() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
     let index = host.servers().find("s").expect("it is known");
-    host.names_limit(ms(1_000), index, PerSecond::parse("2"));
+    host.names_limit(ms(1_000), index, RequestRate::parse("2"));
     host.tick(ms(200_000));
     assert_eq!(host.limited_servers(), 1);
     host.tick(ms(302_000));
@@ -179,7 +179,7 @@
     let rows = vec![server("s", "a1", 10), server("t", "a1", 10)];
     let mut fleet: Vec<_> = (0..3).map(|n| ready(n, ms(0), rows.clone())).collect();
     let index = fleet[0].servers().find("s").expect("it is known");
-    fleet[0].names_limit(ms(1_000), index, PerSecond::parse("2"));
+    fleet[0].names_limit(ms(1_000), index, RequestRate::parse("2"));
     beats(ms(1_050), &mut fleet, |_, _| true);
     assert!(fleet.iter().all(|host| host.limited_servers() == 1));
     fleet[0].names_limit(ms(2_000), index, None);
@@ -191,15 +191,15 @@
 fn a_refusal_for_limits_says_when_there_is_room_again() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
     let index = host.servers().find("s").expect("it is known");
-    host.names_limit(ms(5_000), index, PerSecond::parse("2"));
-    let route = route(Repeat::Safe, &[]);
+    host.names_limit(ms(5_000), index, RequestRate::parse("2"));
+    let route = route(Repeatability::Safe, &[]);
     let mut refused = 0;
     for at in (5_000..9_000).step_by(50) {
         match send(&mut host, ms(at), &route, 1) {
-            Choice::Send(index) => {
+            Pick::Send(index) => {
                 host.done(ms(at), index, Outcome::Answered { micros: 1_000, knew: true });
             }
-            Choice::Refuse(refusal) => {
+            Pick::Refuse(refusal) => {
                 refused += 1;
                 assert_eq!(refusal.spared, 1);
                 assert!((250..=4_000).contains(&refusal.retry_ms), "{} ms", refusal.retry_ms);
@@ -213,17 +213,17 @@
 /// are asked: each its part of it, and one request that it had saved up.
 fn most(limit: f64, asked: &[u32]) -> f64 {
     let highest = asked.iter().copied().max().unwrap_or(0);
-    let among: Vec<Candidate> = asked
+    let among: Vec<SenderCandidate> = asked
         .iter()
         .enumerate()
-        .map(|(n, asked)| Candidate {
-            place: hash::pair(11, n as u64),
-            weight: weight(*asked, highest, n % 3 == 0),
+        .map(|(n, asked)| SenderCandidate {
+            place: hash::combine(11, n as u64),
+            weight: sender_weight(*asked, highest, n % 3 == 0),
         })
         .collect();
     let sent = among.iter().filter_map(|host| {
-        let mut limited = Limited::default();
-        limited.hear(ms(0), PerSecond::parse(&limit.to_string()));
+        let mut limited = ServerLimit::default();
+        limited.hear(ms(0), RequestRate::parse(&limit.to_string()));
         limited.pick(ms(0), host.place, &among, 99, 1.0);
         limited.spacing().map(|spacing| 1.0 + WINDOW as f64 * MILLI as f64 / spacing as f64)
     });
@@ -259,8 +259,8 @@
 #[test]
 fn only_numbers_of_requests_are_limits() {
     for text in ["", "-1", "NaN", "inf", "2 a second", "1e400"] {
-        assert_eq!(PerSecond::parse(text), None, "{text}");
+        assert_eq!(RequestRate::parse(text), None, "{text}");
     }
-    assert_eq!(PerSecond::parse(" 3.25 ").map(PerSecond::value), Some(3.25));
-    assert_eq!(senders(PerSecond::parse("0").expect("a limit"), 0.3), 1);
+    assert_eq!(RequestRate::parse(" 3.25 ").map(RequestRate::value), Some(3.25));
+    assert_eq!(sender_count(RequestRate::parse("0").expect("a limit"), 0.3), 1);
 }
--- a/elmstream_steer/tests/silence.rs
+++ b/elmstream_steer/tests/silence.rs
@@ -3,9 +3,9 @@
 mod support;
 
 use elmstream_steer::{
-    Choice, Steer,
-    model::Repeat,
-    servers::{Index, Outcome},
+    Pick, Steer,
+    model::Repeatability,
+    servers::{Outcome, ServerIndex},
     view::Row,
 };
 use support::{beats, id, ms, ready, route, send, server};
@@ -28,7 +28,7 @@
 /// A key that belongs to a server.
 fn key_of(steer: &mut Steer, at: u64, name: &str) -> u64 {
     let found = (0..1_000).find(|key| {
-        let Choice::Send(index) = send(steer, ms(at), &route(Repeat::Once, &[]), *key) else {
+        let Pick::Send(index) = send(steer, ms(at), &route(Repeatability::Once, &[]), *key) else {
             return false;
         };
         let meant = id(steer, index) == name;
@@ -38,10 +38,10 @@
     found.expect("each server has some keys")
 }
 
-fn to(steer: &mut Steer, at: u64, key: u64) -> Option<Index> {
-    match send(steer, ms(at), &route(Repeat::Once, &[]), key) {
-        Choice::Send(index) => Some(index),
-        Choice::Refuse(_) => None,
+fn to(steer: &mut Steer, at: u64, key: u64) -> Option<ServerIndex> {
+    match send(steer, ms(at), &route(Repeatability::Once, &[]), key) {
+        Pick::Send(index) => Some(index),
+        Pick::Refuse(_) => None,
     }
 }
 
@@ -156,7 +156,7 @@
         .map(|name| key_of(&mut fleet[0], 5, &name))
         .collect();
     for host in &mut fleet[..3] {
-        let open: Vec<Index> = keys.iter().filter_map(|key| to(host, 10, *key)).collect();
+        let open: Vec<ServerIndex> = keys.iter().filter_map(|key| to(host, 10, *key)).collect();
         for index in open {
             host.done(ms(810), index, Outcome::Silent);
         }
--- a/elmstream_steer/tests/starts.rs
+++ b/elmstream_steer/tests/starts.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use elmstream_steer::{
-    model::Repeat,
+    model::Repeatability,
     servers::Outcome,
-    steer::{Change, State},
-    view::{Item, Key, Row, Table},
+    steer::{ServerState, StateChange},
+    view::{Row, RowContent, RowKey, Table},
 };
 use support::{address, at, gone, id, ms, ready, route, send, server, servers, with};
 
@@ -20,7 +20,7 @@
 #[test]
 fn a_server_that_starts_again_under_its_id_knows_and_holds_nothing() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
-    let route = route(Repeat::Safe, &[]);
+    let route = route(Repeatability::Safe, &[]);
     for _ in 0..3 {
         send(&mut host, ms(1), &route, KEY);
     }
@@ -31,7 +31,7 @@
     assert!(host.knows(ms(701), old, KEY));
     assert!(host.servers().get(old).expect("it is there").on_trial());
     let changes = host.read(ms(702), Table::Servers, vec![reborn(server("s", "a1", 10), 11)]);
-    assert!(changes.contains(&Change::Server("s".into(), State::Restarted)));
+    assert!(changes.contains(&StateChange::Server("s".into(), ServerState::Restarted)));
     let new = host.servers().find("s").expect("it is there");
     let entry = host.servers().get(new).expect("it is there");
     assert_ne!(old, new);
@@ -40,7 +40,7 @@
     // What was in flight at the start before ends, and says nothing of this one.
     host.done(ms(703), old, Outcome::Silent);
     assert_eq!(host.servers().get(new).expect("it is there").own, 0);
-    assert!(matches!(send(&mut host, ms(704), &route, KEY), elmstream_steer::Choice::Send(_)));
+    assert!(matches!(send(&mut host, ms(704), &route, KEY), elmstream_steer::Pick::Send(_)));
 }
 
 #[test]
@@ -76,14 +76,14 @@
 fn an_entry_that_cannot_be_read_is_used_no_more_and_the_others_are() {
     let mut host = ready(0, ms(0), servers(1));
     let all = host.servers().all().count();
-    let key = Key::Server("s-a1-0".into());
-    let unreadable = Row::new(key.clone(), at(11), Some(Item::Unreadable));
+    let key = RowKey::Server("s-a1-0".into());
+    let unreadable = Row::new(key.clone(), at(11), Some(RowContent::Unreadable));
     let changes = host.read(ms(1), Table::Servers, vec![unreadable]);
-    assert_eq!(changes, [Change::Server("s-a1-0".into(), State::Unreadable)]);
+    assert_eq!(changes, [StateChange::Server("s-a1-0".into(), ServerState::Unreadable)]);
     assert_eq!(host.servers().all().count(), all - 1);
-    let route = route(Repeat::Safe, &[]);
+    let route = route(Repeatability::Safe, &[]);
     for key in 0..50 {
-        if let elmstream_steer::Choice::Send(index) = send(&mut host, ms(2), &route, key) {
+        if let elmstream_steer::Pick::Send(index) = send(&mut host, ms(2), &route, key) {
             assert_ne!(id(&host, index), "s-a1-0");
         }
     }
--- a/elmstream_steer/tests/support/eras.rs
+++ b/elmstream_steer/tests/support/eras.rs
@@ -8,13 +8,13 @@
 use elmstream::time::MILLI;
 use elmstream_steer::{
     Steer,
-    beat::Beat,
-    calls::Why,
-    era::Holds,
+    era::Retention,
+    heartbeat::Heartbeat,
     members,
-    telling::TableRows,
+    store_schedule::ReadReason,
+    table_sync::TableRows,
     version::StoreVersion,
-    view::{Item, Key, NEEDED, Row, Table},
+    view::{REQUIRED_TABLES, Row, RowContent, RowKey, Table},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -125,7 +125,7 @@
 
 #[derive(Clone, Default)]
 struct Store {
-    rows: BTreeMap<Key, (Option<Item>, u64)>,
+    rows: BTreeMap<RowKey, (Option<RowContent>, u64)>,
     count: u64,
 }
 
@@ -142,7 +142,7 @@
         let rows = self.rows.iter().filter(|(key, (item, count))| {
             key.table() == table && after.map_or(item.is_some(), |after| *count > after)
         });
-        let row = |(key, (item, count)): (&Key, &(Option<Item>, u64))| {
+        let row = |(key, (item, count)): (&RowKey, &(Option<RowContent>, u64))| {
             Row::new(key.clone(), StoreVersion::new(era, *count), item.clone())
         };
         rows.map(row).collect()
@@ -158,7 +158,7 @@
 }
 
 struct Call {
-    why: Why,
+    why: ReadReason,
     began: u64,
     ends: u64,
     /// Whether the store was well as it began.
@@ -168,7 +168,7 @@
 }
 
 enum Message {
-    Beat(Box<Beat>),
+    Heartbeat(Box<Heartbeat>),
     Rows(Table, Box<TableRows>),
 }
 
@@ -323,7 +323,7 @@
                 self.entry(n);
             }
             let silent = at >= self.back + SILENCE && self.truth.servers[n] == 2;
-            if silent && self.store.rows.contains_key(&Key::Server(id(n))) {
+            if silent && self.store.rows.contains_key(&RowKey::Server(id(n))) {
                 self.store.put(Row { item: None, ..server(&id(n), "a1", 0) });
             }
         }
@@ -346,8 +346,8 @@
     }
 
     fn evacuation(&mut self, domain: &str) {
-        let item = self.truth.evacuated.contains(domain).then_some(Item::Evacuation);
-        let key = Key::Evacuation(domain.into());
+        let item = self.truth.evacuated.contains(domain).then_some(RowContent::Evacuation);
+        let key = RowKey::Evacuation(domain.into());
         self.store.put(Row::new(key, StoreVersion::default(), item));
     }
 
@@ -417,14 +417,14 @@
         if at.is_multiple_of(100) {
             self.nodes[n].steer.tick(ms(at));
         }
-        for table in NEEDED {
+        for table in REQUIRED_TABLES {
             self.read(at, n, table);
         }
     }
 
     fn beat(&mut self, at: u64, n: usize) {
         let node = &mut self.nodes[n];
-        let pause = members::pause(node.steer.members().count()) / MILLI;
+        let pause = members::heartbeat_interval(node.steer.members().count()) / MILLI;
         let pause = if node.steer.urgent() { pause.min(URGENT) } else { pause };
         if node.beat.0 + pause > at {
             return;
@@ -437,7 +437,7 @@
         node.beat = (at, node.beat.1 + 1);
         let arrives = self.on_the_way.entry(at + WAY).or_default();
         for to in targets.near.iter().chain(&targets.far) {
-            arrives.push((n, self.places[to], Message::Beat(beat.clone())));
+            arrives.push((n, self.places[to], Message::Heartbeat(beat.clone())));
         }
     }
 
@@ -448,7 +448,7 @@
         match message {
             // What was asked for by the start before does not come to this one.
             Message::Rows(..) if at < self.nodes[to].started + FETCH => {}
-            Message::Beat(beat) => {
+            Message::Heartbeat(beat) => {
                 let Some(news) = self.nodes[to].steer.hear(ms(at), &beat) else { return };
                 for (table, version) in news.wanted {
                     let mut rows = self.nodes[from].steer.tell_rows(ms(at), table, version);
@@ -548,7 +548,7 @@
             return steer.version() == Some(self.truth.configuration);
         }
         if let Some((domain, _)) = DOMAINS.get(fact - 1) {
-            let evacuated = steer.view().get(&Key::Evacuation((*domain).into())).is_some();
+            let evacuated = steer.view().get(&RowKey::Evacuation((*domain).into())).is_some();
             return evacuated == self.truth.evacuated.contains(domain);
         }
         let server = fact - 1 - DOMAINS.len();
@@ -616,7 +616,7 @@
     /// away before hosts first read it.
     fn holds(&self, at: u64, fact: usize) -> bool {
         let evacuation = (1..=DOMAINS.len()).contains(&fact);
-        let until = self.back + Holds::default().evacuation / MILLI;
+        let until = self.back + Retention::default().evacuation / MILLI;
         evacuation
             && self.back > 0
             && at < until
@@ -650,7 +650,7 @@
     }
     (0..hosts).for_each(|other| steer.suppose(ms(at), address(2_000 + other)));
     if without == Without::Holds {
-        steer.set_holds(Holds::NONE);
+        steer.set_holds(Retention::NONE);
     }
     Node {
         steer,
--- a/elmstream_steer/tests/support/harm.rs
+++ b/elmstream_steer/tests/support/harm.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use elmstream::time::{MILLI, Time};
-use elmstream_steer::{Steer, beat::Beat, digest::RequestDigest, hash, members};
+use elmstream_steer::{Steer, digest::RequestDigest, hash, heartbeat::Heartbeat, members};
 
 use super::support::{address, ms, place, ready, servers};
 
@@ -71,7 +71,7 @@
 }
 
 enum Event {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     /// A copy is over: answered, or its server ended.
     Over(Copy, bool),
     /// A copy has waited for another one.
@@ -132,7 +132,7 @@
             kills: BTreeMap::new(),
             apart: vec![false; hosts],
         };
-        let pause = members::pause(hosts - 1) / MILLI;
+        let pause = members::heartbeat_interval(hosts - 1) / MILLI;
         // Hosts do not beat in step, and have met.
         for n in 0..hosts {
             fleet.rounds[n].1 = fleet.draw(pause as usize) as u64;
@@ -142,7 +142,7 @@
 
     pub fn draw(&mut self, below: usize) -> usize {
         self.draws += 1;
-        (hash::unit(hash::pair(self.seed, self.draws)) * below as f64) as usize
+        (hash::unit_interval(hash::combine(self.seed, self.draws)) * below as f64) as usize
     }
 
     pub fn now(&self) -> Time {
@@ -304,7 +304,7 @@
     }
 
     fn beats(&mut self) {
-        let pause = members::pause(self.hosts.len() - 1) / MILLI;
+        let pause = members::heartbeat_interval(self.hosts.len() - 1) / MILLI;
         for from in 0..self.hosts.len() {
             let (round, last) = self.rounds[from];
             let waited = self.at.saturating_sub(last);
--- a/elmstream_steer/tests/support/limits.rs
+++ b/elmstream_steer/tests/support/limits.rs
@@ -8,9 +8,9 @@
 use elmstream_steer::{
     Bounds, hash, members,
     model::{Configuration, Workspace},
-    quota::{self, Quotas, Ruling, Scene, Spreading},
-    tally::{Heard, Report, Spread, Verdict},
-    workspaces::{Member, WorkspaceTable},
+    quota::{self, AddressedBroadcast, QuotaContext, QuotaDecision, Quotas},
+    tally::{FleetView, FractionBroadcast, UsageReply, UsageReport},
+    workspaces::{WorkspaceEntry, WorkspaceTable},
 };
 
 /// Regions of the fleet; hosts are in them by turns.
@@ -48,9 +48,9 @@
 }
 
 enum Message {
-    Report(usize, Report),
-    Verdict(Verdict),
-    Spread(Spread),
+    Report(usize, UsageReport),
+    Verdict(UsageReply),
+    Spread(FractionBroadcast),
 }
 
 struct Host {
@@ -59,7 +59,7 @@
     limit: Option<Workspace>,
     started: u64,
     places: Vec<u64>,
-    heard: Heard,
+    heard: FleetView,
 }
 
 /// How hosts keep a limit, and rules that are left out on purpose.
@@ -129,7 +129,7 @@
 
     pub fn unit(&mut self) -> f64 {
         self.1 += 1;
-        hash::unit(hash::pair(self.0, self.1))
+        hash::unit_interval(hash::combine(self.0, self.1))
     }
 }
 
@@ -152,12 +152,12 @@
 impl<'a, L: Load> Play<'a, L> {
     pub fn new(load: &'a L, count: usize, seed: u64) -> Play<'a, L> {
         let host = |n: usize| Host {
-            quotas: Quotas::new(hash::pair(seed, n as u64), Time(0)),
+            quotas: Quotas::new(hash::combine(seed, n as u64), Time(0)),
             table: WorkspaceTable::default(),
             limit: None,
             started: 0,
             places: Vec::new(),
-            heard: Heard { known: count, live: count, near: count / REGIONS },
+            heard: FleetView { known: count, live: count, near: count / REGIONS },
         };
         Play {
             load,
@@ -200,7 +200,7 @@
     }
 
     fn place(host: usize) -> u64 {
-        hash::pair(host as u64, 77)
+        hash::combine(host as u64, 77)
     }
 
     /// Hosts start anew, configurations come, and who is live shows after a while.
@@ -212,7 +212,7 @@
             let runs = self.load.runs(n, at);
             if runs && !ran && at > 0 {
                 let host = &mut self.hosts[n];
-                host.quotas = Quotas::new(hash::pair(at, n as u64), Self::now(at));
+                host.quotas = Quotas::new(hash::combine(at, n as u64), Self::now(at));
                 (host.table, host.limit) = (WorkspaceTable::default(), None);
                 host.started = at;
             }
@@ -246,7 +246,8 @@
             let region_heard: Vec<bool> = (0..REGIONS)
                 .map(|region| {
                     (region..count).step_by(REGIONS).any(|other| {
-                        let then = at.saturating_sub(members::REGION_LOST / MILLI).max(began);
+                        let then =
+                            at.saturating_sub(members::REGION_LOST_TIMEOUT / MILLI).max(began);
                         (then..=at).step_by(300).any(|then| {
                             self.load.runs(other, then) && self.load.reaches(other, n, then)
                         })
@@ -258,7 +259,7 @@
             let places: Vec<u64> = heard.into_iter().map(Self::place).collect();
             let host = &mut self.hosts[n];
             let known = if self.way == Way::SilentAreDead { live } else { count };
-            host.heard = Heard { known, live, near };
+            host.heard = FleetView { known, live, near };
             host.places = places;
         }
     }
@@ -276,10 +277,10 @@
         &mut self,
         n: usize,
         at: u64,
-        act: impl FnOnce(&mut Quotas, &Scene<'_>, &WorkspaceTable) -> T,
+        act: impl FnOnce(&mut Quotas, &QuotaContext<'_>, &WorkspaceTable) -> T,
     ) -> T {
         let host = &mut self.hosts[n];
-        let scene = Scene {
+        let scene = QuotaContext {
             now: Self::now(at),
             bounds: &self.bounds,
             heard: host.heard,
@@ -317,11 +318,11 @@
         }
     }
 
-    fn spread(&mut self, at: u64, from: usize, due: Vec<Spreading>) {
+    fn spread(&mut self, at: u64, from: usize, due: Vec<AddressedBroadcast>) {
         if self.way == Way::NobodyTold {
             return;
         }
-        for Spreading { place, spread } in due {
+        for AddressedBroadcast { place, spread } in due {
             let to = self.by_place[&place];
             self.seen.datagrams += 1;
             self.send(at, from, to, Message::Spread(spread));
@@ -351,21 +352,23 @@
         }
     }
 
-    fn ask(&mut self, n: usize, at: u64, member: &Member) {
+    fn ask(&mut self, n: usize, at: u64, member: &WorkspaceEntry) {
         self.seen.asked.push(at);
         if matches!(self.way, Way::OwnParts | Way::OneEach) {
             return self.ask_own_part(n, at, member);
         }
         match self.with(n, at, |quotas, scene, _| quotas.rule(scene, member)) {
-            Ruling::Within => self.seen.within.push(at),
-            Ruling::Over { retry_ms } => self.seen.retry_most = self.seen.retry_most.max(retry_ms),
-            Ruling::Unready => {}
+            QuotaDecision::Within => self.seen.within.push(at),
+            QuotaDecision::Over { retry_ms } => {
+                self.seen.retry_most = self.seen.retry_most.max(retry_ms)
+            }
+            QuotaDecision::Unready => {}
         }
     }
 
-    fn ask_own_part(&mut self, n: usize, at: u64, member: &Member) {
-        let seed = hash::pair(self.draws.0, n as u64);
-        let part = self.with(n, at, |_, scene, _| quota::own_part(seed, scene, member));
+    fn ask_own_part(&mut self, n: usize, at: u64, member: &WorkspaceEntry) {
+        let seed = hash::combine(self.draws.0, n as u64);
+        let part = self.with(n, at, |_, scene, _| quota::local_share(seed, scene, member));
         let part = if self.way == Way::OneEach { part.max(1) } else { part };
         let window = self.bounds.limit_window_s * 1_000;
         self.by_part[n].retain(|then| then + window > at);
--- a/elmstream_steer/tests/support/mod.rs
+++ b/elmstream_steer/tests/support/mod.rs
@@ -9,12 +9,12 @@
 
 use elmstream::time::{MILLI, Time};
 use elmstream_steer::{
-    Ask, Bounds, Choice, Host, Settings, Steer,
-    calls::Why,
-    model::{Configuration, Limits, Part, Repeat, Route, Server, Service},
-    servers::Index,
+    Bounds, Host, Pick, PickRequest, Settings, Steer,
+    model::{Configuration, Limits, Repeatability, Route, Server, Service, WeightedService},
+    servers::ServerIndex,
+    store_schedule::ReadReason,
     version::StoreVersion,
-    view::{Item, Key, Row, Table},
+    view::{Row, RowContent, RowKey, Table},
 };
 
 /// Failure domains and their regions.
@@ -69,7 +69,7 @@
 }
 
 /// A route to the service.
-pub fn route(repeat: Repeat, homes: &[&str]) -> Route {
+pub fn route(repeat: Repeatability, homes: &[&str]) -> Route {
     Route {
         name: "r".into(),
         host: "shop.example".into(),
@@ -81,7 +81,7 @@
         priority: 0,
         affinity: true,
         homes: homes.iter().map(|home| (*home).into()).collect(),
-        parts: vec![Part { service: SERVICE.into(), weight: 1.0 }],
+        parts: vec![WeightedService { service: SERVICE.into(), weight: 1.0 }],
         open: false,
     }
 }
@@ -91,13 +91,13 @@
     let service = Service { name: SERVICE.into(), cold_ms: 3_000, cold_per_s: COLD_PER_S };
     let configuration = Configuration {
         version,
-        routes: vec![route(Repeat::Safe, &[])],
+        routes: vec![route(Repeatability::Safe, &[])],
         services: vec![service],
         limits: Limits::default(),
         workspaces: Vec::new(),
     };
-    let item = Some(Item::Configuration(configuration));
-    Row::new(Key::Configuration, at(stored), item)
+    let item = Some(RowContent::Configuration(configuration));
+    Row::new(RowKey::Configuration, at(stored), item)
 }
 
 /// The row of a server.
@@ -113,12 +113,12 @@
         entries: 0,
         version: String::new(),
     };
-    Row::new(Key::Server(id.into()), at(stored), Some(Item::Server(server)))
+    Row::new(RowKey::Server(id.into()), at(stored), Some(RowContent::Server(server)))
 }
 
 /// The same row, changed.
 pub fn with(mut row: Row, stored: u64, change: impl Fn(&mut Server)) -> Row {
-    if let Some(Item::Server(server)) = &mut row.item {
+    if let Some(RowContent::Server(server)) = &mut row.item {
         change(server);
     }
     row.version = at(stored);
@@ -126,7 +126,7 @@
 }
 
 /// A removal.
-pub fn gone(key: Key, stored: u64) -> Row {
+pub fn gone(key: RowKey, stored: u64) -> Row {
     Row::new(key, at(stored), None)
 }
 
@@ -159,12 +159,15 @@
 }
 
 /// Sends a request of a key.
-pub fn send(steer: &mut Steer, now: Time, route: &Route, key: u64) -> Choice {
-    steer.send(now, &Ask { route, service: SERVICE, key, tried: &[], returning: false, homes: &[] })
+pub fn send(steer: &mut Steer, now: Time, route: &Route, key: u64) -> Pick {
+    steer.send(
+        now,
+        &PickRequest { route, service: SERVICE, key, tried: &[], returning: false, homes: &[] },
+    )
 }
 
 /// The id of a server.
-pub fn id(steer: &Steer, index: Index) -> String {
+pub fn id(steer: &Steer, index: ServerIndex) -> String {
     steer.servers().get(index).expect("it was just chosen").id.clone()
 }
 
@@ -183,7 +186,12 @@
     use super::*;
 
     /// The store answered with these rows.
-    pub fn answered(host: &mut Steer, now: Time, (table, why): (Table, Why), rows: Vec<Row>) {
+    pub fn answered(
+        host: &mut Steer,
+        now: Time,
+        (table, why): (Table, ReadReason),
+        rows: Vec<Row>,
+    ) {
         let version = rows.iter().map(|row| row.version).max().unwrap_or_default();
         host.read(now, table, rows);
         host.store_answered(table, why, now, version);
--- a/elmstream_steer/tests/support/needy.rs
+++ b/elmstream_steer/tests/support/needy.rs
@@ -4,12 +4,12 @@
 
 use elmstream::time::MILLI;
 use elmstream_steer::{
-    Choice, Steer,
-    beat::Beat,
-    hash, members,
-    model::{Repeat, Route},
-    server_limit::PerSecond,
-    servers::{Index, Outcome},
+    Pick, Steer, hash,
+    heartbeat::Heartbeat,
+    members,
+    model::{Repeatability, Route},
+    server_limit::RequestRate,
+    servers::{Outcome, ServerIndex},
     view::{Row, Table},
 };
 
@@ -32,9 +32,9 @@
 pub const SLACK: f64 = 5.0;
 
 enum Event {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     /// An answer, with the limit that it names.
-    Answer(Index, Option<f64>),
+    Answer(ServerIndex, Option<f64>),
 }
 
 /// A limit that a server names for a while.
@@ -98,14 +98,14 @@
             callers: (0..hosts).collect(),
             part: vec![0; hosts],
             rows,
-            route: route(Repeat::Safe, &[]),
+            route: route(Repeatability::Safe, &[]),
             rounds: vec![(0, 0); hosts],
             events: BTreeMap::new(),
             seed,
             draws: 0,
             due: 0.0,
         };
-        let pause = members::pause(hosts - 1) / MILLI;
+        let pause = members::heartbeat_interval(hosts - 1) / MILLI;
         for n in 0..hosts {
             world.rounds[n].1 = world.draw(pause as usize) as u64;
         }
@@ -114,7 +114,7 @@
 
     pub fn draw(&mut self, below: usize) -> usize {
         self.draws += 1;
-        (hash::unit(hash::pair(self.seed, self.draws)) * below as f64) as usize
+        (hash::unit_interval(hash::combine(self.seed, self.draws)) * below as f64) as usize
     }
 
     /// A host ends and starts anew at once.
@@ -157,11 +157,11 @@
     fn ask(&mut self) {
         let drawn = self.draw(self.callers.len());
         let host = self.callers[drawn];
-        let key = hash::pair(7, self.draw(400) as u64);
+        let key = hash::combine(7, self.draw(400) as u64);
         let now = ms(self.at);
         self.hosts[host].earn(now, support::SERVICE);
         match support::send(&mut self.hosts[host], now, &self.route, key) {
-            Choice::Send(index) => {
+            Pick::Send(index) => {
                 self.sent += 1;
                 let server = id(&self.hosts[host], index);
                 let arrives = self.at + WAY;
@@ -171,7 +171,7 @@
                 self.arrivals.push(Arrival { at: arrives, server, counts });
                 self.later(2 * WAY + WORK, host, Event::Answer(index, limit));
             }
-            Choice::Refuse(_) => self.refused += 1,
+            Pick::Refuse(_) => self.refused += 1,
         }
     }
 
@@ -198,14 +198,14 @@
             Event::Answer(index, limit) => {
                 let micros = (2 * WAY + WORK) * MILLI;
                 steer.done(now, index, Outcome::Answered { micros, knew: true });
-                let limit = limit.and_then(|limit| PerSecond::parse(&limit.to_string()));
+                let limit = limit.and_then(|limit| RequestRate::parse(&limit.to_string()));
                 steer.names_limit(now, index, limit);
             }
         }
     }
 
     fn beats(&mut self) {
-        let pause = members::pause(self.hosts.len() - 1) / MILLI;
+        let pause = members::heartbeat_interval(self.hosts.len() - 1) / MILLI;
         for from in 0..self.hosts.len() {
             let (round, last) = self.rounds[from];
             let waited = self.at.saturating_sub(last);
--- a/elmstream_steer/tests/support/rollouts.rs
+++ b/elmstream_steer/tests/support/rollouts.rs
@@ -4,18 +4,19 @@
 
 use elmstream::time::MILLI;
 use elmstream_steer::{
-    Ask, Choice, RolloutWrite, Steer,
-    beat::{Beat, Message},
-    calls::Why,
-    hash, members,
-    model::{Configuration, Part, Repeat, Route, Service},
-    rollout::{Order, Progress, Stage},
-    servers::{Index, Outcome},
-    steps::Stepping,
-    telling::TableRows,
-    verdict::Judging,
+    Pick, PickRequest, RolloutWrite, Steer,
+    canary_analysis::AnalysisMethod,
+    hash,
+    heartbeat::{Heartbeat, Message},
+    members,
+    model::{Configuration, Repeatability, Route, Service, WeightedService},
+    rollout::{RolloutOrder, RolloutProgress, RolloutStage},
+    rollout_steps::StepPolicy,
+    servers::{Outcome, ServerIndex},
+    store_schedule::ReadReason,
+    table_sync::TableRows,
     version::StoreVersion,
-    view::{Item, Key, Row, TABLES, Table},
+    view::{Row, RowContent, RowKey, TABLES, Table},
 };
 
 use super::support::{DOMAINS, SERVICE, address, ms, place, server, started, with};
@@ -85,8 +86,8 @@
     /// Hosts of one region hear nothing of the others from a time on for so long; the store
     /// serves them.
     pub apart: Option<(u64, u64)>,
-    pub judging: Judging,
-    pub stepping: Stepping,
+    pub judging: AnalysisMethod,
+    pub stepping: StepPolicy,
     pub without: Without,
     pub seed: u64,
 }
@@ -118,8 +119,8 @@
             outage: None,
             restart: None,
             apart: None,
-            judging: Judging::Sequential,
-            stepping: Stepping::Late,
+            judging: AnalysisMethod::Sequential,
+            stepping: StepPolicy::Late,
             without: Without::Nothing,
             seed,
         }
@@ -134,7 +135,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     /// What the store says in the end, and when it came to that.
-    pub stage: Option<Stage>,
+    pub stage: Option<RolloutStage>,
     pub decided: Option<u64>,
     /// Requests that reached the new version between the order and its deadline, and all.
     pub exposed: usize,
@@ -157,13 +158,13 @@
 }
 
 enum Event {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     Report(Message),
     Rows(Table, Box<TableRows>),
     /// An answer: the server, the route, what it was.
-    Answer(Index, usize, Outcome, String),
+    Answer(ServerIndex, usize, Outcome, String),
     /// The store answered, or did not.
-    Read(Table, Why, bool),
+    Read(Table, ReadReason, bool),
     Written(Box<RolloutWrite>, bool),
 }
 
@@ -179,7 +180,7 @@
     play: Play,
     at: u64,
     nodes: Vec<Node>,
-    rows: BTreeMap<Key, (Option<Item>, u64)>,
+    rows: BTreeMap<RowKey, (Option<RowContent>, u64)>,
     count: u64,
     events: BTreeMap<u64, Vec<(usize, u64, Event)>>,
     /// Requests at work by server.
@@ -202,13 +203,13 @@
         prefix: format!("/{number}/"),
         timeout_ms: 2_000,
         objective_ms: 400,
-        parts: vec![Part { service: SERVICE.into(), weight: 1.0 }],
-        ..super::support::route(Repeat::Safe, &[])
+        parts: vec![WeightedService { service: SERVICE.into(), weight: 1.0 }],
+        ..super::support::route(Repeatability::Safe, &[])
     }
 }
 
-fn rules() -> Item {
-    Item::Configuration(Configuration {
+fn rules() -> RowContent {
+    RowContent::Configuration(Configuration {
         version: 1,
         routes: (0..2).map(route).collect(),
         services: vec![Service { name: SERVICE.into(), cold_ms: 2_000, cold_per_s: 4.0 }],
@@ -234,7 +235,7 @@
             seen: Seen::default(),
             play,
         };
-        world.put(Key::Configuration, Some(rules()));
+        world.put(RowKey::Configuration, Some(rules()));
         world.serve(OLD, 0);
         for n in 0..world.play.hosts {
             let mut node = world.node(n, 0);
@@ -251,7 +252,7 @@
         let mut steer = started(n, ms(at), 1 + at);
         (0..self.play.hosts).for_each(|other| steer.suppose(ms(at), address(2_000 + other)));
         let unjudged = self.play.without == Without::Verdict;
-        let stepping = if unjudged { Stepping::Fixed } else { self.play.stepping };
+        let stepping = if unjudged { StepPolicy::Fixed } else { self.play.stepping };
         steer.set_rollout_ways(self.play.judging, stepping);
         let mut bounds = steer.settings().bounds;
         if self.play.without == Without::Youth {
@@ -280,14 +281,14 @@
         }
     }
 
-    fn put(&mut self, key: Key, item: Option<Item>) {
+    fn put(&mut self, key: RowKey, item: Option<RowContent>) {
         self.count += 1;
         self.rows.insert(key, (item, self.count));
     }
 
     fn rows_of(&self, table: Table) -> Vec<Row> {
         let rows = self.rows.iter().filter(|(key, _)| key.table() == table);
-        let row = |(key, (item, count)): (&Key, &(Option<Item>, u64))| {
+        let row = |(key, (item, count)): (&RowKey, &(Option<RowContent>, u64))| {
             Row::new(key.clone(), StoreVersion::new(0, *count), item.clone())
         };
         rows.map(row).collect()
@@ -295,7 +296,7 @@
 
     fn draw(&mut self, below: u64) -> u64 {
         self.draws += 1;
-        hash::pair(hash::pair(self.play.seed, 77), self.draws) % below.max(1)
+        hash::combine(hash::combine(self.play.seed, 77), self.draws) % below.max(1)
     }
 
     pub fn run(mut self) -> Seen {
@@ -326,15 +327,15 @@
 
     fn operate(&mut self) {
         if self.at == ORDER {
-            let order = Order { target: NEW.into(), duration_ms: DURATION };
-            self.put(Key::Rollout(SERVICE.into()), Some(Item::Rollout(order)));
+            let order = RolloutOrder { target: NEW.into(), duration_ms: DURATION };
+            self.put(RowKey::Rollout(SERVICE.into()), Some(RowContent::Rollout(order)));
         }
         if self.at == ORDER + NEW_SERVERS {
             self.serve(NEW, 1_500);
         }
         if self.stopped.is_some_and(|at| self.at == at + LAPSE) {
-            let old = |key: &Key| matches!(key, Key::Server(id) if id.starts_with(OLD));
-            let gone: Vec<Key> = self.rows.keys().filter(|key| old(key)).cloned().collect();
+            let old = |key: &RowKey| matches!(key, RowKey::Server(id) if id.starts_with(OLD));
+            let gone: Vec<RowKey> = self.rows.keys().filter(|key| old(key)).cloned().collect();
             gone.into_iter().for_each(|key| self.put(key, None));
         }
         if let Some((when, part)) = self.play.restart
@@ -392,31 +393,35 @@
     /// The store takes a change as it comes, if its conditions hold.
     fn write(&mut self, n: usize, write: RolloutWrite) {
         self.nodes[n].writing = true;
-        let count = |key: Key| {
+        let count = |key: RowKey| {
             let row = self.rows.get(&key).filter(|(item, _)| item.is_some());
             row.map_or(0, |(_, count)| *count)
         };
-        let there = (count(Key::Progress(SERVICE.into())), count(Key::Rollout(SERVICE.into())));
+        let there =
+            (count(RowKey::Progress(SERVICE.into())), count(RowKey::Rollout(SERVICE.into())));
         let taken = !self.play.away(self.at) && there == write.expected;
         if taken {
-            if self.seen.stage.is_some_and(Stage::ends)
+            if self.seen.stage.is_some_and(RolloutStage::ends)
                 && self.seen.stage != Some(write.progress.stage)
             {
                 self.seen.undone += 1;
             }
-            self.put(Key::Progress(SERVICE.into()), Some(Item::Progress(write.progress.clone())));
+            self.put(
+                RowKey::Progress(SERVICE.into()),
+                Some(RowContent::Progress(write.progress.clone())),
+            );
             self.decided(&write.progress);
         }
         let write = Box::new(write);
         self.later(if taken { ANSWER } else { LOST }, n, Event::Written(write, taken));
     }
 
-    fn decided(&mut self, progress: &Progress) {
+    fn decided(&mut self, progress: &RolloutProgress) {
         self.seen.stage = Some(progress.stage);
         if progress.stage.ends() {
             self.seen.decided.get_or_insert(self.at);
         }
-        if progress.stage == Stage::Completed {
+        if progress.stage == RolloutStage::Completed {
             let old = self.at_work.iter().filter(|(server, _)| server.starts_with(OLD));
             self.seen.cut += old.map(|(_, requests)| *requests as usize).sum::<usize>();
             self.stopped.get_or_insert(self.at);
@@ -425,7 +430,7 @@
 
     fn beat(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        let pause = members::pause(node.steer.members().count()) / MILLI;
+        let pause = members::heartbeat_interval(node.steer.members().count()) / MILLI;
         let pause = if node.steer.urgent() { pause.min(URGENT) } else { pause };
         if node.beat.0 + pause > self.at {
             return;
@@ -476,7 +481,7 @@
             Event::Written(write, taken) => {
                 self.nodes[n].writing = false;
                 if taken {
-                    let key = Key::Progress(SERVICE.into());
+                    let key = RowKey::Progress(SERVICE.into());
                     let count = self.rows.get(&key).map_or(0, |(_, count)| *count);
                     let version = StoreVersion::new(0, count);
                     self.nodes[n].steer.rollout_written(now, &write, version);
@@ -500,15 +505,21 @@
     /// A request comes to a host.
     fn ask(&mut self) {
         let n = self.draw(self.nodes.len() as u64) as usize;
-        let key = hash::pair(7, self.draw(200));
+        let key = hash::combine(7, self.draw(200));
         let number = usize::from(self.draw(10) == 0);
         let now = ms(self.at);
         let route = route(number);
-        let ask =
-            Ask { route: &route, service: SERVICE, key, tried: &[], returning: false, homes: &[] };
+        let ask = PickRequest {
+            route: &route,
+            service: SERVICE,
+            key,
+            tried: &[],
+            returning: false,
+            homes: &[],
+        };
         let steer = &mut self.nodes[n].steer;
         steer.earn(now, SERVICE);
-        let Choice::Send(index) = steer.send(now, &ask) else {
+        let Pick::Send(index) = steer.send(now, &ask) else {
             self.seen.refused += 1;
             return;
         };
@@ -520,7 +531,7 @@
     fn sent(
         &mut self,
         n: usize,
-        index: Index,
+        index: ServerIndex,
         server: &str,
         (key, knew, number): (u64, bool, usize),
     ) {
@@ -532,7 +543,7 @@
         if new && in_touch && self.bad_since.is_some_and(|since| self.at > since + ROLLBACK) {
             self.seen.late += 1;
         }
-        if !new && self.seen.stage == Some(Stage::Completed) && in_touch {
+        if !new && self.seen.stage == Some(RolloutStage::Completed) && in_touch {
             self.seen.cut += 1;
         }
         let requests = self.at_work.entry(server.to_owned()).or_default();
--- a/elmstream_steer/tests/view.rs
+++ b/elmstream_steer/tests/view.rs
@@ -3,9 +3,9 @@
 mod support;
 
 use elmstream_steer::{
-    Choice,
-    model::Repeat,
-    view::{Key, Row, Table, View},
+    Pick,
+    model::Repeatability,
+    view::{Row, RowKey, Table, View},
 };
 use quickcheck::{QuickCheck, TestResult};
 use support::{at, configuration, gone, host, ms, ready, route, send, server, servers, with};
@@ -15,9 +15,9 @@
     let row = |(n, change): (usize, &u8)| {
         let (stored, id) = (n as u64 + 1, format!("s{}", change % 3));
         match change % 5 {
-            0 => gone(Key::Server(id), stored),
+            0 => gone(RowKey::Server(id), stored),
             1 => with(server(&id, "a1", stored), stored, |server| server.draining = true),
-            2 => Row { key: Key::Configuration, ..configuration(stored, stored) },
+            2 => Row { key: RowKey::Configuration, ..configuration(stored, stored) },
             _ => server(&id, "a1", stored),
         }
     };
@@ -56,7 +56,7 @@
     steer.read(ms(0), Table::Rules, vec![configuration(5, 20)]);
     steer.read(ms(1), Table::Rules, vec![configuration(4, 30)]);
     assert_eq!(steer.version(), Some(5));
-    steer.read(ms(2), Table::Rules, vec![gone(Key::Configuration, 40)]);
+    steer.read(ms(2), Table::Rules, vec![gone(RowKey::Configuration, 40)]);
     assert_eq!(steer.version(), Some(5));
     steer.read(ms(3), Table::Rules, vec![configuration(6, 50)]);
     assert_eq!(steer.version(), Some(6));
@@ -73,26 +73,26 @@
 #[test]
 fn a_server_that_drains_or_is_gone_gets_nothing() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
-    let route = route(Repeat::Safe, &[]);
-    assert!(matches!(send(&mut steer, ms(1), &route, 1), Choice::Send(_)));
+    let route = route(Repeatability::Safe, &[]);
+    assert!(matches!(send(&mut steer, ms(1), &route, 1), Pick::Send(_)));
     let draining = with(server("one", "a1", 11), 11, |server| server.draining = true);
     steer.read(ms(2), Table::Servers, vec![draining]);
-    assert!(matches!(send(&mut steer, ms(3), &route, 1), Choice::Refuse(_)));
+    assert!(matches!(send(&mut steer, ms(3), &route, 1), Pick::Refuse(_)));
     steer.read(ms(4), Table::Servers, vec![server("one", "a1", 12)]);
-    assert!(matches!(send(&mut steer, ms(5), &route, 1), Choice::Send(_)));
-    steer.read(ms(6), Table::Servers, vec![gone(Key::Server("one".into()), 13)]);
-    assert!(matches!(send(&mut steer, ms(7), &route, 1), Choice::Refuse(_)));
+    assert!(matches!(send(&mut steer, ms(5), &route, 1), Pick::Send(_)));
+    steer.read(ms(6), Table::Servers, vec![gone(RowKey::Server("one".into()), 13)]);
+    assert!(matches!(send(&mut steer, ms(7), &route, 1), Pick::Refuse(_)));
 }
 
 #[test]
 fn a_server_that_lapsed_while_the_store_was_away_is_used_till_it_may_be_back() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
-    let route = route(Repeat::Safe, &[]);
+    let route = route(Repeatability::Safe, &[]);
     steer.read_all(ms(6_000), Table::Servers, at(30), Vec::new());
-    assert!(matches!(send(&mut steer, ms(6_100), &route, 1), Choice::Send(_)));
+    assert!(matches!(send(&mut steer, ms(6_100), &route, 1), Pick::Send(_)));
     steer.read(ms(7_900), Table::Servers, vec![server("one", "a1", 31)]);
     steer.tick(ms(9_000));
-    assert!(matches!(send(&mut steer, ms(9_000), &route, 1), Choice::Send(_)));
+    assert!(matches!(send(&mut steer, ms(9_000), &route, 1), Pick::Send(_)));
 }
 
 #[test]
@@ -107,6 +107,6 @@
 fn a_server_that_leaves_on_a_calm_day_is_gone_at_once() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
     steer.read(ms(1_000), Table::Servers, Vec::new());
-    steer.read(ms(1_500), Table::Servers, vec![gone(Key::Server("one".into()), 12)]);
+    steer.read(ms(1_500), Table::Servers, vec![gone(RowKey::Server("one".into()), 12)]);
     assert!(steer.servers().find("one").is_none());
 }
--- a/elmstream_steer/tests/workspaces.rs
+++ b/elmstream_steer/tests/workspaces.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use elmstream_steer::{
-    Ask, Choice,
+    Pick, PickRequest,
     key::KeyDigest,
-    model::{Configuration, Repeat, Workspace},
-    view::{Item, Key, Row, Table},
-    workspaces::{Denial, Shown, WorkspaceTable},
+    model::{Configuration, Repeatability, Workspace},
+    view::{Row, RowContent, RowKey, Table},
+    workspaces::{Denial, PresentedKey, WorkspaceTable},
 };
 use quickcheck::quickcheck;
 use support::{SERVICE, at, ms, ready, route, servers};
@@ -60,7 +60,7 @@
         keys: Vec<(u8, u8)>, key: u8, open: bool, sure: bool
     ) -> bool {
         let table = table(&keys);
-        let mut route = route(Repeat::Safe, &[]);
+        let mut route = route(Repeatability::Safe, &[]);
         route.open = open;
         let name = |shown| {
             let let_in = table.admit(&route, shown, sure);
@@ -73,9 +73,9 @@
             (false, false) => Err(Denial::Unsure),
         };
         let with = if held.is_some() { Ok(held) } else { without(Denial::Unknown) };
-        name(Shown::Key(digest(key))) == with
-            && name(Shown::Nothing) == without(Denial::Missing)
-            && name(Shown::Unclear) == without(Denial::Unclear)
+        name(PresentedKey::Key(digest(key))) == with
+            && name(PresentedKey::Nothing) == without(Denial::Missing)
+            && name(PresentedKey::Unclear) == without(Denial::Unclear)
     }
 
     fn the_newest_configuration_decides_in_whatever_order_they_come(
@@ -90,8 +90,8 @@
             }
             let configuration =
                 Configuration { version, workspaces: workspaces(keys), ..Configuration::default() };
-            let item = Some(Item::Configuration(configuration));
-            let row = Row::new(Key::Configuration, at(10 + version), item);
+            let item = Some(RowContent::Configuration(configuration));
+            let row = Row::new(RowKey::Configuration, at(10 + version), item);
             host.read(ms(1), Table::Rules, vec![row]);
         }
         let found = host.workspaces().find(&digest(key));
@@ -107,19 +107,19 @@
         };
         let (homes, own) = (named(route_homes), named(own_homes));
         let texts: Vec<&str> = homes.iter().map(String::as_str).collect();
-        let route = route(Repeat::Safe, &texts);
-        let ask = Ask {
+        let route = route(Repeatability::Safe, &texts);
+        let ask = PickRequest {
             route: &route, service: SERVICE, key, tried: &[], returning: false, homes: &own,
         };
         let among = |homes: &[String], region: &String| homes.is_empty() || homes.contains(region);
         let may = ["a".to_owned(), "b".to_owned()];
         let may = may.iter().any(|region| among(&homes, region) && among(&own, region));
         match host.send(ms(1), &ask) {
-            Choice::Send(index) => {
+            Pick::Send(index) => {
                 let region = &host.servers().get(index).expect("it was chosen").region;
                 among(&homes, region) && among(&own, region)
             }
-            Choice::Refuse(_) => !may,
+            Pick::Refuse(_) => !may,
         }
     }
 }
--- a/elmstreamd/src/callers.rs
+++ b/elmstreamd/src/callers.rs
@@ -11,7 +11,7 @@
     steward::WriteOutcome,
     time::{MILLI, SECOND},
 };
-use elmstream_http::{LocalBody, body, server::Cut};
+use elmstream_http::{LocalBody, body, server::Aborted};
 use elmstream_proto::{
     header,
     peer::{Open, RequestHead},
@@ -60,7 +60,7 @@
     daemon: Rc<Daemon>,
     client: SocketAddr,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     if request.uri().path() == LOOKUP {
         return Ok(lookup(&daemon, client, &request).unwrap_or_else(answer::refusal));
     }
