--- a/elmstream_edge/src/access.rs
+++ b/elmstream_edge/src/access.rs
@@ -25,31 +25,31 @@
 pub struct AdmittedRequest {
     edge: Rc<Edge>,
     /// The workspace.
-    pub member: Rc<WorkspaceEntry>,
+    pub entry: Rc<WorkspaceEntry>,
     /// Whether a server may have run it.
     pub may_have_run: Cell<bool>,
 }
 
 impl fmt::Debug for AdmittedRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_tuple("AdmittedRequest").field(&self.member.workspace.name).finish()
+        f.debug_tuple("AdmittedRequest").field(&self.entry.workspace.name).finish()
     }
 }
 
 impl AdmittedRequest {
     /// The request is sent to a server; it counts once more if an earlier one may have
     /// run it.
-    pub fn sent(&self) {
+    pub fn record_sent(&self) {
         if self.may_have_run.replace(true) {
-            self.edge.steer.borrow_mut().sent_again(clock::now(), &self.member);
+            self.edge.steer.borrow_mut().record_workspace_retry(clock::now(), &self.entry);
         }
     }
 
     /// The server did not run it; `had_run` says whether an earlier one may have.
-    pub fn not_run(&self, had_run: bool) {
+    pub fn refund(&self, had_run: bool) {
         self.may_have_run.set(had_run);
         if had_run {
-            self.edge.steer.borrow_mut().not_run(clock::now(), &self.member);
+            self.edge.steer.borrow_mut().refund_workspace(clock::now(), &self.entry);
         }
     }
 }
@@ -57,7 +57,7 @@
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         if !self.may_have_run.get() {
-            self.edge.steer.borrow_mut().not_run(clock::now(), &self.member);
+            self.edge.steer.borrow_mut().refund_workspace(clock::now(), &self.entry);
         }
     }
 }
@@ -74,17 +74,17 @@
 ) -> Result<Option<AdmittedRequest>, Box<Response<LocalBody>>> {
     let now = clock::now();
     let shown = shown(&edge.settings.headers, &head.headers);
-    let let_in = edge.steer.borrow().let_in(now, route, shown);
+    let let_in = edge.steer.borrow().authenticate(now, route, shown);
     let member = match let_in {
         Ok(Some(member)) => member,
         Ok(None) => return Ok(None),
         Err(denial) => return Err(Box::new(denied(edge, head, route, denial))),
     };
-    let ruling = edge.steer.borrow_mut().rule(now, &member);
+    let ruling = edge.steer.borrow_mut().admit(now, &member);
     match ruling {
         QuotaDecision::Within => {
             let edge = Rc::clone(edge);
-            Ok(Some(AdmittedRequest { edge, member, may_have_run: Cell::new(false) }))
+            Ok(Some(AdmittedRequest { edge, entry: member, may_have_run: Cell::new(false) }))
         }
         QuotaDecision::Over { retry_ms } => {
             let code = Code::WorkspaceLimit;
@@ -101,9 +101,9 @@
 fn shown(names: &HeaderNames, headers: &HeaderMap) -> PresentedKey {
     let mut values = headers.get_all(&names.key).iter();
     match (values.next(), values.next()) {
-        (None, _) => PresentedKey::Nothing,
-        (Some(value), None) => key(names, value).map_or(PresentedKey::Unclear, PresentedKey::Key),
-        (Some(_), Some(_)) => PresentedKey::Unclear,
+        (None, _) => PresentedKey::Absent,
+        (Some(value), None) => key(names, value).map_or(PresentedKey::Ambiguous, PresentedKey::Key),
+        (Some(_), Some(_)) => PresentedKey::Ambiguous,
     }
 }
 
@@ -124,8 +124,8 @@
     let code = match denial {
         Denial::Missing => Code::KeyMissing,
         Denial::Unknown => Code::KeyUnknown,
-        Denial::Unclear => Code::KeyUnclear,
-        Denial::Unsure => Code::KeysStale,
+        Denial::Ambiguous => Code::KeyUnclear,
+        Denial::Stale => Code::KeysStale,
     };
     metrics::counter!("elmstream_requests", "outcome" => "denied").increment(1);
     let steer = edge.steer.borrow();
@@ -134,8 +134,8 @@
         "id": id, "route": route.name, "code": code.number(), "status": code.http_status(),
         "version": steer.version(), "stale_ms": steer.staleness(clock::now()) / MILLI,
     });
-    edge.journal.request("denied", fields);
-    if denial == Denial::Unsure {
+    edge.event_log.request("denied", fields);
+    if denial == Denial::Stale {
         return callers::refuse(code, UNREADY_RETRY_MS);
     }
     let mut response = callers::plain(code, StatusCode::UNAUTHORIZED);
@@ -160,6 +160,6 @@
         "rate_per_s": member.workspace.rate_per_s, "burst": member.workspace.burst,
         "version": edge.steer.borrow().version(),
     });
-    edge.journal.request("limited", fields);
+    edge.event_log.request("limited", fields);
     callers::refuse(code, retry_ms)
 }
--- a/elmstream_edge/src/backend.rs
+++ b/elmstream_edge/src/backend.rs
@@ -241,7 +241,7 @@
     }
 
     /// Drops the connections to a server that sent what it should not.
-    pub fn distrust(&self, id: &str) {
+    pub fn discard_connections(&self, id: &str) {
         self.idle.borrow_mut().remove(id);
     }
 }
--- a/elmstream_edge/src/callers.rs
+++ b/elmstream_edge/src/callers.rs
@@ -57,7 +57,7 @@
     /// Hash of its affinity key, or of its id.
     pub key: u64,
     /// Whether it has an affinity key that counts.
-    pub keyed: bool,
+    pub has_key: bool,
     /// Method.
     pub method: Method,
     /// Path and query as they came.
@@ -67,9 +67,9 @@
     /// The whole body.
     pub body: Bytes,
     /// When it came.
-    pub came: Time,
+    pub received: Time,
     /// When it must have its final answer.
-    pub until: Time,
+    pub deadline: Time,
     /// Whether its caller has most likely been refused before.
     pub returning: bool,
     /// Its workspace; none if its route asks for no key.
@@ -77,30 +77,30 @@
     /// How far it has come.
     pub progress: Rc<RequestProgress>,
     /// Its digests, once they were asked for.
-    pub contents: OnceCell<RequestDigests>,
+    pub digests: OnceCell<RequestDigests>,
 }
 
 impl CallerRequest {
     /// Digests of what makes it the same as another one; made only if they are asked for,
     /// as they take all of the body.
-    pub fn contents(&self, edge: &Edge) -> &RequestDigests {
-        self.contents.get_or_init(|| RequestDigests::of(&edge.settings.content.secret, self))
+    pub fn digests(&self, edge: &Edge) -> &RequestDigests {
+        self.digests.get_or_init(|| RequestDigests::of(&edge.settings.content.secret, self))
     }
 
     /// Name of its workspace; empty for none.
     pub fn workspace_name(&self) -> &str {
-        self.workspace.as_ref().map_or("", |counted| &counted.member.workspace.name)
+        self.workspace.as_ref().map_or("", |counted| &counted.entry.workspace.name)
     }
 
     /// Rank of it; 0 is the most urgent. A workspace's goes before its route's.
     pub fn priority(&self) -> u32 {
-        let own = self.workspace.as_ref().and_then(|counted| counted.member.workspace.priority);
+        let own = self.workspace.as_ref().and_then(|counted| counted.entry.workspace.priority);
         own.unwrap_or(self.route.priority)
     }
 
     /// Time that is left for it.
     pub fn left(&self) -> Duration {
-        Duration::from_micros(self.until.since(clock::now()))
+        Duration::from_micros(self.deadline.since(clock::now()))
     }
 }
 
@@ -148,7 +148,7 @@
     let fields = json!({
         "id": id, "code": code.number(), "status": code.http_status(), "took_ms": took,
     });
-    edge.journal.request("ended", fields);
+    edge.event_log.request("ended", fields);
     match progress.may_have_run.get() {
         true => plain(code, StatusCode::GATEWAY_TIMEOUT),
         false => refuse(code, STOPPING_RETRY_MS),
@@ -208,7 +208,7 @@
         return Ok(route);
     }
     let now = clock::now();
-    let (missing, code) = match steer.vouches(now) {
+    let (missing, code) = match steer.can_deny_routes(now) {
         true => (RouteError::Route, Code::UnknownService),
         false => (RouteError::Unsure, Code::RoutesStale),
     };
@@ -217,7 +217,7 @@
         "id": id, "host": host, "path": head.uri.path(), "version": steer.version(),
         "stale_ms": steer.staleness(now) / MILLI, "code": code.number(), "status": code.http_status(),
     });
-    edge.journal.request("no_route", fields);
+    edge.event_log.request("no_route", fields);
     Err(missing)
 }
 
@@ -226,7 +226,7 @@
     (caller, head): (IpAddr, request::Parts),
     (route, workspace): (Rc<Route>, Option<AdmittedRequest>),
     body: Bytes,
-    came: Time,
+    received: Time,
     progress: Rc<RequestProgress>,
 ) -> CallerRequest {
     let names = &edge.settings.headers;
@@ -234,7 +234,7 @@
     let id = headers::text(&kept, &names.request_id).unwrap_or_default().to_owned();
     let draw = hash::of(&id);
     let affinity = kept.get(&names.affinity).filter(|_| route.affinity);
-    let keyed = affinity.is_some();
+    let has_key = affinity.is_some();
     let key = affinity.map_or(draw, |key| hash::of(key.as_bytes()));
     let waits = headers::number(&kept, &names.deadline).unwrap_or(route.timeout_ms);
     headers::strip(&mut kept);
@@ -242,8 +242,8 @@
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let uri = path.parse().unwrap_or(head.uri);
     let service = routes::service(&route, draw).to_owned();
-    let until = came + waits.min(route.timeout_ms) * MILLI;
-    let returning = edge.steer.borrow_mut().returns(came, &route.name, waits);
+    let deadline = received + waits.min(route.timeout_ms) * MILLI;
+    let returning = edge.steer.borrow_mut().is_returning(received, &route.name, waits);
     let (method, headers) = (head.method, kept);
     CallerRequest {
         id,
@@ -251,17 +251,17 @@
         route,
         service,
         key,
-        keyed,
+        has_key,
         method,
         uri,
         headers,
         body,
-        came,
-        until,
+        received,
+        deadline,
         returning,
         workspace,
         progress,
-        contents: OnceCell::new(),
+        digests: OnceCell::new(),
     }
 }
 
@@ -272,7 +272,7 @@
     if !edge.steer.borrow().workspaces().is_empty() {
         headers.remove(&names.key);
     }
-    let name = workspace.map(|counted| HeaderValue::from_str(&counted.member.workspace.name));
+    let name = workspace.map(|counted| HeaderValue::from_str(&counted.entry.workspace.name));
     if let Some(Ok(name)) = name {
         headers.insert(&names.workspace, name);
     }
--- a/elmstream_edge/src/concurrency_limit.rs
+++ b/elmstream_edge/src/concurrency_limit.rs
@@ -19,7 +19,7 @@
     }
 
     /// A place, if one is free.
-    pub fn enter(&self) -> Option<Permit> {
+    pub fn try_acquire(&self) -> Option<Permit> {
         let left = self.free.get().checked_sub(1)?;
         self.free.set(left);
         Some(Permit(self.free.clone()))
--- a/elmstream_edge/src/edge.rs
+++ b/elmstream_edge/src/edge.rs
@@ -32,20 +32,20 @@
     /// Connections to backend servers.
     pub pool: Pool,
     /// What it writes.
-    pub journal: EventLog,
+    pub event_log: EventLog,
     /// The list of refused requests is to be read again.
-    pub(crate) relist: Cell<bool>,
+    pub(crate) reread_refused: Cell<bool>,
 }
 
 impl Edge {
     /// A host that has just started.
     pub fn new(settings: Settings) -> Rc<Edge> {
         let journal = EventLog::start(&settings.logging);
-        Edge::writing(settings, journal)
+        Edge::with_event_log(settings, journal)
     }
 
     /// The same with a journal of its own.
-    pub fn writing(settings: Settings, journal: EventLog) -> Rc<Edge> {
+    pub fn with_event_log(settings: Settings, journal: EventLog) -> Rc<Edge> {
         let steer = Steer::new(
             settings::Settings {
                 host: settings.host.clone(),
@@ -59,17 +59,17 @@
             settings,
             steer: RefCell::new(steer),
             pool: Pool::default(),
-            journal,
-            relist: Cell::new(false),
+            event_log: journal,
+            reread_refused: Cell::new(false),
         })
     }
 
     /// Takes changed settings in; addresses and names stay as they were.
     pub fn reload(&self, settings: &Settings) {
         let kept = settings.host == self.settings.host;
-        self.steer.borrow_mut().change(settings.domains.clone(), settings.bounds);
-        self.relist.set(true);
-        self.journal.write("reload", json!({"host": settings.host.name, "same_host": kept}));
+        self.steer.borrow_mut().reconfigure(settings.domains.clone(), settings.bounds);
+        self.reread_refused.set(true);
+        self.event_log.write("reload", json!({"host": settings.host.name, "same_host": kept}));
     }
 
     /// Whether callers can be served.
@@ -90,63 +90,64 @@
         metrics::counter!("elmstream_rows_unreadable").increment(keys.len() as u64);
         let named: Vec<&String> = keys.iter().take(SERVERS_NAMED).collect();
         let fields = json!({"table": table, "count": keys.len(), "keys": named});
-        self.journal.belief("rows_unreadable", fields);
+        self.event_log.state_change("rows_unreadable", fields);
     }
 
     /// Writes down that the store has come back from a copy, and what holds on against it.
     fn store_returned(&self, from: &str, returned: &StoreRestored) {
-        let StoreRestored { table, before, version, changed, held } = returned;
+        let StoreRestored { table, before, version, changed, retained: held } = returned;
         let rows: Vec<String> = held.iter().take(SERVERS_NAMED).map(RowKey::to_string).collect();
         let fields = json!({
             "table": table, "era": version.era, "era_before": before.era,
             "version": version.count, "version_before": before.count,
             "changed": changed, "held": held.len(), "rows": rows, "from": from,
         });
-        self.journal.write("store_returned", fields);
+        self.event_log.write("store_returned", fields);
     }
 
     /// Writes down what the host has come to believe, and from whom, and leaves the
     /// connections to servers that are another start now.
-    pub fn note(&self, from: &str, changes: &[StateChange]) {
+    pub fn log_changes(&self, from: &str, changes: &[StateChange]) {
         for change in changes {
             if let StateChange::Server(id, ServerState::Restarted | ServerState::Unreadable) =
                 change
             {
-                self.pool.distrust(id);
+                self.pool.discard_connections(id);
             }
         }
         let servers = changes.iter().filter(|change| matches!(change, StateChange::Server(..)));
         let many = servers.count() > SERVERS_EACH;
         if many {
-            self.journal.write("servers", servers_at_once(from, changes));
+            self.event_log.write("servers", servers_at_once(from, changes));
         }
         for change in changes {
             match change {
                 StateChange::Configuration(version) => {
-                    self.journal.write("configuration", json!({"version": version, "from": from}));
+                    self.event_log
+                        .write("configuration", json!({"version": version, "from": from}));
                 }
                 StateChange::Evacuation(domain, begins) => {
                     let fields = json!({"domain": domain, "begins": begins, "from": from});
-                    self.journal.write("evacuation", fields);
+                    self.event_log.write("evacuation", fields);
                 }
                 StateChange::Server(..) if many => {}
                 StateChange::Server(id, state) => {
                     let fields = json!({"server": id, "state": state.name(), "from": from});
-                    self.journal.belief("server", fields);
+                    self.event_log.state_change("server", fields);
                 }
                 StateChange::HostLost(host) => {
-                    self.journal.belief("host_lost", json!({"host": host}));
+                    self.event_log.state_change("host_lost", json!({"host": host}));
                 }
-                StateChange::StoreReturned(returned) => self.store_returned(from, returned),
+                StateChange::StoreRestored(returned) => self.store_returned(from, returned),
                 StateChange::Rollout { service, target, stage } => {
                     let stage = stage.map(rollout::stage_text);
                     let fields = json!({
                         "service": service, "target": target, "stage": stage, "from": from,
                     });
-                    self.journal.write("rollout", fields);
+                    self.event_log.write("rollout", fields);
                 }
-                StateChange::HoldEnded(key) => {
-                    self.journal.write("hold_ended", json!({"row": key.to_string()}));
+                StateChange::RetentionEnded(key) => {
+                    self.event_log.write("hold_ended", json!({"row": key.to_string()}));
                 }
             }
         }
--- a/elmstream_edge/src/event_log.rs
+++ b/elmstream_edge/src/event_log.rs
@@ -100,7 +100,7 @@
     }
 
     /// Writes a line about what the host has come to believe, if the rate allows it.
-    pub fn belief(&self, event: &str, fields: Value) {
+    pub fn state_change(&self, event: &str, fields: Value) {
         self.write_at(&self.beliefs, event, fields);
     }
 
--- a/elmstream_edge/src/fetch_schedule.rs
+++ b/elmstream_edge/src/fetch_schedule.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FetchOutcome {
     /// Rows came.
-    Told,
+    Received,
     /// The host serves too many others; it is sound.
     Refused,
     /// No connection, or no whole answer in time.
@@ -50,7 +50,7 @@
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            FetchOutcome::Told => "told",
+            FetchOutcome::Received => "told",
             FetchOutcome::Refused => "refused",
             FetchOutcome::Failed => "failed",
         }
@@ -140,7 +140,7 @@
         desk.under_way.remove(&host);
         match end {
             // A later beat shows whether it knows still more.
-            FetchOutcome::Told => {
+            FetchOutcome::Received => {
                 desk.offers.remove(&host);
             }
             FetchOutcome::Refused | FetchOutcome::Failed => {
@@ -150,7 +150,7 @@
             }
         }
         match end {
-            FetchOutcome::Told | FetchOutcome::Refused => self.failed.remove(&host),
+            FetchOutcome::Received | FetchOutcome::Refused => self.failed.remove(&host),
             FetchOutcome::Failed => self.failed.insert(host, now),
         };
         again
--- a/elmstream_edge/src/forward.rs
+++ b/elmstream_edge/src/forward.rs
@@ -62,21 +62,21 @@
     fn drop(&mut self) {
         let now = clock::now();
         let mut steer = self.edge.steer.borrow_mut();
-        steer.count_outcome(now, self.index, &self.call.route.name, self.outcome);
-        steer.done(now, self.index, self.outcome);
-        if self.outcome == Outcome::Left && !self.call.progress.ended.get() {
+        steer.count_rollout_outcome(now, self.index, &self.call.route.name, self.outcome);
+        steer.record_outcome(now, self.index, self.outcome);
+        if self.outcome == Outcome::CallerGone && !self.call.progress.ended.get() {
             metrics::counter!("elmstream_requests", "outcome" => "left").increment(1);
             let server = steer.servers().get(self.index).map(|entry| entry.id.as_str());
-            let took = now.since(self.call.came) / MILLI;
+            let took = now.since(self.call.received) / MILLI;
             let fields = json!({"id": self.call.id, "server": server, "took_ms": took});
-            self.edge.journal.request("left", fields);
+            self.edge.event_log.request("left", fields);
         }
     }
 }
 
 /// Sends a request on, and gives its final answer.
 pub async fn run(edge: &Rc<Edge>, call: &CallerRequest) -> Response<LocalBody> {
-    edge.steer.borrow_mut().earn(clock::now(), &call.service);
+    edge.steer.borrow_mut().deposit_retry(clock::now(), &call.service);
     let mut tried = Tried::default();
     let mut unknown = false;
     let mut failed = None;
@@ -91,8 +91,7 @@
         }
         let (route, service) = (&call.route, &call.service);
         let (key, returning) = (call.key, call.returning);
-        let homes =
-            call.workspace.as_ref().map(|counted| counted.member.workspace.homes.as_slice());
+        let homes = call.workspace.as_ref().map(|counted| counted.entry.workspace.homes.as_slice());
         let homes = homes.unwrap_or_default();
         let ask = PickRequest { route, service, key, tried: &tried.servers, returning, homes };
         let index = match choose(edge, &ask, again) {
@@ -115,22 +114,22 @@
             break;
         }
     }
-    let refusal = Refusal::of(RefusalReason::Tries, AGAIN_MS);
+    let refusal = Refusal::new(RefusalReason::Tries, AGAIN_MS);
     give_up(edge, call, &tried, unknown, failed, refusal)
 }
 
 /// The next server; a further one must be within the retry budget.
 fn choose(edge: &Rc<Edge>, ask: &PickRequest<'_>, again: bool) -> Result<ServerIndex, Refusal> {
     let mut steer = edge.steer.borrow_mut();
-    if again && !steer.affords(ask.service) {
+    if again && !steer.can_retry(ask.service) {
         metrics::counter!("elmstream_retries_denied").increment(1);
-        return Err(Refusal::of(RefusalReason::Budget, AGAIN_MS));
+        return Err(Refusal::new(RefusalReason::Budget, AGAIN_MS));
     }
-    match steer.send(clock::now(), ask) {
+    match steer.pick_server(clock::now(), ask) {
         Pick::Send(index) => {
             // Only what is sent is spent.
             if again {
-                steer.repeat(ask.service);
+                steer.withdraw_retry(ask.service);
             }
             Ok(index)
         }
@@ -145,12 +144,12 @@
     index: ServerIndex,
     tried: &mut Tried,
 ) -> Try {
-    let mut flight = InFlight { edge, call, index, outcome: Outcome::Left };
+    let mut flight = InFlight { edge, call, index, outcome: Outcome::CallerGone };
     tried.servers.push(index);
     let target = {
         let steer = edge.steer.borrow();
         let entry = steer.servers().get(index);
-        entry.map(|entry| (entry.id.clone(), entry.server.address, entry.start()))
+        entry.map(|entry| (entry.id.clone(), entry.server.address, entry.start_hash()))
     };
     let Some((id, address, start)) = target else {
         flight.outcome = Outcome::NoConnection;
@@ -158,13 +157,13 @@
     };
     let sent = clock::now();
     let generations = poison::generations(edge, call);
-    let knew = call.keyed && edge.steer.borrow_mut().learn(sent, index, call.key);
+    let knew = call.has_key && edge.steer.borrow_mut().record_warm_key(sent, index, call.key);
     let had_run = call.progress.may_have_run.replace(true);
     if let Some(counted) = &call.workspace {
-        counted.sent();
+        counted.record_sent();
     }
     let exchange = edge.pool.exchange(&id, address, || request(edge, call, index, &id));
-    let exchange = waits::within(call.until, exchange).await;
+    let exchange = waits::within(call.deadline, exchange).await;
     let micros = clock::now().since(sent);
     let (outcome, result) = match exchange {
         None => (Outcome::Silent, Try::Unknown),
@@ -176,7 +175,7 @@
             }
             let server = SuspectedServer { id: id.clone(), address, start };
             match poison::ended(edge, call, server, generations).await {
-                true => (Outcome::Ended, Try::Unknown),
+                true => (Outcome::ServerCrashed, Try::Unknown),
                 false => (Outcome::Unknown, Try::Unknown),
             }
         }
@@ -184,16 +183,16 @@
             let hints = Hints::read(&edge.settings.headers, &parts);
             let (outcome, result) = judge(edge, call, &id, parts, body);
             // What is not this server's answer says nothing of it.
-            if !matches!(outcome, Some(Outcome::Unknown | Outcome::Elsewhere)) {
+            if !matches!(outcome, Some(Outcome::Unknown | Outcome::WrongServer)) {
                 hints.take(edge, index);
             }
-            (outcome.unwrap_or(Outcome::Answered { micros, knew }), result)
+            (outcome.unwrap_or(Outcome::Answered { micros, was_warm: knew }), result)
         }
     };
     if matches!(result, Try::NotRun) {
         call.progress.may_have_run.set(had_run);
         if let Some(counted) = &call.workspace {
-            counted.not_run(had_run);
+            counted.refund(had_run);
         }
     }
     tried.notes.push((id, outcome, micros));
@@ -209,7 +208,7 @@
     index: ServerIndex,
     id: &str,
 ) -> Option<Request<LocalBody>> {
-    if call.left() <= LEAST || !edge.steer.borrow().lets_go(clock::now(), index) {
+    if call.left() <= LEAST || !edge.steer.borrow().still_accepts(clock::now(), index) {
         return None;
     }
     let names = &edge.settings.headers;
@@ -242,11 +241,11 @@
     let echoed = headers::text(&parts.headers, &names.request_id);
     if echoed.is_some_and(|echoed| echoed != call.id) {
         // Even a refusal is believed only if it is this request's.
-        edge.pool.distrust(id);
+        edge.pool.discard_connections(id);
         return (Some(Outcome::Unknown), Try::Unknown);
     }
     if parts.status == StatusCode::MISDIRECTED_REQUEST {
-        return (Some(Outcome::Elsewhere), Try::NotRun);
+        return (Some(Outcome::WrongServer), Try::NotRun);
     }
     if parts.headers.contains_key(&names.not_run) {
         return (Some(Outcome::Full), Try::NotRun);
@@ -255,7 +254,7 @@
     let signed = parts.headers.contains_key(&names.signature);
     let own = echoed.unwrap_or_default() == call.id;
     if !own || encoded || (parts.status.is_success() && !signed) {
-        edge.pool.distrust(id);
+        edge.pool.discard_connections(id);
         return (Some(Outcome::Unknown), Try::Unknown);
     }
     poison::answered(edge, call);
@@ -273,10 +272,10 @@
     mut parts: response::Parts,
     bytes: Bytes,
 ) -> Response<LocalBody> {
-    let took = clock::now().since(call.came);
+    let took = clock::now().since(call.received);
     metrics::counter!("elmstream_requests", "outcome" => "answered").increment(1);
     metrics::histogram!("elmstream_request_seconds").record(took as f64 / 1e6);
-    if !parts.status.is_success() || edge.journal.sampled() {
+    if !parts.status.is_success() || edge.event_log.sampled() {
         log(edge, call, tried, "answered", (Code::Ok, parts.status), took);
     }
     headers::strip(&mut parts.headers);
@@ -285,7 +284,7 @@
 
 /// The request is refused before it was sent.
 fn refused(edge: &Edge, call: &CallerRequest, refusal: Refusal) -> Response<LocalBody> {
-    let took = clock::now().since(call.came);
+    let took = clock::now().since(call.received);
     metrics::counter!("elmstream_requests", "outcome" => "refused").increment(1);
     let code = code(refusal.reason, &Tried::default());
     let fields = json!({
@@ -299,7 +298,7 @@
         "version": edge.steer.borrow().version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
     });
-    edge.journal.request("refused", fields);
+    edge.event_log.request("refused", fields);
     callers::refuse(code, refusal.retry_ms)
 }
 
@@ -326,7 +325,7 @@
     if let Some((parts, body)) = failed {
         return answer(edge, call, tried, parts, body);
     }
-    let took = clock::now().since(call.came);
+    let took = clock::now().since(call.received);
     if !unknown {
         metrics::counter!("elmstream_requests", "outcome" => "not_run").increment(1);
         let code = code(refusal.reason, tried);
@@ -357,20 +356,20 @@
     let now = clock::now();
     let tries = tried.notes.iter().map(|(id, outcome, micros)| {
         let entry = steer.servers().find(id).and_then(|index| steer.servers().get(index));
-        let occupied = entry.map(|entry| entry.occupied(now));
+        let occupied = entry.map(|entry| entry.in_flight(now));
         json!({
             "server": id, "outcome": outcome.name(), "ms": micros / MILLI,
-            "occupied": occupied, "knew": outcome.knew(),
+            "occupied": occupied, "knew": outcome.was_warm(),
         })
     });
     let tries: Vec<_> = tries.collect();
     let fields = json!({
         "id": call.id, "code": code.number(), "key": call.key % 10_000,
-        "content": call.contents(edge).any.hex(),
+        "content": call.digests(edge).any_caller.hex(),
         "route": call.route.name, "service": call.service, "status": status.as_u16(),
         "workspace": call.workspace_name(),
         "tried": tries, "took_ms": took / MILLI, "version": steer.version(),
         "stale_ms": steer.staleness(now) / MILLI,
     });
-    edge.journal.request(event, fields);
+    edge.event_log.request(event, fields);
 }
--- a/elmstream_edge/src/host_registry.rs
+++ b/elmstream_edge/src/host_registry.rs
@@ -15,13 +15,13 @@
 pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     loop {
         compio::time::sleep(LOOK).await;
-        if !edge.steer.borrow().must_list(clock::now()) {
+        if !edge.steer.borrow().host_list_due(clock::now()) {
             continue;
         }
         metrics::counter!("elmstream_registry_looks").increment(1);
         if let Err(error) = look(&edge, &*source).await {
-            edge.steer.borrow_mut().list_failed(clock::now());
-            edge.journal.write("registry_failed", json!({"error": error.to_string()}));
+            edge.steer.borrow_mut().record_list_failure(clock::now());
+            edge.event_log.write("registry_failed", json!({"error": error.to_string()}));
         }
     }
 }
@@ -30,7 +30,7 @@
 async fn look<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
     let HostList { listed, unreadable } = source.hosts().await?;
     edge.unreadable("hosts", &unreadable);
-    let edit = edge.steer.borrow_mut().listed(clock::now(), &listed);
+    let edit = edge.steer.borrow_mut().on_registered_hosts(clock::now(), &listed);
     if edit.is_empty() {
         return Ok(());
     }
@@ -41,5 +41,5 @@
 
 fn told(edge: &Edge, edit: &RegistryEdit) {
     let fields = json!({"listed": edit.put.len(), "removed": edit.remove});
-    edge.journal.write("registry", fields);
+    edge.event_log.write("registry", fields);
 }
--- a/elmstream_edge/src/lifecycle.rs
+++ b/elmstream_edge/src/lifecycle.rs
@@ -52,7 +52,7 @@
     let socket = Rc::new(socket.context(ListenSnafu { key: "host.peers", address: host.peers })?);
     let peers_listener = listen("host.peers", host.peers).await?;
     let callers_listener = listen("host.callers", host.callers).await?;
-    edge.journal.write("start", json!({"host": host.name, "domain": host.domain}));
+    edge.event_log.write("start", json!({"host": host.name, "domain": host.domain}));
     meet(&edge);
     let source = Rc::new(source);
     spawn(peers::receive(edge.clone(), socket.clone()));
@@ -94,24 +94,24 @@
     terminated.await;
     // All that follows is held against this moment: what is late adds nothing.
     let asked = clock::now();
-    notice.give();
+    notice.announce();
     shutdown::tell(&edge, &socket).await;
     shutdown::end(&edge, asked, stopper, ends, async { drop(serving.await) }).await;
-    edge.journal.write("stop_connections", open.told());
-    edge.journal.write("stopped", json!({"host": host.name}));
-    edge.journal.close();
+    edge.event_log.write("stop_connections", open.told());
+    edge.event_log.write("stopped", json!({"host": host.name}));
+    edge.event_log.close();
     Ok(())
 }
 
 /// Begins with the seeds, of which this host may be one.
 fn meet(edge: &Edge) {
     let mut steer = edge.steer.borrow_mut();
-    steer.want_hosts();
+    steer.request_host_list();
     for seed in &edge.settings.seeds {
         if *seed == edge.settings.host.peers {
-            steer.asked_first();
+            steer.mark_as_seed();
         }
-        steer.suppose(clock::now(), *seed);
+        steer.add_peer_address(clock::now(), *seed);
     }
 }
 
--- a/elmstream_edge/src/peers.rs
+++ b/elmstream_edge/src/peers.rs
@@ -82,18 +82,22 @@
     let now = clock::now();
     let (mut beat, targets, hosts) = {
         let mut steer = edge.steer.borrow_mut();
-        (Box::new(steer.beat(now)), steer.targets(now, round), steer.members().count())
+        (
+            Box::new(steer.next_heartbeat(now)),
+            steer.targets(now, round),
+            steer.members().target_count(),
+        )
     };
     tell(socket, &Message::Heartbeat(beat.clone()), &targets.near).await;
-    beat.lessons.clear();
-    beat.words.clear();
+    beat.warm_keys.clear();
+    beat.liveness.clear();
     tell(socket, &Message::Heartbeat(beat), &targets.far).await;
     hosts
 }
 
 /// Reports what workspaces asked of this host, and what it counted of roll-outs.
 async fn report(edge: &Edge, socket: &UdpSocket) {
-    let due = edge.steer.borrow_mut().reports(clock::now());
+    let due = edge.steer.borrow_mut().due_messages(clock::now());
     send_each(socket, due).await;
 }
 
@@ -123,24 +127,24 @@
         let Ok((length, from)) = result else { continue };
         match postcard::from_bytes::<Message>(&buffer[..length.min(buffer.len())]) {
             Ok(Message::Heartbeat(beat)) => hear(&edge, &asking, &beat),
-            Ok(Message::Report(report)) => {
+            Ok(Message::UsageReport(report)) => {
                 let (verdict, due) = {
                     let (mut steer, now) = (edge.steer.borrow_mut(), clock::now());
-                    let verdict = steer.sum_up(now, &report);
-                    (verdict, steer.tell_all(now))
+                    let verdict = steer.on_usage_report(now, &report);
+                    (verdict, steer.due_broadcasts(now))
                 };
-                tell(&socket, &Message::Verdict(verdict), &[from]).await;
+                tell(&socket, &Message::UsageReply(verdict), &[from]).await;
                 send_each(&socket, due).await;
             }
-            Ok(Message::Spread(spread)) => {
-                let due = edge.steer.borrow_mut().pass_on(clock::now(), &spread);
+            Ok(Message::FractionBroadcast(spread)) => {
+                let due = edge.steer.borrow_mut().on_broadcast(clock::now(), &spread);
                 send_each(&socket, due).await;
             }
-            Ok(Message::Rollout(report)) => {
-                edge.steer.borrow_mut().take_report(clock::now(), *report);
+            Ok(Message::RolloutReport(report)) => {
+                edge.steer.borrow_mut().on_rollout_report(clock::now(), *report);
             }
-            Ok(Message::Verdict(verdict)) => {
-                edge.steer.borrow_mut().judged(clock::now(), &verdict);
+            Ok(Message::UsageReply(verdict)) => {
+                edge.steer.borrow_mut().on_usage_reply(clock::now(), &verdict);
             }
             Err(_) => metrics::counter!("elmstream_datagrams_unreadable").increment(1),
         }
@@ -148,21 +152,21 @@
 }
 
 fn hear(edge: &Edge, asking: &TableFetcher, beat: &Heartbeat) {
-    let news = edge.steer.borrow_mut().hear(clock::now(), beat);
+    let news = edge.steer.borrow_mut().on_heartbeat(clock::now(), beat);
     let Some(news) = news else { return };
     if news.joined {
-        edge.journal.belief("host_heard", json!({"host": beat.host.name}));
+        edge.event_log.state_change("host_heard", json!({"host": beat.host.name}));
     }
     poison::note(edge, &beat.host.name, &news.refused);
     for server in &news.leaving {
         let fields = json!({"server": server, "from": beat.host.name});
-        edge.journal.belief("server_leaving", fields);
+        edge.event_log.state_change("server_leaving", fields);
     }
     for (server, limit) in &news.limits {
         server_hints::note_limit(edge, &beat.host.name, server, *limit);
     }
-    for (table, _) in news.wanted {
-        asking.offer(table, beat.host.peers, &beat.known[table as usize]);
+    for (table, _) in news.outdated_tables {
+        asking.offer(table, beat.host.peers, &beat.tables[table as usize]);
     }
 }
 
@@ -207,19 +211,20 @@
         return Ok(empty(StatusCode::NOT_FOUND));
     };
     // A host that knows nothing says so at once, as those that ask it have just started.
-    let knows = edge.steer.borrow().known()[table as usize].reading.is_some();
-    let pass = gate.enter();
+    let knows = edge.steer.borrow().table_statuses()[table as usize].last_read.is_some();
+    let pass = gate.try_acquire();
     if knows && pass.is_none() {
         return Ok(empty(StatusCode::SERVICE_UNAVAILABLE));
     }
     let rows = {
         let steer = edge.steer.borrow();
         let starts = after == StoreVersion::default();
-        let all_hosts = starts && steer.knows_hosts();
+        let all_hosts = starts && steer.has_host_list();
         let mut hosts = hosts_told(&steer, all_hosts);
         hosts.push(edge.settings.host.peers);
-        let endings = if starts { steer.harms().all() } else { Vec::new() };
-        let table = steer.tell_rows(clock::now(), table, SyncRequest { after, complete });
+        let endings = if starts { steer.poison().refused_crashes() } else { Vec::new() };
+        let table =
+            steer.rows_for(clock::now(), table, SyncRequest { after, complete_to: complete });
         PeerRows { table, hosts, all_hosts, endings }
     };
     let bytes = postcard::to_allocvec(&rows).unwrap_or_default();
@@ -236,10 +241,10 @@
 fn hosts_told(steer: &Steer, all: bool) -> Vec<SocketAddr> {
     let now = clock::now();
     if all {
-        return steer.members().addresses(now);
+        return steer.members().contact_addresses(now);
     }
     // Another number each time, so that all hosts are told in the end.
-    steer.members().some((now.0 / MILLI) as usize, HOSTS_TOLD)
+    steer.members().sample((now.0 / MILLI) as usize, HOSTS_TOLD)
 }
 
 /// Lets time pass for the decisions until the process ends.
@@ -249,23 +254,23 @@
         compio::time::sleep(TICK).await;
         if let Some(away) = suspension.look() {
             metrics::counter!("elmstream_suspensions").increment(1);
-            edge.journal.write("suspended", json!({"for_ms": away / MILLI}));
+            edge.event_log.write("suspended", json!({"for_ms": away / MILLI}));
         }
         report(&edge, &socket).await;
         if count.is_multiple_of(SEEDS_EVERY) {
             for seed in &edge.settings.seeds {
-                edge.steer.borrow_mut().suppose(clock::now(), *seed);
+                edge.steer.borrow_mut().add_peer_address(clock::now(), *seed);
             }
         }
         if let Some(error) = edge.pool.unbounded() {
-            edge.journal.write("silence_unbounded", json!({"error": error.to_string()}));
+            edge.event_log.write("silence_unbounded", json!({"error": error.to_string()}));
         }
         let changes = edge.steer.borrow_mut().tick(clock::now());
-        edge.note("time", &changes);
+        edge.log_changes("time", &changes);
         let steer = edge.steer.borrow();
-        let (held_back, unanswered) = steer.limits_seen(clock::now());
+        let (held_back, unanswered) = steer.quota_counts(clock::now());
         metrics::gauge!("elmstream_store_era").set(steer.era() as f64);
-        metrics::gauge!("elmstream_store_rows_held").set(steer.view().held_count() as f64);
+        metrics::gauge!("elmstream_store_rows_held").set(steer.view().retained_count() as f64);
         metrics::gauge!("elmstream_servers_limited").set(steer.limited_servers() as f64);
         metrics::gauge!("elmstream_workspaces_held_back").set(held_back as f64);
         metrics::gauge!("elmstream_workspaces_unanswered").set(unanswered as f64);
--- a/elmstream_edge/src/poison.rs
+++ b/elmstream_edge/src/poison.rs
@@ -35,19 +35,19 @@
 /// By which digest a request is refused, and why; none if it is not.
 pub(crate) fn known(edge: &Edge, call: &CallerRequest) -> Option<(RequestDigest, PoisonEvidence)> {
     let steer = edge.steer.borrow();
-    if steer.harms().is_empty() {
+    if steer.poison().is_empty() {
         return None;
     }
-    let digests = call.contents(edge).both().into_iter();
-    digests.filter_map(|digest| Some((digest, steer.harms().refuses(&digest)?))).next()
+    let digests = call.digests(edge).both().into_iter();
+    digests.filter_map(|digest| Some((digest, steer.poison().refusal(&digest)?))).next()
 }
 
 /// Generations of endings that are known of a request, by its digests.
 pub(crate) fn generations(edge: &Edge, call: &CallerRequest) -> [u8; 2] {
     let steer = edge.steer.borrow();
-    match steer.harms().is_empty() {
+    match steer.poison().is_empty() {
         true => [0; 2],
-        false => call.contents(edge).both().map(|digest| steer.harms().generation(&digest)),
+        false => call.digests(edge).both().map(|digest| steer.poison().generation(&digest)),
     }
 }
 
@@ -66,22 +66,22 @@
     let fields = json!({
         "id": call.id, "code": code.number(), "status": code.http_status(),
         "content": digest.hex(), "route": call.route.name, "service": call.service,
-        "workspace": call.workspace_name(), "took_ms": clock::now().since(call.came) / MILLI,
+        "workspace": call.workspace_name(), "took_ms": clock::now().since(call.received) / MILLI,
         "servers_ended": harm.servers, "generations": harm.generations, "own": harm.own,
         "last_s_ago": unix_s().saturating_sub(harm.last_s),
         "version": edge.steer.borrow().version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
     });
-    edge.journal.request("harmful", fields);
+    edge.event_log.request("harmful", fields);
     callers::plain(code, StatusCode::SERVICE_UNAVAILABLE)
 }
 
 /// A request got a whole answer.
 pub(crate) fn answered(edge: &Edge, call: &CallerRequest) {
     let mut steer = edge.steer.borrow_mut();
-    if !steer.harms().is_empty() {
-        for digest in call.contents(edge).both() {
-            steer.harms_mut().answered(clock::now(), &digest);
+    if !steer.poison().is_empty() {
+        for digest in call.digests(edge).both() {
+            steer.poison_mut().record_answer(clock::now(), &digest);
         }
     }
 }
@@ -108,9 +108,9 @@
     generations: [u8; 2],
 ) -> bool {
     let (found, finding) = oneshot::channel();
-    let (edge, contents) = (edge.clone(), *call.contents(edge));
+    let (edge, contents) = (edge.clone(), *call.digests(edge));
     compio::runtime::spawn(async move {
-        let known = edge.steer.borrow().harms().knows_end(server.start);
+        let known = edge.steer.borrow().poison().knows_crash(server.start);
         let ended = known || edge.pool.refuses(server.address).await;
         if ended {
             count(&edge, &server, &contents, generations);
@@ -127,12 +127,13 @@
     metrics::counter!("elmstream_servers_ended").increment(1);
     let now = clock::now();
     let fields = json!({
-        "server": server.id, "content": contents.any.hex(),
+        "server": server.id, "content": contents.any_caller.hex(),
         "generation": generations[0].saturating_add(1),
     });
-    edge.journal.belief("server_ended", fields);
+    edge.event_log.state_change("server_ended", fields);
     for (digest, known) in contents.both().into_iter().zip(generations) {
-        let turn = edge.steer.borrow_mut().ended(now, unix_s(), digest, server.start, known);
+        let turn =
+            edge.steer.borrow_mut().on_server_crash(now, unix_s(), digest, server.start, known);
         if let PoisonChange::Refused(harm) = turn {
             note(edge, "itself", &[(digest, harm)]);
         }
@@ -142,7 +143,7 @@
 /// Writes down which requests are refused from now on, and who told.
 pub(crate) fn note(edge: &Edge, from: &str, refused: &[(RequestDigest, PoisonEvidence)]) {
     for (digest, harm) in refused {
-        edge.journal.write("refuses", told(digest, harm, from));
+        edge.event_log.write("refuses", told(digest, harm, from));
     }
 }
 
@@ -165,50 +166,50 @@
                 Err(error) => failed(&edge, &error).await,
             }
         }
-        let again = edge.relist.replace(false);
+        let again = edge.reread_refused.replace(false);
         if let Err(error) = keep(&edge, &*source, again || !started).await {
-            edge.relist.set(again);
+            edge.reread_refused.set(again);
             failed(&edge, &error).await;
             continue;
         }
         started = true;
         compio::time::sleep(LOOK).await;
         let mut steer = edge.steer.borrow_mut();
-        steer.harms_mut().forget(clock::now(), unix_s());
-        metrics::gauge!("elmstream_requests_refused").set(steer.harms().refused() as f64);
+        steer.poison_mut().expire(clock::now(), unix_s());
+        metrics::gauge!("elmstream_requests_refused").set(steer.poison().refused_count() as f64);
     }
 }
 
 async fn keep<S: StoreSource>(edge: &Edge, source: &S, read: bool) -> Result<(), SourceError> {
     if read {
-        let harmful = source.harmful().await?;
+        let harmful = source.refused_requests().await?;
         edge.unreadable("harmful", &harmful.unreadable);
         take_in(edge, &harmful);
         // Nobody else clears the list.
         for (digest, _) in
             harmful.listed.iter().filter(|(_, endings)| listing_expired(endings, unix_s()))
         {
-            source.list_harmful(digest, &[]).await?;
+            source.add_refused_request(digest, &[]).await?;
         }
     }
-    let due = edge.steer.borrow().harms().to_list(clock::now());
+    let due = edge.steer.borrow().poison().pending_listings(clock::now());
     if due.iter().any(|due| !due.first) {
-        let harmful = source.harmful().await?;
+        let harmful = source.refused_requests().await?;
         for (digest, _) in &harmful.listed {
-            edge.steer.borrow_mut().harms_mut().listed(digest);
+            edge.steer.borrow_mut().poison_mut().mark_listed(digest);
         }
     }
     // What was let in again, or found to be listed, meanwhile is not due any more.
-    let due = edge.steer.borrow().harms().to_list(clock::now());
+    let due = edge.steer.borrow().poison().pending_listings(clock::now());
     for PendingListing { digest, endings, .. } in due {
-        source.list_harmful(&digest, &endings).await?;
-        edge.steer.borrow_mut().harms_mut().listed(&digest);
+        source.add_refused_request(&digest, &endings).await?;
+        edge.steer.borrow_mut().poison_mut().mark_listed(&digest);
     }
     Ok(())
 }
 
 async fn failed(edge: &Edge, error: &SourceError) {
-    edge.journal.write("harmful_failed", json!({"error": error.to_string()}));
+    edge.event_log.write("harmful_failed", json!({"error": error.to_string()}));
     compio::time::sleep(PAUSE).await;
 }
 
@@ -235,7 +236,7 @@
             (self.era, self.noticed) = (known, None);
             return false;
         }
-        steer.keeps(now)
+        steer.maintains_host_list(now)
     }
 
     fn done(&mut self, edge: &Edge) {
@@ -246,19 +247,19 @@
 /// Lists again what the store has lost, and takes off what was let in again: nobody else
 /// writes that, and hosts that start go by it.
 async fn list_again<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
-    let harmful = source.harmful().await?;
+    let harmful = source.refused_requests().await?;
     let lost = |(digest, _): &(RequestDigest, Vec<ServerCrash>)| {
         !harmful.listed.iter().any(|(listed, _)| listed == digest)
     };
-    let refused = edge.steer.borrow().harms().all_refused();
+    let refused = edge.steer.borrow().poison().refused_requests();
     for (digest, endings) in refused.into_iter().filter(lost) {
-        source.list_harmful(&digest, &endings).await?;
-        edge.journal.write("listed_again", json!({"content": digest.hex()}));
+        source.add_refused_request(&digest, &endings).await?;
+        edge.event_log.write("listed_again", json!({"content": digest.hex()}));
     }
     for (digest, _) in harmful.listed.iter().filter(|(_, endings)| !endings.is_empty()) {
-        if edge.steer.borrow().harms().cleared(digest) {
-            source.list_harmful(digest, &[]).await?;
-            edge.journal.write("let_in_again", json!({"content": digest.hex()}));
+        if edge.steer.borrow().poison().is_cleared(digest) {
+            source.add_refused_request(digest, &[]).await?;
+            edge.event_log.write("let_in_again", json!({"content": digest.hex()}));
         }
     }
     Ok(())
@@ -269,12 +270,12 @@
 fn take_in(edge: &Edge, harmful: &RefusedList) {
     let now = clock::now();
     for (digest, endings) in &harmful.listed {
-        let refused = edge.steer.borrow_mut().hear_endings(now, endings);
+        let refused = edge.steer.borrow_mut().merge_crashes(now, endings);
         note(edge, "store", &refused);
         let mut steer = edge.steer.borrow_mut();
-        steer.harms_mut().listed(digest);
-        if endings.is_empty() && steer.harms_mut().lift(now, digest) {
-            edge.journal.write("let_in_again", json!({"content": digest.hex()}));
+        steer.poison_mut().mark_listed(digest);
+        if endings.is_empty() && steer.poison_mut().readmit(now, digest) {
+            edge.event_log.write("let_in_again", json!({"content": digest.hex()}));
         }
     }
 }
--- a/elmstream_edge/src/request_digest.rs
+++ b/elmstream_edge/src/request_digest.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestDigests {
     /// Of host, method, path with query, and body.
-    pub any: RequestDigest,
+    pub any_caller: RequestDigest,
     /// The same with the caller: its workspace, else its address.
-    pub own: RequestDigest,
+    pub this_caller: RequestDigest,
 }
 
 impl RequestDigests {
@@ -40,12 +40,12 @@
             name => format!("={name}"),
         };
         add(&mut whole, caller.as_bytes());
-        RequestDigests { any, own: cut(whole) }
+        RequestDigests { any_caller: any, this_caller: cut(whole) }
     }
 
     /// Both, the one that more requests share first.
     pub fn both(&self) -> [RequestDigest; 2] {
-        [self.any, self.own]
+        [self.any_caller, self.this_caller]
     }
 }
 
@@ -56,5 +56,5 @@
 }
 
 fn cut(whole: Hmac<Sha256>) -> RequestDigest {
-    RequestDigest::cut(&whole.finalize().into_bytes().into())
+    RequestDigest::truncate(&whole.finalize().into_bytes().into())
 }
--- a/elmstream_edge/src/rollout.rs
+++ b/elmstream_edge/src/rollout.rs
@@ -22,7 +22,7 @@
 pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     loop {
         compio::time::sleep(LOOK).await;
-        let due = edge.steer.borrow_mut().rollout_due(clock::now(), clock::unix_ms());
+        let due = edge.steer.borrow_mut().due_rollout_write(clock::now(), clock::unix_ms());
         if let Some(write) = due
             && !carry_out(&edge, &*source, &write).await
         {
@@ -38,19 +38,19 @@
         Ok(Some(version)) => {
             metrics::counter!("elmstream_rollout_writes", "stage" => write.progress.stage.name())
                 .increment(1);
-            edge.journal.write("rollout_written", fields(edge, write));
-            let changes = edge.steer.borrow_mut().rollout_written(clock::now(), write, version);
-            edge.note("itself", &changes);
+            edge.event_log.write("rollout_written", fields(edge, write));
+            let changes = edge.steer.borrow_mut().on_rollout_written(clock::now(), write, version);
+            edge.log_changes("itself", &changes);
             true
         }
         Ok(None) => {
             let fields = json!({"service": service, "stage": stage});
-            edge.journal.write("rollout_overtaken", fields);
+            edge.event_log.write("rollout_overtaken", fields);
             false
         }
         Err(error) => {
             let fields = json!({"service": service, "stage": stage, "error": error.to_string()});
-            edge.journal.write("rollout_write_failed", fields);
+            edge.event_log.write("rollout_write_failed", fields);
             false
         }
     }
@@ -59,7 +59,7 @@
 /// What a write says, and what it rests on.
 fn fields(edge: &Edge, write: &RolloutWrite) -> Value {
     let steer = edge.steer.borrow();
-    let answers = steer.rollout_judged(&write.service).map(|judge| judge.marks());
+    let answers = steer.rollout_analysis(&write.service).map(|judge| judge.target_counts());
     json!({
         "service": write.service, "target": write.progress.target,
         "stage": stage_text(write.progress.stage), "order": write.progress.order.to_string(),
@@ -75,7 +75,7 @@
     let route = cause.route.map(|hash| routes.find(|route| route_hash(&route.name) == hash));
     json!({
         "route": route.map(|route| route.map_or("", |route| route.name.as_str())), "good": cause.target.good, "bad": cause.target.bad,
-        "servers": cause.servers, "usual": cause.usual,
+        "servers": cause.servers, "usual": cause.usual_bad_share,
     })
 }
 
--- a/elmstream_edge/src/server_hints.rs
+++ b/elmstream_edge/src/server_hints.rs
@@ -57,13 +57,13 @@
         let now = clock::now();
         let mut steer = edge.steer.borrow_mut();
         if let Some(requests) = self.load {
-            steer.tell(now, index, requests);
+            steer.record_server_load(now, index, requests);
         }
-        if self.leaving && steer.says_leaving(now, index) {
+        if self.leaving && steer.on_server_leaving(now, index) {
             note(edge, &steer, index, "server_leaving", json!({"from": "itself"}));
         }
         if let Some(rest) = self.rest
-            && steer.asks_for_rest(now, index, rest)
+            && steer.on_server_backoff(now, index, rest)
         {
             note(edge, &steer, index, "server_rests", json!({"for_ms": rest.as_millis() as u64}));
         }
@@ -75,7 +75,7 @@
                 return;
             }
         };
-        if steer.names_limit(now, index, limit)
+        if steer.on_server_limit(now, index, limit)
             && let Some(entry) = steer.servers().get(index)
         {
             note_limit(edge, "itself", &entry.id, limit);
@@ -86,7 +86,7 @@
 /// Writes down what a server said of itself.
 fn note(edge: &Edge, steer: &Steer, index: ServerIndex, event: &str, mut fields: Value) {
     fields["server"] = steer.servers().get(index).map(|entry| entry.id.as_str()).into();
-    edge.journal.belief(event, fields);
+    edge.event_log.state_change(event, fields);
 }
 
 /// How long a server wants nothing, in an answer by which it turns a request away.
@@ -103,7 +103,7 @@
 /// Writes down the limit that a server names, and who heard it.
 pub fn note_limit(edge: &Edge, from: &str, server: &str, limit: Option<RequestRate>) {
     let fields = json!({"server": server, "per_s": limit.map(RequestRate::value), "from": from});
-    edge.journal.belief("server_limit", fields);
+    edge.event_log.state_change("server_limit", fields);
 }
 
 /// Running and waiting requests of `running,waiting,slots`.
--- a/elmstream_edge/src/shutdown.rs
+++ b/elmstream_edge/src/shutdown.rs
@@ -18,8 +18,8 @@
 
 /// Tells the others that this host stops.
 pub(crate) async fn tell(edge: &Rc<Edge>, socket: &UdpSocket) {
-    edge.steer.borrow_mut().leave();
-    edge.journal.write("stop", json!({"host": edge.settings.host.name}));
+    edge.steer.borrow_mut().start_leaving();
+    edge.event_log.write("stop", json!({"host": edge.settings.host.name}));
     // The others hear of it at once, so that they name this host no more.
     for round in 0..2 {
         peers::beat(edge, socket, round).await;
@@ -50,6 +50,6 @@
     }
     ends.stop();
     if waits::within(end, serving).await.is_none() {
-        edge.journal.write("stop_unfinished", json!({"host": edge.settings.host.name}));
+        edge.event_log.write("stop_unfinished", json!({"host": edge.settings.host.name}));
     }
 }
--- a/elmstream_edge/src/store_reader.rs
+++ b/elmstream_edge/src/store_reader.rs
@@ -32,7 +32,7 @@
     let mut lost: Option<Time> = None;
     loop {
         let now = clock::now();
-        let Some(why) = edge.steer.borrow().must_read(now, table) else {
+        let Some(why) = edge.steer.borrow().due_read(now, table) else {
             compio::time::sleep(LOOK).await;
             continue;
         };
@@ -47,7 +47,7 @@
                 cursor = version.map(|version| Cursor { version, at: clock::now() });
                 // After a history that is gone, all is read next.
                 let Some(version) = version else { continue };
-                edge.steer.borrow_mut().store_answered(table, why, now, version);
+                edge.steer.borrow_mut().record_store_answer(table, why, now, version);
                 if let Some(since) = lost.take() {
                     regained(&edge, table, why, since);
                 }
@@ -58,7 +58,7 @@
                     lost_store(&edge, table, why, now, &error);
                     lost = Some(clock::now());
                 }
-                edge.steer.borrow_mut().store_failed(clock::now(), table);
+                edge.steer.borrow_mut().record_store_failure(clock::now(), table);
             }
         }
     }
@@ -79,7 +79,7 @@
         "table": name(table), "why": why.name(),
         "after_ms": clock::now().since(since) / MILLI,
     });
-    edge.journal.write("store_regained", fields);
+    edge.event_log.write("store_regained", fields);
 }
 
 /// Writes that a call failed: why it was made, how long it took, and how old what is
@@ -94,7 +94,7 @@
         "took_ms": now.since(asked) / MILLI, "age_ms": age,
         "hosts": steer.members().live(now).count() + 1,
     });
-    edge.journal.write("store_lost", fields);
+    edge.event_log.write("store_lost", fields);
 }
 
 /// Reads what is new; the version to go on from, or none to read all.
@@ -114,7 +114,7 @@
         Err(SourceError::Unreachable { cause, kept: true }) => {
             metrics::counter!("elmstream_store_connections_lost").increment(1);
             let fields = json!({"table": name(table), "error": cause});
-            edge.journal.write("store_connection_lost", fields);
+            edge.event_log.write("store_connection_lost", fields);
             call(edge, source, table, (after, Duration::ZERO)).await
         }
         read => read,
@@ -130,22 +130,22 @@
 ) -> Result<Option<StoreVersion>, SourceError> {
     let asked = clock::now();
     let Some(after) = after else {
-        let StoreRows { version, rows, unreadable } = source.all(table).await?;
+        let StoreRows { version, rows, unreadable } = source.read_all(table).await?;
         edge.unreadable(name(table), &unreadable);
         let now = clock::now();
         up_to_date(edge, version)?;
         let mut steer = edge.steer.borrow_mut();
         if table == Table::Servers {
-            steer.store_read_in(now.since(asked) / MILLI);
+            steer.record_read_time(now.since(asked) / MILLI);
         }
-        let changes = steer.read_all_of(now, asked, table, version, rows);
+        let changes = steer.on_full_read_at(now, asked, table, version, rows);
         drop(steer);
-        edge.note("store", &changes);
+        edge.log_changes("store", &changes);
         return Ok(Some(version));
     };
     let Some(StoreRows { version, rows, unreadable }) = source.changes(table, after, wait).await?
     else {
-        edge.journal.write("store_history_gone", json!({"table": name(table)}));
+        edge.event_log.write("store_history_gone", json!({"table": name(table)}));
         return Ok(None);
     };
     edge.unreadable(name(table), &unreadable);
@@ -153,8 +153,8 @@
     let now = clock::now();
     // The store held its answer no longer than it was asked to.
     let moment = now.min(asked + wait.as_micros() as u64);
-    let changes = edge.steer.borrow_mut().read_of(now, moment, table, rows);
-    edge.note("store", &changes);
+    let changes = edge.steer.borrow_mut().on_changes_at(now, moment, table, rows);
+    edge.log_changes("store", &changes);
     Ok(Some(version))
 }
 
--- a/elmstream_edge/src/store_source.rs
+++ b/elmstream_edge/src/store_source.rs
@@ -96,7 +96,7 @@
     ///
     /// Hosts take it that no change up to that version, or up to that of any row, is
     /// missing, and never ask for it again.
-    fn all(&self, table: Table) -> impl Future<Output = Result<StoreRows, SourceError>>;
+    fn read_all(&self, table: Table) -> impl Future<Output = Result<StoreRows, SourceError>>;
 
     /// Rows that changed after a version, as soon as there is one; none if the
     /// store no longer knows what changed, or has come back from a copy since.
@@ -114,10 +114,10 @@
     fn edit_hosts(&self, edit: &RegistryEdit) -> impl Future<Output = Result<(), SourceError>>;
 
     /// The list of requests that are refused.
-    fn harmful(&self) -> impl Future<Output = Result<RefusedList, SourceError>>;
+    fn refused_requests(&self) -> impl Future<Output = Result<RefusedList, SourceError>>;
 
     /// Lists one more, or takes one off if it comes without ends of servers.
-    fn list_harmful(
+    fn add_refused_request(
         &self,
         digest: &RequestDigest,
         endings: &[ServerCrash],
--- a/elmstream_edge/src/table_fetch.rs
+++ b/elmstream_edge/src/table_fetch.rs
@@ -41,60 +41,60 @@
     /// A host's beat shows that it knows news of a table.
     pub(crate) fn offer(&self, table: Table, host: SocketAddr, known: &TableStatus) {
         self.fetches.borrow_mut().offer(clock::now(), table, host, known);
-        self.go_on(table);
+        self.start_due(table);
     }
 
     /// Asks whoever is to be asked now.
-    fn go_on(&self, table: Table) {
+    fn start_due(&self, table: Table) {
         loop {
             let steer = self.edge.steer.borrow();
-            let asks = steer.asks(table);
-            let wants = |known: &TableStatus| steer.wants(table, known);
+            let asks = steer.sync_request(table);
+            let wants = |known: &TableStatus| steer.needs_sync(table, known);
             let next = self.fetches.borrow_mut().next(clock::now(), table, wants);
             drop(steer);
             let Some(host) = next else { return };
             let asking = self.clone();
-            compio::runtime::spawn(async move { asking.ask(host, table, asks).await }).detach();
-            self.go_on_at(table, clock::now() + HEDGE_DELAY);
+            compio::runtime::spawn(async move { asking.fetch(host, table, asks).await }).detach();
+            self.start_due_at(table, clock::now() + HEDGE_DELAY);
         }
     }
 
     /// The same at a later time, as no beat may come then.
-    fn go_on_at(&self, table: Table, at: Time) {
+    fn start_due_at(&self, table: Table, at: Time) {
         let asking = self.clone();
         let pause = Duration::from_micros(at.since(clock::now()));
         compio::runtime::spawn(async move {
             compio::time::sleep(pause).await;
-            asking.go_on(table);
+            asking.start_due(table);
         })
         .detach();
     }
 
-    async fn ask(&self, host: SocketAddr, table: Table, asks: SyncRequest) {
+    async fn fetch(&self, host: SocketAddr, table: Table, asks: SyncRequest) {
         let fetched = fetch(&self.edge, host, table, asks).await;
         let end = match &fetched {
-            Ok(()) => FetchOutcome::Told,
+            Ok(()) => FetchOutcome::Received,
             Err(error) if error.kind() == io::ErrorKind::ResourceBusy => FetchOutcome::Refused,
             Err(_) => FetchOutcome::Failed,
         };
         metrics::counter!("elmstream_fetches", "end" => end.name()).increment(1);
         if let (FetchOutcome::Failed, Err(error)) = (end, &fetched) {
             if table != Table::Rollouts {
-                self.edge.steer.borrow_mut().untold();
+                self.edge.steer.borrow_mut().record_uninformed_peer();
             }
             let error = error.to_string();
             let fields = json!({"host": host, "table": table, "error": error});
-            self.edge.journal.belief("fetch_failed", fields);
+            self.edge.event_log.state_change("fetch_failed", fields);
         }
         let again = self.fetches.borrow_mut().ended(clock::now(), table, host, end);
-        let lacks_progress = self.edge.steer.borrow().lacks_progress();
-        if end == FetchOutcome::Told && table == Table::Rules && lacks_progress {
+        let lacks_progress = self.edge.steer.borrow().awaits_rollout_progress();
+        if end == FetchOutcome::Received && table == Table::Rules && lacks_progress {
             // A host that has just started does not wait for the next beat.
             self.offer(Table::Rollouts, host, &TableStatus::default());
         }
-        self.go_on(table);
-        if end != FetchOutcome::Told {
-            self.go_on_at(table, again);
+        self.start_due(table);
+        if end != FetchOutcome::Received {
+            self.start_due_at(table, again);
         }
     }
 }
@@ -112,29 +112,29 @@
     let changes = {
         let mut steer = edge.steer.borrow_mut();
         match fetched.all_hosts {
-            true => steer.told_hosts(now, &fetched.hosts),
-            false => fetched.hosts.iter().for_each(|host| steer.suppose(now, *host)),
+            true => steer.on_host_list(now, &fetched.hosts),
+            false => fetched.hosts.iter().for_each(|host| steer.add_peer_address(now, *host)),
         }
-        let refused = steer.hear_endings(now, &fetched.endings);
+        let refused = steer.merge_crashes(now, &fetched.endings);
         drop(steer);
         poison::note(edge, &address.to_string(), &refused);
         let mut steer = edge.steer.borrow_mut();
-        if fetched.table.known.reading.is_none() {
+        if fetched.table.status.last_read.is_none() {
             // Whoever knows the rules may not know of roll-outs; there may be none.
             if table != Table::Rollouts {
-                steer.untold();
+                steer.record_uninformed_peer();
             }
             return Ok(());
         }
-        steer.told(now, table, fetched.table)
+        steer.on_table_rows(now, table, fetched.table)
     };
-    edge.note(&address.to_string(), &changes);
+    edge.log_changes(&address.to_string(), &changes);
     Ok(())
 }
 
 async fn get(address: SocketAddr, table: Table, asks: SyncRequest) -> io::Result<PeerRows> {
     let mut sender = client::connect_bounded(address, FETCH, FETCH).await?;
-    let SyncRequest { after: StoreVersion { era, count }, complete } = asks;
+    let SyncRequest { after: StoreVersion { era, count }, complete_to: complete } = asks;
     let complete = format!("complete_era={}&complete={}", complete.era, complete.count);
     let uri = format!("{ROWS_PATH}?table={}&era={era}&after={count}&{complete}", table as usize);
     let request = Request::builder().uri(uri).header("host", address.to_string());
--- a/elmstream_edge/tests/access.rs
+++ b/elmstream_edge/tests/access.rs
@@ -61,7 +61,7 @@
     store.put(RowKey::Configuration, Some(workspaces(1, |_| ())));
     store.put(RowKey::Server("s-0".into()), Some(server(address)));
     let running = start_edge(at, edge, &store);
-    let knows = || running.edge.serves() && running.edge.steer.borrow().knows_hosts();
+    let knows = || running.edge.serves() && running.edge.steer.borrow().has_host_list();
     assert!(until(Duration::from_secs(3), knows).await, "the host is ready");
     (store, running, got)
 }
@@ -316,7 +316,7 @@
         let written = Written::default();
         let logging = Logging { sample: 1, lines_per_s: 1_000, beliefs_per_s: 1_000 };
         let at = ip();
-        let edge = Edge::writing(settings(at, &[]), EventLog::to(&logging, written.clone()));
+        let edge = Edge::with_event_log(settings(at, &[]), EventLog::to(&logging, written.clone()));
         let (_store, host, _got) = serving_with(at, edge).await;
         for (path, key) in [
             ("/a", "Bearer key-w"),
@@ -329,7 +329,7 @@
         for n in 0..60 {
             once(host.callers, &format!("/{n}"), &[("authorization", "Bearer key-few")]).await;
         }
-        host.edge.journal.close();
+        host.edge.event_log.close();
         let bytes = written.0.lock().expect("no panic").clone();
         let text = String::from_utf8(bytes).expect("text");
         assert!(text.contains("\"denied\"") && text.contains("\"limited\""), "{text}");
--- a/elmstream_edge/tests/content_cost.rs
+++ b/elmstream_edge/tests/content_cost.rs
@@ -38,17 +38,17 @@
         route: Rc::new(route),
         service: "shop".into(),
         key: 0,
-        keyed: true,
+        has_key: true,
         method: Method::GET,
         uri: "/some/path/of/usual/length?with=a&query=1".parse().expect("a path"),
         headers: HeaderMap::new(),
         body: Bytes::from(vec![b'x'; bytes]),
-        came: Time(0),
-        until: Time(0),
+        received: Time(0),
+        deadline: Time(0),
         returning: false,
         workspace: None,
         progress: Rc::default(),
-        contents: OnceCell::new(),
+        digests: OnceCell::new(),
     }
 }
 
--- a/elmstream_edge/tests/fetches.rs
+++ b/elmstream_edge/tests/fetches.rs
@@ -64,7 +64,7 @@
         }
         while let Some(asked) = fetches.next(now, Rules, newer_than(1)) {
             if asked == host(sound) {
-                fetches.ended(now, Rules, asked, FetchOutcome::Told);
+                fetches.ended(now, Rules, asked, FetchOutcome::Received);
                 return now.since(from);
             }
             under_way.push((now, asked));
@@ -131,7 +131,7 @@
     let mut fetches = fetches();
     offers(&mut fetches, START, [1]);
     assert_eq!(fetches.next(START, Rules, newer_than(1)), Some(host(1)));
-    fetches.ended(START, Rules, host(1), FetchOutcome::Told);
+    fetches.ended(START, Rules, host(1), FetchOutcome::Received);
     assert_eq!(fetches.next(START + SECOND, Rules, newer_than(1)), None);
     offers(&mut fetches, START + SECOND, [1]);
     assert_eq!(fetches.next(START + SECOND, Rules, newer_than(1)), Some(host(1)));
@@ -205,7 +205,7 @@
     let now = START + FAILED_HOST_PAUSE;
     fetches.offer(now, Servers, host(1), &knows(2));
     assert_eq!(fetches.next(now, Servers, newer_than(1)), Some(host(1)));
-    fetches.ended(now, Servers, host(1), FetchOutcome::Told);
+    fetches.ended(now, Servers, host(1), FetchOutcome::Received);
     offers(&mut fetches, now, [2, 1]);
     assert_eq!(fetches.next(now + 10, Rules, newer_than(1)), Some(host(1)));
 }
--- a/elmstream_edge/tests/harm.rs
+++ b/elmstream_edge/tests/harm.rs
@@ -51,8 +51,11 @@
         for host in &running {
             farm.ready(host).await;
         }
-        let met =
-            || running.iter().all(|host| host.edge.steer.borrow().members().count() + 1 == hosts);
+        let met = || {
+            running
+                .iter()
+                .all(|host| host.edge.steer.borrow().members().target_count() + 1 == hosts)
+        };
         assert!(until(Duration::from_secs(3), met).await, "the hosts have met");
         (farm, running)
     }
@@ -196,7 +199,7 @@
     for copy in 0..12 {
         let host = &hosts[copy % hosts.len()];
         ask(host.callers, &format!("u-{copy}"), "/harm").await;
-        if host.edge.steer.borrow().harms().refused() > 0 {
+        if host.edge.steer.borrow().poison().refused_count() > 0 {
             return;
         }
         compio::time::sleep(PAUSE).await;
@@ -226,7 +229,7 @@
         let before = farm.ended.get();
         let new = farm.host(&[]);
         farm.ready(&new).await;
-        let knows = || new.edge.steer.borrow().harms().refused() > 0;
+        let knows = || new.edge.steer.borrow().poison().refused_count() > 0;
         assert!(until(CONTACT, knows).await);
         assert_eq!(harmed(&new).await, refused());
         assert_eq!(farm.ended.get(), before);
@@ -241,7 +244,7 @@
         farm.store.down.set(true);
         let new = farm.host(&hosts);
         farm.ready(&new).await;
-        let knows = || new.edge.steer.borrow().harms().refused() > 0;
+        let knows = || new.edge.steer.borrow().poison().refused_count() > 0;
         assert!(until(CONTACT, knows).await);
         assert_eq!(harmed(&new).await, refused());
     });
@@ -258,7 +261,8 @@
         // Any host will do; this one may neither have written nor read the list.
         let other = &hosts[1].edge;
         other.reload(&other.settings);
-        let let_in = || hosts.iter().all(|host| host.edge.steer.borrow().harms().refused() == 0);
+        let let_in =
+            || hosts.iter().all(|host| host.edge.steer.borrow().poison().refused_count() == 0);
         assert!(until(CONTACT, let_in).await, "by all hosts");
         compio::time::sleep(LISTED_LATER).await;
         assert!(let_in() && farm.store.harmful.borrow().values().all(Vec::is_empty));
@@ -293,7 +297,8 @@
         farm.store.harmful.borrow_mut().values_mut().for_each(Vec::clear);
         let other = &hosts[1].edge;
         other.reload(&other.settings);
-        let let_in = || hosts.iter().all(|host| host.edge.steer.borrow().harms().refused() == 0);
+        let let_in =
+            || hosts.iter().all(|host| host.edge.steer.borrow().poison().refused_count() == 0);
         assert!(until(CONTACT, let_in).await, "by all hosts");
         farm.store.come_back(Vec::new(), copy);
         let lifted = || farm.store.harmful.borrow().values().all(Vec::is_empty);
@@ -301,7 +306,7 @@
         let new = farm.host(&[]);
         farm.ready(&new).await;
         compio::time::sleep(CONTACT).await;
-        assert!(let_in() && new.edge.steer.borrow().harms().refused() == 0);
+        assert!(let_in() && new.edge.steer.borrow().poison().refused_count() == 0);
     });
 }
 
@@ -315,6 +320,6 @@
             let answer = ask(host.callers, &format!("c-{copy}"), "/lost").await;
             assert_eq!(answer.expect("an answer").status, 502);
         }
-        assert!(host.edge.steer.borrow().harms().is_empty());
+        assert!(host.edge.steer.borrow().poison().is_empty());
     });
 }
--- a/elmstream_edge/tests/hosts.rs
+++ b/elmstream_edge/tests/hosts.rs
@@ -73,17 +73,17 @@
         ready: false,
         leaving: false,
         store_ms: Some(1),
-        known: [TableStatus {
+        tables: [TableStatus {
             version: elmstream_steer::version::StoreVersion::new(0, 1_000),
-            reading: Some(StoreRead { reader: 1, stamp: 1 }),
+            last_read: Some(StoreRead { reader: 1, stamp: 1 }),
             ..TableStatus::default()
         }; 3],
         demand: Vec::new(),
         loads: Vec::new(),
-        lessons: Vec::new(),
-        words: Vec::new(),
-        fleet: 1,
-        endings: Vec::new(),
+        warm_keys: Vec::new(),
+        liveness: Vec::new(),
+        fleet_size: 1,
+        crashes: Vec::new(),
         limits: Vec::new(),
         leaving_servers: Vec::new(),
     };
--- a/elmstream_edge/tests/journal.rs
+++ b/elmstream_edge/tests/journal.rs
@@ -91,7 +91,7 @@
     let journal = EventLog::to(&LOGGING, output.clone());
     for _ in 0..100 {
         journal.request("refused", json!({}));
-        journal.belief("server", json!({}));
+        journal.state_change("server", json!({}));
     }
     journal.write("store_lost", json!({}));
     journal.close();
--- a/elmstream_edge/tests/once.rs
+++ b/elmstream_edge/tests/once.rs
@@ -124,7 +124,7 @@
         compio::time::sleep(Duration::from_millis(1_900)).await;
         assert_eq!(unknown(host.callers).await, (503, true));
         store.down.set(false);
-        let told = || host.edge.steer.borrow().vouches(elmstreamd::clock::now());
+        let told = || host.edge.steer.borrow().can_deny_routes(elmstreamd::clock::now());
         assert!(until(Duration::from_secs(2), told).await, "the store is found back");
         assert_eq!(unknown(host.callers).await, (404, false));
     });
--- a/elmstream_edge/tests/rollout.rs
+++ b/elmstream_edge/tests/rollout.rs
@@ -73,7 +73,8 @@
     }
     let met = || {
         hosts.iter().all(|host| {
-            host.edge.serves() && host.edge.steer.borrow().members().count() + 1 == hosts.len()
+            host.edge.serves()
+                && host.edge.steer.borrow().members().target_count() + 1 == hosts.len()
         })
     };
     assert!(until(Duration::from_secs(3), met).await, "the hosts have met");
@@ -126,7 +127,7 @@
         order(&store);
         let fails = |count, head: &str| if count % 2 == 0 { failing(head) } else { good(head, "") };
         let new = serve(&store, "v2", fails).await;
-        let decided = || store.stage(SERVICE).is_some_and(RolloutStage::ends);
+        let decided = || store.stage(SERVICE).is_some_and(RolloutStage::is_final);
         let (sent, failed) = send(&hosts, DURATION, decided).await;
         assert_eq!(store.stage(SERVICE), Some(RolloutStage::RolledBack), "after {sent} requests");
         assert!(new.get() <= sent / 10 + 50, "{} of {sent} requests", new.get());
--- a/elmstream_edge/tests/server_limit.rs
+++ b/elmstream_edge/tests/server_limit.rs
@@ -53,7 +53,7 @@
     }
     let met = || {
         running.iter().all(|host| {
-            host.edge.serves() && host.edge.steer.borrow().members().count() + 1 == hosts
+            host.edge.serves() && host.edge.steer.borrow().members().target_count() + 1 == hosts
         })
     };
     assert!(until(Duration::from_secs(3), met).await, "the hosts have met");
--- a/elmstream_edge/tests/server_says.rs
+++ b/elmstream_edge/tests/server_says.rs
@@ -79,9 +79,9 @@
     let second = start(ip(), &store, &[first.edge.settings.host.peers]);
     let hosts = vec![first, second];
     let met = || {
-        hosts
-            .iter()
-            .all(|host| host.edge.serves() && host.edge.steer.borrow().members().count() == 1)
+        hosts.iter().all(|host| {
+            host.edge.serves() && host.edge.steer.borrow().members().target_count() == 1
+        })
     };
     assert!(until(Duration::from_secs(3), met).await, "the hosts have met");
     (store, hosts)
--- a/elmstream_edge/tests/start.rs
+++ b/elmstream_edge/tests/start.rs
@@ -71,11 +71,11 @@
         bounds: Bounds { configuration_ms: 3_000, ..Bounds::default() },
     };
     let mut steer = Steer::new(settings, now);
-    steer.want_hosts();
+    steer.request_host_list();
     if number < SEEDS {
-        steer.asked_first();
+        steer.mark_as_seed();
     }
-    (0..SEEDS).for_each(|seed| steer.suppose(now, address(seed)));
+    (0..SEEDS).for_each(|seed| steer.add_peer_address(now, address(seed)));
     steer
 }
 
@@ -192,12 +192,12 @@
 
     fn beat(&mut self, at: u64, n: usize) {
         let node = &mut self.nodes[n];
-        let pause = members::heartbeat_interval(node.steer.members().count()) / MILLI;
+        let pause = members::heartbeat_interval(node.steer.members().target_count()) / MILLI;
         if node.rounds > 0 && at < node.beats + pause {
             return;
         }
         (node.beats, node.rounds) = (at, node.rounds + 1);
-        let beat = Box::new(node.steer.beat(ms(at)));
+        let beat = Box::new(node.steer.next_heartbeat(ms(at)));
         let targets = node.steer.targets(ms(at), node.rounds);
         for to in targets.near.iter().chain(&targets.far) {
             let to = self.places[to];
@@ -214,7 +214,7 @@
             if node.reading[table as usize] {
                 continue;
             }
-            if let Some(why) = node.steer.must_read(ms(at), table) {
+            if let Some(why) = node.steer.due_read(ms(at), table) {
                 node.reading[table as usize] = true;
                 let pages =
                     if why == ReadReason::Start && table == Table::Servers { PAGES } else { 1 };
@@ -222,7 +222,7 @@
                 self.later(at + pages * CALL, n, Event::Read(table, why));
             }
         }
-        if !self.nodes[n].listing && self.nodes[n].steer.must_list(ms(at)) {
+        if !self.nodes[n].listing && self.nodes[n].steer.host_list_due(ms(at)) {
             self.nodes[n].listing = true;
             self.calls += self.listed.len().div_ceil(PAGE) as u64;
             self.later(at + CALL, n, Event::Listed);
@@ -231,8 +231,8 @@
 
     fn fetch(&mut self, at: u64, n: usize, table: Table) {
         let node = &mut self.nodes[n];
-        let asks = node.steer.asks(table);
-        let wants = |known: &TableStatus| node.steer.wants(table, known);
+        let asks = node.steer.sync_request(table);
+        let wants = |known: &TableStatus| node.steer.needs_sync(table, known);
         let Some(host) = node.fetches.next(ms(at), table, wants) else { return };
         let from = self.places[&host];
         let there = !self.dead.contains(&from) && at >= self.nodes[from].up;
@@ -242,16 +242,16 @@
         }
         let teller = &mut self.nodes[from];
         teller.serving.retain(|until| *until > at);
-        let knows = teller.steer.known()[table as usize].reading.is_some();
+        let knows = teller.steer.table_statuses()[table as usize].last_read.is_some();
         if knows && teller.serving.len() >= peers::MAX_CONCURRENT_ROWS {
             self.later(at + ASK, n, Event::Fetched(host, table, FetchOutcome::Refused, None));
             return;
         }
         let starts = asks.after == StoreVersion::default();
-        let whole = starts && teller.steer.knows_hosts();
+        let whole = starts && teller.steer.has_host_list();
         let told = Told {
-            table: teller.steer.tell_rows(ms(at), table, asks),
-            hosts: whole.then(|| teller.steer.members().addresses(ms(at))),
+            table: teller.steer.rows_for(ms(at), table, asks),
+            hosts: whole.then(|| teller.steer.members().contact_addresses(ms(at))),
         };
         let large = table == Table::Servers && !told.table.rows.is_empty();
         let took = if large { SERVERS_MS } else { 0 };
@@ -261,7 +261,7 @@
         self.later(
             at + ASK + took,
             n,
-            Event::Fetched(host, table, FetchOutcome::Told, Some(Box::new(told))),
+            Event::Fetched(host, table, FetchOutcome::Received, Some(Box::new(told))),
         );
     }
 
@@ -270,43 +270,43 @@
         let now = ms(at);
         match event {
             Event::Beat(beat) => {
-                let Some(news) = node.steer.hear(now, &beat) else { return };
-                for (table, _) in news.wanted {
-                    let known = beat.known[table as usize];
+                let Some(news) = node.steer.on_heartbeat(now, &beat) else { return };
+                for (table, _) in news.outdated_tables {
+                    let known = beat.tables[table as usize];
                     node.fetches.offer(now, table, beat.host.peers, &known);
                 }
             }
             Event::Fetched(host, table, end, told) => {
                 node.fetches.ended(now, table, host, end);
                 if end == FetchOutcome::Failed
-                    || told.as_ref().is_some_and(|t| t.table.known.reading.is_none())
+                    || told.as_ref().is_some_and(|t| t.table.status.last_read.is_none())
                 {
-                    node.steer.untold();
+                    node.steer.record_uninformed_peer();
                 }
                 let Some(told) = told else { return };
                 if let Some(hosts) = told.hosts {
-                    node.steer.told_hosts(now, &hosts);
+                    node.steer.on_host_list(now, &hosts);
                 }
-                if told.table.known.reading.is_some() {
-                    node.steer.told(now, table, told.table);
+                if told.table.status.last_read.is_some() {
+                    node.steer.on_table_rows(now, table, told.table);
                 }
             }
             Event::Read(table, why) => {
                 node.reading[table as usize] = false;
                 let version = StoreVersion::new(0, 10);
-                node.steer.read_all(now, table, version, rows(table));
-                node.steer.store_answered(table, why, now, version);
+                node.steer.on_full_read(now, table, version, rows(table));
+                node.steer.record_store_answer(table, why, now, version);
             }
             Event::Listed => {
                 node.listing = false;
-                node.steer.listed(now, &self.listed);
+                node.steer.on_registered_hosts(now, &self.listed);
             }
         }
     }
 
     fn knows(&self, n: usize) -> bool {
         let steer = &self.nodes[n].steer;
-        steer.serves() && steer.knows_hosts()
+        steer.serves() && steer.has_host_list()
     }
 }
 
--- a/elmstream_edge/tests/support/mod.rs
+++ b/elmstream_edge/tests/support/mod.rs
@@ -83,7 +83,7 @@
     /// How far the roll-out of a service has come.
     pub fn stage(&self, service: &str) -> Option<RolloutStage> {
         let rows = self.rows.borrow();
-        match &rows.get(&RowKey::Progress(service.into()))?.item {
+        match &rows.get(&RowKey::Progress(service.into()))?.content {
             Some(RowContent::Progress(progress)) => Some(progress.stage),
             _ => None,
         }
@@ -116,7 +116,7 @@
             return Err(SourceError::Refused { status: 410 });
         }
         let wanted = |row: &&Row| {
-            let new = after.map_or(row.item.is_some(), |after| row.version > after);
+            let new = after.map_or(row.content.is_some(), |after| row.version > after);
             row.key.table() == table && new
         };
         let rows = self.rows.borrow().values().filter(wanted).cloned().collect();
@@ -125,7 +125,7 @@
 }
 
 impl StoreSource for Store {
-    async fn all(&self, table: Table) -> Result<StoreRows, SourceError> {
+    async fn read_all(&self, table: Table) -> Result<StoreRows, SourceError> {
         self.serve(table, None)
     }
 
@@ -155,13 +155,13 @@
         Ok(())
     }
 
-    async fn harmful(&self) -> Result<RefusedList, SourceError> {
+    async fn refused_requests(&self) -> Result<RefusedList, SourceError> {
         self.serve(Table::Rules, None)?;
         let listed = self.harmful.borrow().clone().into_iter().collect();
         Ok(RefusedList { listed, unreadable: Vec::new() })
     }
 
-    async fn list_harmful(
+    async fn add_refused_request(
         &self,
         digest: &RequestDigest,
         endings: &[ServerCrash],
@@ -183,7 +183,7 @@
         let order = RowKey::Rollout(write.service.clone());
         let count = |key| {
             let rows = self.rows.borrow();
-            let row = rows.get(key).filter(|row: &&Row| row.item.is_some());
+            let row = rows.get(key).filter(|row: &&Row| row.content.is_some());
             row.map_or(0, |row| row.version.count)
         };
         if (count(&progress), count(&order)) != write.expected {
--- a/elmstream_http/src/server.rs
+++ b/elmstream_http/src/server.rs
@@ -165,7 +165,7 @@
             Either::Right(_) => break,
         }
     }
-    options.notice.give();
+    options.notice.announce();
     for (stream, client) in last_accepts(listener).await {
         take(stream, client, true);
     }
@@ -292,7 +292,7 @@
 /// own can be on the way.
 fn ask_to_leave(notice: &StopNotice, response: &mut Response<LocalBody>) {
     // HTTP/2 has frames for this, which its own shutdown sends.
-    if notice.given() && response.version() <= Version::HTTP_11 {
+    if notice.is_announced() && response.version() <= Version::HTTP_11 {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
 }
--- a/elmstream_http/src/stop.rs
+++ b/elmstream_http/src/stop.rs
@@ -40,12 +40,12 @@
 
 impl StopNotice {
     /// Gives the notice; once is enough.
-    pub fn give(&self) {
+    pub fn announce(&self) {
         self.0.set(true);
     }
 
     /// Whether it was given.
-    pub fn given(&self) -> bool {
+    pub fn is_announced(&self) -> bool {
         self.0.get()
     }
 }
--- a/elmstream_soak/src/host.rs
+++ b/elmstream_soak/src/host.rs
@@ -32,7 +32,7 @@
         match Settings::load(&path) {
             Ok(settings) => edge.reload(&settings),
             Err(error) => {
-                edge.journal.write("reload_refused", json!({"error": error.to_string()}));
+                edge.event_log.write("reload_refused", json!({"error": error.to_string()}));
             }
         }
     }
--- a/elmstream_soak/src/remote.rs
+++ b/elmstream_soak/src/remote.rs
@@ -101,7 +101,7 @@
 }
 
 impl StoreSource for Remote {
-    async fn all(&self, table: Table) -> Result<StoreRows, SourceError> {
+    async fn read_all(&self, table: Table) -> Result<StoreRows, SourceError> {
         let page: Page =
             self.get(format!("/rows?table={}", table as usize), Duration::ZERO).await?;
         Ok(page.into())
@@ -143,13 +143,13 @@
         Ok(())
     }
 
-    async fn harmful(&self) -> Result<RefusedList, SourceError> {
+    async fn refused_requests(&self) -> Result<RefusedList, SourceError> {
         let listed: Vec<(RequestDigest, Vec<ServerCrash>)> =
             self.get("/harmful".into(), Duration::ZERO).await?;
         Ok(RefusedList { listed, unreadable: Vec::new() })
     }
 
-    async fn list_harmful(
+    async fn add_refused_request(
         &self,
         digest: &RequestDigest,
         endings: &[ServerCrash],
--- a/elmstream_soak/src/store.rs
+++ b/elmstream_soak/src/store.rs
@@ -139,7 +139,7 @@
 fn rows(world: &World, table: u64, after: Option<u64>) -> Page {
     let all = world.rows.borrow();
     let wanted = all.values().filter(|row| {
-        let new = after.map_or(row.item.is_some(), |after| row.version.count > after);
+        let new = after.map_or(row.content.is_some(), |after| row.version.count > after);
         row.key.table() as u64 == table && new
     });
     Page { version: world.newest(), rows: wanted.cloned().collect() }
--- a/elmstream_soak/src/versions.rs
+++ b/elmstream_soak/src/versions.rs
@@ -81,7 +81,7 @@
 
 fn stage(world: &World, target: &str) -> Option<RolloutStage> {
     let rows = world.rows.borrow();
-    match &rows.get(&RowKey::Progress(SHOP.into()))?.item {
+    match &rows.get(&RowKey::Progress(SHOP.into()))?.content {
         Some(RowContent::Progress(progress)) if progress.target == target => Some(progress.stage),
         _ => None,
     }
--- a/elmstream_soak/src/world.rs
+++ b/elmstream_soak/src/world.rs
@@ -231,7 +231,7 @@
     /// Keys of what was written and is not in the store as it was.
     pub fn lost(&self) -> Vec<RowKey> {
         let rows = self.rows.borrow();
-        let held = |key: &RowKey| rows.get(key).and_then(|row| row.item.clone());
+        let held = |key: &RowKey| rows.get(key).and_then(|row| row.content.clone());
         let written = self.written.borrow();
         written
             .iter()
@@ -243,7 +243,7 @@
     /// The operator or a server writes a row again as it meant it.
     pub fn write_again(&self, key: &RowKey) {
         let item = self.written.borrow().get(key).cloned().flatten();
-        let there = self.rows.borrow().get(key).is_some_and(|row| row.item.is_some());
+        let there = self.rows.borrow().get(key).is_some_and(|row| row.content.is_some());
         if item.is_some() || there {
             self.put(key.clone(), item);
         }
@@ -271,7 +271,7 @@
     /// The store's counter for a row; 0 if it is not there.
     pub fn count(&self, key: &RowKey) -> u64 {
         let rows = self.rows.borrow();
-        let row = rows.get(key).filter(|row| row.item.is_some());
+        let row = rows.get(key).filter(|row| row.content.is_some());
         row.map_or(0, |row| row.version.count)
     }
 
--- a/elmstream_steer/src/budget.rs
+++ b/elmstream_steer/src/budget.rs
@@ -32,7 +32,7 @@
     }
 
     /// A first request earns a part of a repeat.
-    pub fn earn(&mut self, service: &str, ratio: f64, slack: f64, hosts: usize) {
+    pub fn deposit(&mut self, service: &str, ratio: f64, slack: f64, hosts: usize) {
         self.most = slack * SAVED / hosts.max(1) as f64;
         let most = self.most;
         if let Some(saved) = self.saved.get_mut(service) {
@@ -56,7 +56,7 @@
     /// have saved up, and no host needs a whole one: 1,205 hosts that all want one at once
     /// get 315 of a slack of 630, where a whole one each came to 1,205. What was drawn and
     /// is not spent is a part again at the next request.
-    pub fn affords(&mut self, service: &str) -> bool {
+    pub fn can_withdraw(&mut self, service: &str) -> bool {
         let draw = hash::unit_interval(hash::combine(self.seed, self.draws));
         let Some(saved) = self.saved.get_mut(service) else { return false };
         if *saved >= 1.0 || self.most >= 1.0 {
@@ -68,8 +68,8 @@
     }
 
     /// Spends one repeat, if there is one.
-    pub fn spend(&mut self, service: &str) -> bool {
-        let affords = self.affords(service);
+    pub fn withdraw(&mut self, service: &str) -> bool {
+        let affords = self.can_withdraw(service);
         if let Some(saved) = self.saved.get_mut(service).filter(|_| affords) {
             *saved -= 1.0;
         }
--- a/elmstream_steer/src/canary_analysis.rs
+++ b/elmstream_steer/src/canary_analysis.rs
@@ -69,7 +69,7 @@
     /// Servers of the ordered version that gave bad answers.
     pub servers: usize,
     /// Part of bad answers of the other versions lately.
-    pub usual: f64,
+    pub usual_bad_share: f64,
 }
 
 /// Answers that fade.
@@ -141,7 +141,7 @@
             AnalysisMethod::Sequential => self.ratio >= SURE,
             AnalysisMethod::Window => {
                 let bad: u32 = self.recent.iter().map(|(_, marks)| marks.bad).sum();
-                let all: u32 = self.recent.iter().map(|(_, marks)| marks.all()).sum();
+                let all: u32 = self.recent.iter().map(|(_, marks)| marks.total()).sum();
                 all >= WINDOW_LEAST && f64::from(bad) > (self.usual + WORSE) * f64::from(all)
             }
         };
@@ -172,8 +172,8 @@
     }
 
     /// Takes a report in.
-    pub fn take(&mut self, now: Time, report: RolloutReport) {
-        let before = self.reports.get(&report.place).map(|(before, _)| before.clone());
+    pub fn on_report(&mut self, now: Time, report: RolloutReport) {
+        let before = self.reports.get(&report.address_hash).map(|(before, _)| before.clone());
         let before = before.filter(|before| before.start == report.start);
         self.take_old(now, &report, before.as_ref());
         let known = |server: u32, route: u32| {
@@ -183,14 +183,14 @@
         };
         for (server, route, marks) in &report.target {
             let new = marks.since(known(*server, *route));
-            if new.all() > 0 {
+            if new.total() > 0 {
                 let now_usual = own_part(&report, before.as_ref());
                 let usual = self.usual(&report.region, *route).max(now_usual);
                 self.routes.entry(*route).or_default().take(now, *server, new, usual);
                 self.all.take(now, *server, new, usual);
             }
         }
-        self.reports.insert(report.place, (report, now));
+        self.reports.insert(report.address_hash, (report, now));
         self.judge();
     }
 
@@ -202,7 +202,7 @@
             self.old.entry((report.region.clone(), *route)).or_default().add(now, new);
             self.old_all.add(now, new);
             let count = self.old_counts.entry(*route).or_default();
-            *count = count.saturating_add(new.all());
+            *count = count.saturating_add(new.total());
         }
     }
 
@@ -224,51 +224,51 @@
                 route,
                 target: trial.marks,
                 servers: trial.bad.len(),
-                usual: trial.usual,
+                usual_bad_share: trial.usual,
             });
     }
 
     /// Why the version is bad; none if it is not known to be.
-    pub fn bad(&self) -> Option<&RejectionCause> {
+    pub fn rejection(&self) -> Option<&RejectionCause> {
         self.cause.as_ref()
     }
 
     /// Whether nothing speaks against the version now.
-    pub fn is_calm(&self) -> bool {
+    pub fn is_clear(&self) -> bool {
         let trials = self.routes.values().chain([&self.all]);
         self.cause.is_none() && trials.into_iter().all(|trial| trial.ratio < DOUBT)
     }
 
     /// Whether enough answers were good, over all routes.
-    pub fn trusts(&self) -> bool {
-        self.is_calm() && self.all.sum <= -TRUST
+    pub fn is_trusted(&self) -> bool {
+        self.is_clear() && self.all.sum <= -TRUST
     }
 
     /// Whether enough answers were good of each route that callers ask for.
-    pub fn trusts_routes(&self) -> bool {
-        let asked = f64::from(self.asked());
+    pub fn are_routes_trusted(&self) -> bool {
+        let asked = f64::from(self.old_answers());
         let matters = |count: u32| f64::from(count) >= asked * ROUTE_PART;
         let good = |trial: &SampleTest| trial.sum <= -TRUST;
         let routes = self.old_counts.iter().filter(|(_, count)| matters(**count));
         let mut routes = routes.map(|(route, _)| self.routes.get(route).is_some_and(good));
-        self.is_calm() && routes.all(|good| good)
+        self.is_clear() && routes.all(|good| good)
     }
 
     /// Answers of the other versions so far.
-    pub fn asked(&self) -> u32 {
+    pub fn old_answers(&self) -> u32 {
         self.old_counts.values().sum()
     }
 
     /// Answers of the ordered version so far.
-    pub fn marks(&self) -> AnswerCounts {
+    pub fn target_counts(&self) -> AnswerCounts {
         self.all.marks
     }
 
     /// Whether a host, by the hash of its address, has said lately that it has left the servers
     /// of other versions.
-    pub fn left(&self, now: Time, place: u64) -> bool {
+    pub fn has_drained_old(&self, now: Time, place: u64) -> bool {
         let report = self.reports.get(&place);
-        report.is_some_and(|(report, at)| report.left && now.since(*at) < 3 * SECOND)
+        report.is_some_and(|(report, at)| report.old_drained && now.since(*at) < 3 * SECOND)
     }
 }
 
@@ -284,7 +284,7 @@
     };
     let new = sum(report).since(before.map(sum).unwrap_or_default());
     match new.bad >= FAULT {
-        true => f64::from(new.bad) / f64::from(new.all()),
+        true => f64::from(new.bad) / f64::from(new.total()),
         false => 0.0,
     }
 }
--- a/elmstream_steer/src/digest.rs
+++ b/elmstream_steer/src/digest.rs
@@ -13,7 +13,7 @@
 
 impl RequestDigest {
     /// The first bytes of a longer digest.
-    pub fn cut(whole: &[u8; 2 * DIGEST]) -> RequestDigest {
+    pub fn truncate(whole: &[u8; 2 * DIGEST]) -> RequestDigest {
         let mut digest = [0; DIGEST];
         digest.copy_from_slice(&whole[..DIGEST]);
         RequestDigest(digest)
--- a/elmstream_steer/src/era.rs
+++ b/elmstream_steer/src/era.rs
@@ -65,9 +65,9 @@
     /// Names the row.
     pub key: &'a RowKey,
     /// Its content; none if it was removed.
-    pub item: Option<&'a RowContent>,
+    pub content: Option<&'a RowContent>,
     /// The counters at which it was there before, if it was removed and they are known.
-    pub counts: RemovedCounters,
+    pub removed_counters: RemovedCounters,
 }
 
 impl EarlierRow<'_> {
@@ -77,7 +77,7 @@
     fn never_at(&self, count: u64) -> bool {
         let evacuation = matches!(self.key, RowKey::Evacuation(_));
         let never = |counts: [u64; 2]| count > counts[0] && !counts.contains(&count);
-        evacuation && self.counts.is_some_and(never)
+        evacuation && self.removed_counters.is_some_and(never)
     }
 }
 
@@ -88,22 +88,22 @@
     pub number: u64,
     /// The store's counter in the first reading of the era that is known of: what was
     /// written above it is not of the copy.
-    pub first: u64,
+    pub first_count: u64,
     /// When it was first known of; none if no earlier one is.
-    pub began: Option<Time>,
+    pub known_since: Option<Time>,
 }
 
 impl Era {
     /// Until when what an earlier era said goes on in force against what this one says;
     /// none if it does not.
-    pub fn holds_until(
+    pub fn retained_until(
         &self,
         holds: &Retention,
         earlier: EarlierRow<'_>,
         (version, copy): (StoreVersion, Option<&RowContent>),
     ) -> Option<Time> {
-        let began = self.began?;
-        let written = version.count > self.first || earlier.never_at(version.count);
+        let began = self.known_since?;
+        let written = version.count > self.first_count || earlier.never_at(version.count);
         Some(began + hold(holds, &earlier, copy, written)?)
     }
 }
@@ -116,10 +116,10 @@
     copy: Option<&RowContent>,
     written: bool,
 ) -> Option<u64> {
-    if same_content(earlier.item, copy) {
+    if same_content(earlier.content, copy) {
         return None;
     }
-    match (earlier.item, copy) {
+    match (earlier.content, copy) {
         // Also if it was written since: an operator may write again all that was lost, one
         // configuration after the other.
         (Some(RowContent::Configuration(earlier)), Some(RowContent::Configuration(copy))) => {
--- a/elmstream_steer/src/heartbeat.rs
+++ b/elmstream_steer/src/heartbeat.rs
@@ -21,18 +21,18 @@
     /// Requests in flight.
     pub in_flight: u16,
     /// What the host hears of it.
-    pub hears: Reachability,
+    pub reachability: Reachability,
 }
 
 /// What a host hears of a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reachability {
     /// Nothing that others must know.
-    Nothing,
+    Unreported,
     /// It waits for answers in vain.
-    Silence,
+    Silent,
     /// Answers, while others wait in vain.
-    Answers,
+    Answering,
 }
 
 /// How far a table of the store is known to the sender.
@@ -45,14 +45,14 @@
     /// The store's version; 0 for nothing.
     pub version: StoreVersion,
     /// The last reading that confirmed it; none if nothing is known.
-    pub reading: Option<StoreRead>,
+    pub last_read: Option<StoreRead>,
     /// Tells the rows in which an earlier era of the store holds on against this one from
     /// others; 0 if there are none.
-    pub held: u32,
+    pub retained_digest: u32,
     /// Removals since this version of the store are known.
-    pub floor: StoreVersion,
+    pub tombstone_floor: StoreVersion,
     /// Tells the keys of the rows that are there from others.
-    pub keys: u32,
+    pub keys_digest: u32,
 }
 
 /// A reading of the store.
@@ -70,7 +70,7 @@
     /// Hash of its name, cut to 32 bits.
     pub host: u32,
     /// Number of its start, cut to 32 bits.
-    pub start: u32,
+    pub incarnation: u32,
     /// Highest number of a beat that it is known to have sent.
     pub number: u64,
     /// Whether it serves callers.
@@ -96,20 +96,20 @@
     /// store does not serve it now.
     pub store_ms: Option<u16>,
     /// How far it knows the tables, in the order of [`crate::view::TABLES`].
-    pub known: [TableStatus; 3],
+    pub tables: [TableStatus; 3],
     /// Requests that it took lately, by hash of the service, cut to 32 bits.
     pub demand: Vec<(u32, u32)>,
     /// Its requests in flight; servers without any, and nothing to say of, are left out.
     pub loads: Vec<ServerLoad>,
     /// Keys that servers have lately worked on; told in the sender's region only.
-    pub lessons: Vec<WarmKey>,
+    pub warm_keys: Vec<WarmKey>,
     /// Other hosts that are live; told in the sender's region only, and in large
     /// fleets only.
-    pub words: Vec<LivenessUpdate>,
+    pub liveness: Vec<LivenessUpdate>,
     /// Hosts that the sender itself knows to be running or not to have stopped.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Ends of servers under requests, told for a while by all who learn of them.
-    pub endings: Vec<ServerCrash>,
+    pub crashes: Vec<ServerCrash>,
     /// Limits that servers named to the sender, or no longer do.
     pub limits: Vec<LimitNotice>,
     /// Starts of servers that said in answers that they are about to leave.
@@ -122,11 +122,11 @@
     /// What a host knows and does.
     Heartbeat(Box<Heartbeat>),
     /// What workspaces asked of a host.
-    Report(UsageReport),
+    UsageReport(UsageReport),
     /// The answer to a report.
-    Verdict(UsageReply),
+    UsageReply(UsageReply),
     /// What all hosts have to know of workspaces.
-    Spread(FractionBroadcast),
+    FractionBroadcast(FractionBroadcast),
     /// What a host counted of a roll-out.
-    Rollout(Box<RolloutReport>),
+    RolloutReport(Box<RolloutReport>),
 }
--- a/elmstream_steer/src/host_registry.rs
+++ b/elmstream_steer/src/host_registry.rs
@@ -65,58 +65,58 @@
 
 impl Registry {
     /// The list may have lost what was written.
-    pub(crate) fn look_again(&mut self) {
+    pub(crate) fn invalidate(&mut self) {
         self.kept = None;
     }
 
     /// Whether the host knows where the others are, or was never to find out.
-    pub(crate) fn known(&self) -> bool {
+    pub(crate) fn is_known(&self) -> bool {
         !self.wanted
     }
 }
 
 impl Steer {
     /// This host is to find out where the others are; until then it counts on knowing few.
-    pub fn want_hosts(&mut self) {
+    pub fn request_host_list(&mut self) {
         self.registry.wanted = true;
     }
 
     /// Whether this host knows where the others are.
-    pub fn knows_hosts(&self) -> bool {
-        self.registry.known()
+    pub fn has_host_list(&self) -> bool {
+        self.registry.is_known()
     }
 
     /// Another host told of all that it knows.
-    pub fn told_hosts(&mut self, now: Time, hosts: &[SocketAddr]) {
+    pub fn on_host_list(&mut self, now: Time, hosts: &[SocketAddr]) {
         for host in hosts {
-            self.suppose(now, *host);
+            self.add_peer_address(now, *host);
         }
         self.registry.wanted = false;
     }
 
     /// Whether this host has to look at the list now.
-    pub fn must_list(&self, now: Time) -> bool {
+    pub fn host_list_due(&self, now: Time) -> bool {
         let Registry { wanted, kept, failed } = self.registry;
         if failed.is_some_and(|at| now.since(at) < PAUSE) {
             return false;
         }
         let due = kept.is_none_or(|at| now.since(at) >= UPDATE_INTERVAL);
-        (wanted && self.start().due(now)) || (due && self.keeps(now))
+        (wanted && self.startup().may_read(now)) || (due && self.maintains_host_list(now))
     }
 
     /// Whether this host reads the store for all, and has had time to meet the others.
-    pub fn keeps(&self, now: Time) -> bool {
+    pub fn maintains_host_list(&self, now: Time) -> bool {
         now.since(self.started) >= FIRST_UPDATE_AFTER
             && !self.leaving
-            && self.calls.served()
-            && self.scene(now, Table::Rules).ahead == 0
+            && self.store_schedule.is_served()
+            && self.read_context(now, Table::Rules).ranked_ahead == 0
     }
 
     /// The store told which hosts it lists; what is to be changed, if that is this host's.
-    pub fn listed(&mut self, now: Time, listed: &[RegisteredHost]) -> RegistryEdit {
+    pub fn on_registered_hosts(&mut self, now: Time, listed: &[RegisteredHost]) -> RegistryEdit {
         let hosts: Vec<SocketAddr> = listed.iter().map(|host| host.peers).collect();
-        self.told_hosts(now, &hosts);
-        if !self.keeps(now) {
+        self.on_host_list(now, &hosts);
+        if !self.maintains_host_list(now) {
             return RegistryEdit::default();
         }
         self.registry.kept = Some(now);
@@ -124,7 +124,7 @@
     }
 
     /// A look at the list, or a change of it, failed.
-    pub fn list_failed(&mut self, now: Time) {
+    pub fn record_list_failure(&mut self, now: Time) {
         self.registry.failed = Some(now);
     }
 
@@ -139,8 +139,11 @@
             return RegistryEdit { put, remove: Vec::new() };
         }
         let runs: HashSet<&str> = running.iter().map(|host| host.name.as_str()).collect();
-        let heard: BTreeMap<&str, Time> =
-            self.members.all().map(|member| (member.host.name.as_str(), member.heard)).collect();
+        let heard: BTreeMap<&str, Time> = self
+            .members
+            .all()
+            .map(|member| (member.host.name.as_str(), member.last_seen))
+            .collect();
         let gone = |host: &&RegisteredHost| {
             let since = heard.get(host.name.as_str()).copied().unwrap_or(self.started);
             !runs.contains(host.name.as_str()) && now.since(since.max(self.started)) >= REMOVE_AFTER
--- a/elmstream_steer/src/key.rs
+++ b/elmstream_steer/src/key.rs
@@ -28,7 +28,7 @@
 
     /// Where it stands among others. What a caller can learn from the time of a search by
     /// it concerns the digest only, which says nothing of other keys.
-    pub(crate) fn place(&self) -> u64 {
+    pub(crate) fn sort_key(&self) -> u64 {
         let (first, _) = self.0.split_at(size_of::<u64>());
         first.iter().fold(0, |place, byte| place << 8 | u64::from(*byte))
     }
--- a/elmstream_steer/src/leaving.rs
+++ b/elmstream_steer/src/leaving.rs
@@ -45,46 +45,47 @@
 
 impl Steer {
     /// Another host told of a start that leaves; the server's id if that is new.
-    pub(crate) fn hear_leaving(&mut self, now: Time, told: LeavingNotice) -> Option<String> {
+    pub(crate) fn on_leaving_notice(&mut self, now: Time, told: LeavingNotice) -> Option<String> {
         let age = u64::from(told.age_s) * SECOND;
         let fresh = age < REMEMBERED;
-        fresh.then(|| self.learn_leaving(Time(now.0.saturating_sub(age)), told.start))?
+        fresh.then(|| self.record_leaving(Time(now.0.saturating_sub(age)), told.start))?
     }
 
     /// A start of a server said that it is about to leave; its id if that is new and it is
     /// known.
-    pub(crate) fn learn_leaving(&mut self, said: Time, start: u64) -> Option<String> {
-        if self.leavings.knows(start) {
+    pub(crate) fn record_leaving(&mut self, said: Time, start: u64) -> Option<String> {
+        if self.leaving_servers.knows(start) {
             return None;
         }
-        self.leavings.0.insert(start, said);
+        self.leaving_servers.0.insert(start, said);
         self.urgent = true;
-        let entry = self.servers.all_mut().find(|entry| entry.start() == start)?;
+        let entry = self.servers.all_mut().find(|entry| entry.start_hash() == start)?;
         entry.leaving = true;
         Some(entry.id.clone())
     }
 
     /// Forgets what is long past.
-    pub(crate) fn forget_leavings(&mut self, now: Time) {
-        self.leavings.0.retain(|_, said| now.since(*said) < REMEMBERED);
-        let leavings = &self.leavings;
+    pub(crate) fn expire_leaving(&mut self, now: Time) {
+        self.leaving_servers.0.retain(|_, said| now.since(*said) < REMEMBERED);
+        let leavings = &self.leaving_servers;
         for entry in self.servers.all_mut().filter(|entry| entry.leaving) {
-            entry.leaving = leavings.knows(entry.start());
+            entry.leaving = leavings.knows(entry.start_hash());
         }
     }
 
     /// Starts that the other hosts have to know to leave; the store tells of those whose
     /// entries say so.
-    pub(crate) fn leavings_told(&self, now: Time) -> Vec<LeavingNotice> {
+    pub(crate) fn leaving_notices(&self, now: Time) -> Vec<LeavingNotice> {
         let told = self.servers.all().filter(|(_, entry)| entry.leaving && !entry.server.draining);
         let told = told.filter_map(|(_, entry)| {
-            let (start, said) = (entry.start(), self.leavings.0.get(&entry.start())?);
+            let (start, said) =
+                (entry.start_hash(), self.leaving_servers.0.get(&entry.start_hash())?);
             let age_s = now.since(*said).div_ceil(SECOND) as u16;
             Some(LeavingNotice { start, age_s })
         });
         let mut told: Vec<LeavingNotice> = told.collect();
         if told.len() > TOLD {
-            let begin = self.number as usize * TOLD % told.len();
+            let begin = self.heartbeat_number as usize * TOLD % told.len();
             told.rotate_left(begin);
             told.truncate(TOLD);
         }
--- a/elmstream_steer/src/members.rs
+++ b/elmstream_steer/src/members.rs
@@ -67,21 +67,21 @@
     /// Hash of its name.
     pub hash: u64,
     /// Hash of its address for hosts.
-    pub place: u64,
+    pub address_hash: u64,
     /// Number of its present start.
     pub incarnation: u64,
     /// Number of its last beat that came here.
-    pub number: u64,
+    pub heartbeat_number: u64,
     /// When that came.
-    pub told: Time,
+    pub last_heartbeat: Time,
     /// Highest number of a beat that it is known to have sent.
-    pub newest: u64,
+    pub newest_number: u64,
     /// When that was learned.
-    pub heard: Time,
+    pub last_seen: Time,
     /// How long it is live after that.
-    patience: u64,
+    live_timeout: u64,
     /// Last beat that went there.
-    sent: Time,
+    last_sent: Time,
     /// Whether it was live when time was last looked at.
     was_live: bool,
     /// Whether it serves callers.
@@ -96,7 +96,7 @@
     /// Requests that it took lately, by hash of the service.
     pub demand: Vec<(u32, u32)>,
     /// Hosts that it knows to be running or not to have stopped.
-    pub fleet: u32,
+    pub fleet_size: u32,
 }
 
 /// All hosts that are known, by address for hosts.
@@ -107,7 +107,7 @@
     by_hash: HashMap<u32, SocketAddr>,
     /// When a host of each region was last heard itself.
     regions: HashMap<String, Time>,
-    tried: BTreeMap<SocketAddr, UnconfirmedHost>,
+    unconfirmed: BTreeMap<SocketAddr, UnconfirmedHost>,
     /// Hosts of the own region, and of the others, that beats go to.
     near: usize,
     far: usize,
@@ -120,7 +120,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedHost {
     /// Hash of the address.
-    place: u64,
+    address_hash: u64,
     /// Since when it has been tried.
     since: Time,
     /// Last beat that went there.
@@ -142,7 +142,7 @@
     /// The host was not known, or not live.
     pub joined: bool,
     /// Loads that no longer count.
-    pub before: Vec<ServerLoad>,
+    pub previous_loads: Vec<ServerLoad>,
 }
 
 impl Members {
@@ -152,51 +152,53 @@
     }
 
     /// An address that may be a host's.
-    pub fn suppose(&mut self, now: Time, address: SocketAddr) {
+    pub fn add_unconfirmed(&mut self, now: Time, address: SocketAddr) {
         if !self.members.contains_key(&address) {
-            let new = UnconfirmedHost { place: hash::address(address), since: now, sent: Time(0) };
-            self.tried.entry(address).or_insert(new);
+            let new =
+                UnconfirmedHost { address_hash: hash::address(address), since: now, sent: Time(0) };
+            self.unconfirmed.entry(address).or_insert(new);
         }
     }
 
     /// Takes a beat in; none if it is older than what is known.
-    pub fn hear(&mut self, now: Time, beat: &Heartbeat) -> Option<HeartbeatEffect> {
+    pub fn on_heartbeat(&mut self, now: Time, beat: &Heartbeat) -> Option<HeartbeatEffect> {
         let address = beat.host.peers;
-        self.tried.remove(&address);
+        self.unconfirmed.remove(&address);
         let known = self.members.get(&address);
         let order = (beat.incarnation, beat.number);
-        if known.is_some_and(|known| (known.incarnation, known.number) >= order) {
+        if known.is_some_and(|known| (known.incarnation, known.heartbeat_number) >= order) {
             return None;
         }
         match self.regions.get_mut(&beat.host.region) {
             Some(heard) => *heard = now,
             None => drop(self.regions.insert(beat.host.region.clone(), now)),
         }
-        let joined = known.is_none_or(|known| !known.live(now));
+        let joined = known.is_none_or(|known| !known.is_live(now));
         let restarted = known.is_none_or(|known| known.incarnation != beat.incarnation);
         // Others may have told of a newer beat than this one, which then says more.
-        let newer = known.filter(|known| !restarted && known.newest > beat.number);
-        let newer = newer.map(|known| (known.newest, known.heard, known.ready, known.leaving));
-        let (newest, heard, ready, leaving) =
+        let newer = known.filter(|known| !restarted && known.newest_number > beat.number);
+        let newer =
+            newer.map(|known| (known.newest_number, known.last_seen, known.ready, known.leaving));
+        let (newest_number, last_seen, ready, leaving) =
             newer.unwrap_or((beat.number, now, beat.ready, beat.leaving));
         let member = Member {
             host: beat.host.clone(),
             hash: hash::of(&beat.host.name),
-            place: known.map_or_else(|| hash::address(address), |known| known.place),
+            address_hash: known.map_or_else(|| hash::address(address), |known| known.address_hash),
             incarnation: beat.incarnation,
-            number: beat.number,
-            told: now,
-            newest,
-            heard,
-            patience: self.patience(&beat.host.region),
-            sent: known.map_or(Time(0), |known| known.sent),
+            heartbeat_number: beat.number,
+            last_heartbeat: now,
+            newest_number,
+            last_seen,
+            live_timeout: self.patience(&beat.host.region),
+            last_sent: known.map_or(Time(0), |known| known.last_sent),
             was_live: true,
             ready,
             leaving,
             store_ms: beat.store_ms,
             loads: beat.loads.clone(),
             demand: beat.demand.clone(),
-            fleet: beat.fleet,
+            fleet_size: beat.fleet_size,
         };
         if known.is_none() {
             match member.host.region == self.region {
@@ -206,19 +208,19 @@
             self.by_hash.insert(member.hash as u32, address);
         }
         let before = self.members.insert(address, member).map(|old| old.loads);
-        Some(HeartbeatEffect { joined, before: before.unwrap_or_default() })
+        Some(HeartbeatEffect { joined, previous_loads: before.unwrap_or_default() })
     }
 
     /// Takes in that another host heard of a host; one that is not known, or has
     /// started anew meanwhile, must be heard itself first.
-    pub fn hear_of(&mut self, now: Time, word: &LivenessUpdate) {
+    pub fn on_liveness_update(&mut self, now: Time, word: &LivenessUpdate) {
         let address = self.by_hash.get(&word.host);
         let Some(member) = address.and_then(|address| self.members.get_mut(address)) else {
             return;
         };
-        if member.incarnation as u32 == word.start && member.newest < word.number {
-            member.newest = word.number;
-            member.heard = now;
+        if member.incarnation as u32 == word.incarnation && member.newest_number < word.number {
+            member.newest_number = word.number;
+            member.last_seen = now;
             member.ready = word.ready;
             member.leaving = word.leaving;
         }
@@ -228,18 +230,18 @@
     ///
     /// Only those that told so themselves since the last beat: what is passed on from
     /// hand to hand is old.
-    pub fn words(&mut self, now: Time) -> Vec<LivenessUpdate> {
+    pub fn liveness_updates(&mut self, now: Time) -> Vec<LivenessUpdate> {
         if self.near <= NEAR_FANOUT && self.far <= FAR_FANOUT {
             return Vec::new();
         }
-        let fresh = self.members.values().filter(|member| member.told >= self.worded);
+        let fresh = self.members.values().filter(|member| member.last_heartbeat >= self.worded);
         let fresh: Vec<&Member> = fresh.collect();
         let begin = self.cursor % fresh.len().max(1);
         let turn = fresh.iter().cycle().skip(begin).take(fresh.len().min(WORDS));
         let words = turn.map(|member| LivenessUpdate {
             host: member.hash as u32,
-            start: member.incarnation as u32,
-            number: member.newest,
+            incarnation: member.incarnation as u32,
+            number: member.newest_number,
             ready: member.ready,
             leaving: member.leaving,
         });
@@ -263,34 +265,36 @@
     pub fn expire(&mut self, now: Time) -> Vec<String> {
         let mut lost = Vec::new();
         for member in self.members.values_mut() {
-            let live = member.live(now);
+            let live = member.is_live(now);
             if member.was_live && !live {
                 lost.push(member.host.name.clone());
             }
             member.was_live = live;
         }
-        for member in self.members.values_mut().filter(|member| now.since(member.told) >= LOADS) {
+        for member in
+            self.members.values_mut().filter(|member| now.since(member.last_heartbeat) >= LOADS)
+        {
             member.loads.clear();
         }
-        self.members.retain(|_, member| now.since(member.heard) < FORGET);
+        self.members.retain(|_, member| now.since(member.last_seen) < FORGET);
         let members = &self.members;
         self.by_hash.retain(|_, address| members.contains_key(address));
         // Hosts that were replaced are remembered for long, but count no more.
-        let due = self.members.values().filter(|member| now.since(member.heard) < LOST);
+        let due = self.members.values().filter(|member| now.since(member.last_seen) < LOST);
         let (near, far): (Vec<&Member>, Vec<&Member>) =
             due.partition(|member| member.host.region == self.region);
         (self.near, self.far) = (near.len(), far.len());
-        self.tried.retain(|_, tried| now.since(tried.since) < TRY);
+        self.unconfirmed.retain(|_, tried| now.since(tried.since) < TRY);
         lost
     }
 
     /// Hosts that were heard lately.
     pub fn live(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
-        self.members.values().filter(move |member| member.live(now))
+        self.members.values().filter(move |member| member.is_live(now))
     }
 
     /// Hosts that were heard lately in regions that are not lost.
-    pub fn heard(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
+    pub fn live_in_reachable_regions(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
         let lost = move |region: &str| {
             self.regions.get(region).is_none_or(|heard| now.since(*heard) >= REGION_LOST_TIMEOUT)
         };
@@ -303,45 +307,45 @@
     ///
     /// A host that has just started is told at once where the others are, but it takes
     /// seconds until it has heard them.
-    pub fn places(&self, now: Time) -> impl Iterator<Item = u64> {
-        let live = self.live(now).map(|member| member.place);
-        live.chain(self.named())
+    pub fn address_hashes(&self, now: Time) -> impl Iterator<Item = u64> {
+        let live = self.live(now).map(|member| member.address_hash);
+        live.chain(self.unconfirmed_hashes())
     }
 
     /// Hashes of the addresses of hosts that were named lately and not heard yet.
-    pub fn named(&self) -> impl Iterator<Item = u64> {
-        self.tried.values().map(|tried| tried.place)
+    pub fn unconfirmed_hashes(&self) -> impl Iterator<Item = u64> {
+        self.unconfirmed.values().map(|tried| tried.address_hash)
     }
 
     /// Other hosts that may be running: all that did not say that they stop, for as long as
     /// a host that is silent may only be cut off, and those named lately.
-    pub fn may_run(&self, now: Time) -> usize {
+    pub fn possibly_running(&self, now: Time) -> usize {
         let heard = self.members.values().filter(|member| {
-            member.live(now) || (!member.leaving && now.since(member.heard) < CUT)
+            member.is_live(now) || (!member.leaving && now.since(member.last_seen) < CUT)
         });
-        heard.count() + self.tried.len()
+        heard.count() + self.unconfirmed.len()
     }
 
     /// Addresses of hosts by the hashes of those.
-    pub fn by_place(&self) -> FxHashMap<u64, SocketAddr> {
-        let heard = self.members.iter().map(|(address, member)| (member.place, *address));
-        let tried = self.tried.iter().map(|(address, tried)| (tried.place, *address));
+    pub fn by_address_hash(&self) -> FxHashMap<u64, SocketAddr> {
+        let heard = self.members.iter().map(|(address, member)| (member.address_hash, *address));
+        let tried = self.unconfirmed.iter().map(|(address, tried)| (tried.address_hash, *address));
         heard.chain(tried).collect()
     }
 
     /// Whether no other host has been named or heard.
     pub fn is_empty(&self) -> bool {
-        self.members.is_empty() && self.tried.is_empty()
+        self.members.is_empty() && self.unconfirmed.is_empty()
     }
 
     /// Addresses of all hosts that were heard lately, or named lately and not heard yet.
-    pub fn addresses(&self, now: Time) -> Vec<SocketAddr> {
-        let heard = self.members.iter().filter(|(_, member)| now.since(member.heard) < LOST);
-        heard.map(|(address, _)| *address).chain(self.tried.keys().copied()).collect()
+    pub fn contact_addresses(&self, now: Time) -> Vec<SocketAddr> {
+        let heard = self.members.iter().filter(|(_, member)| now.since(member.last_seen) < LOST);
+        heard.map(|(address, _)| *address).chain(self.unconfirmed.keys().copied()).collect()
     }
 
     /// Hosts that beats go to.
-    pub fn count(&self) -> usize {
+    pub fn target_count(&self) -> usize {
         self.near + self.far
     }
 
@@ -362,13 +366,13 @@
         let all = round.is_multiple_of(LOST_EVERY);
         let (mut near, mut far) = (Vec::new(), Vec::new());
         for (address, member) in &self.members {
-            if all || now.since(member.heard) < LOST {
+            if all || now.since(member.last_seen) < LOST {
                 let list = if member.host.region == self.region { &mut near } else { &mut far };
-                list.push((member.sent, hash::combine(own, member.hash), *address));
+                list.push((member.last_sent, hash::combine(own, member.hash), *address));
             }
         }
-        let place = |tried: &UnconfirmedHost| hash::combine(own, tried.place);
-        near.extend(self.tried.iter().map(|(a, tried)| (tried.sent, place(tried), *a)));
+        let place = |tried: &UnconfirmedHost| hash::combine(own, tried.address_hash);
+        near.extend(self.unconfirmed.iter().map(|(a, tried)| (tried.sent, place(tried), *a)));
         let near = self.pick(now, near, NEAR_FANOUT);
         // Each second round goes to the own region only.
         let far =
@@ -389,8 +393,8 @@
         let picked: Vec<SocketAddr> = list.into_iter().map(|(.., address)| address).collect();
         for address in &picked {
             if let Some(member) = self.members.get_mut(address) {
-                member.sent = now;
-            } else if let Some(tried) = self.tried.get_mut(address) {
+                member.last_sent = now;
+            } else if let Some(tried) = self.unconfirmed.get_mut(address) {
                 tried.sent = now;
             }
         }
@@ -398,7 +402,7 @@
     }
 
     /// Some of the known hosts' addresses, others for each `turn`.
-    pub fn some(&self, turn: usize, most: usize) -> Vec<SocketAddr> {
+    pub fn sample(&self, turn: usize, most: usize) -> Vec<SocketAddr> {
         let count = self.members.len();
         let turned = self.members.keys().cycle().skip(turn % count.max(1));
         turned.take(count.min(most)).copied().collect()
@@ -407,7 +411,7 @@
 
 impl Member {
     /// Whether it was heard lately.
-    pub fn live(&self, now: Time) -> bool {
-        now.since(self.heard) < self.patience
+    pub fn is_live(&self, now: Time) -> bool {
+        now.since(self.last_seen) < self.live_timeout
     }
 }
--- a/elmstream_steer/src/pick.rs
+++ b/elmstream_steer/src/pick.rs
@@ -114,7 +114,7 @@
 
 impl Refusal {
     /// A refusal for which no server was considered.
-    pub fn of(reason: RefusalReason, retry_ms: u64) -> Refusal {
+    pub fn new(reason: RefusalReason, retry_ms: u64) -> Refusal {
         Refusal { reason, retry_ms, servers: 0, free: 0, load: 0, spared: 0 }
     }
 }
@@ -140,23 +140,23 @@
     /// Now.
     pub now: Time,
     /// Which servers it may go to as its service is rolled out.
-    pub arm: RolloutArm,
+    pub rollout_arm: RolloutArm,
     /// When this host started.
     pub started: Time,
     /// Failure domain and region of this host.
-    pub place: (&'a str, &'a str),
+    pub location: (&'a str, &'a str),
     /// All servers.
     pub servers: &'a ServerTable,
     /// Failure domains whose servers get nothing.
     pub evacuated: &'a std::collections::BTreeSet<String>,
     /// Live hosts, this one included.
-    pub hosts: usize,
+    pub live_hosts: usize,
     /// Whether this host knows where the others are.
     pub hosts_known: bool,
     /// How the regions divide the requests of the service.
-    pub division: &'a RegionShares,
+    pub region_shares: &'a RegionShares,
     /// Which servers know which keys.
-    pub warmth: &'a WarmKeys,
+    pub warm_keys: &'a WarmKeys,
 }
 
 /// A server that may take the request.
@@ -238,7 +238,7 @@
 
 /// Chooses a server.
 pub fn pick_server(scene: &PickContext<'_>, ask: &PickRequest<'_>) -> Pick {
-    let pace = scene.servers.pace(ask.service);
+    let pace = scene.servers.answer_times(ask.service);
     let field = field(scene, ask, pace);
     if field.count == 0 {
         return Pick::Refuse(none(scene.now, &field));
@@ -248,7 +248,7 @@
     let mut least_wait = f64::MAX;
     let mut step = 0.0;
     for candidate in field.ranks.iter().flatten() {
-        let knows = scene.warmth.knows(scene.now, candidate.index, ask.key);
+        let knows = scene.warm_keys.is_warm(scene.now, candidate.index, ask.key);
         let wait = wait_ms(scene.now, candidate, pace);
         least_wait = least_wait.min(wait);
         let first = step == 0.0;
@@ -273,7 +273,7 @@
             free: field.free,
             load: (load * 100.0) as u32,
             spared: field.spared,
-            ..Refusal::of(RefusalReason::Full, retry_ms(least_wait))
+            ..Refusal::new(RefusalReason::Full, retry_ms(least_wait))
         }),
     }
 }
@@ -281,35 +281,35 @@
 /// The refusal of a request that no server may take.
 fn none(now: Time, field: &Field<'_>) -> Refusal {
     if field.spared == 0 {
-        return Refusal::of(RefusalReason::NoServer, NO_SERVER_RETRY_MS);
+        return Refusal::new(RefusalReason::NoServer, NO_SERVER_RETRY_MS);
     }
     let until = field.spared_until.map(|until| until.since(now) / MILLI);
     let retry = until.map_or(NO_SERVER_RETRY_MS, |until| until.clamp(SPARED_MIN_MS, SPARED_MAX_MS));
-    Refusal { spared: field.spared, ..Refusal::of(RefusalReason::Spared, retry) }
+    Refusal { spared: field.spared, ..Refusal::new(RefusalReason::Spared, retry) }
 }
 
 /// Servers that may take the request.
 fn field<'a>(scene: &PickContext<'a>, ask: &PickRequest<'_>, pace: AnswerTimes) -> Field<'a> {
-    let order = scene.division.order(scene.place.1, ask.key);
+    let order = scene.region_shares.region_order(scene.location.1, ask.key);
     let mut field = Field::new(order.len() + 1);
     let mut silent: Vec<Candidate<'a>> = Vec::new();
-    for (index, entry) in scene.servers.of(ask.service) {
+    for (index, entry) in scene.servers.of_service(ask.service) {
         if !allowed(scene, ask, index, entry) || !cold_allows(scene, entry) {
             continue;
         }
-        if entry.rests(scene.now) {
-            field.spare(Some(entry.rests_until));
+        if entry.is_backing_off(scene.now) {
+            field.spare(Some(entry.backoff_until));
             continue;
         }
         if !limit_allows(scene, entry) {
-            field.spare(entry.limited.next());
+            field.spare(entry.server_limit.next_send());
             continue;
         }
         let place = order.iter().position(|name| *name == entry.region).unwrap_or(order.len());
         let weight = hash::combine(entry.hash, ask.key);
-        let occupied = entry.occupied(scene.now);
+        let occupied = entry.in_flight(scene.now);
         let candidate = Candidate { index, entry, place, weight, occupied };
-        if entry.shunned(scene.now, pace, scene.hosts) {
+        if entry.is_ejected(scene.now, pace, scene.live_hosts) {
             silent.push(candidate);
         } else {
             field.add(candidate);
@@ -317,10 +317,10 @@
     }
     // A silent server is tried now and then, by requests that may run again; if
     // most are silent, the fault is more likely on this host's side.
-    let apart = TRIAL * scene.hosts as u64;
+    let apart = TRIAL * scene.live_hosts as u64;
     let all = silent.len() > field.count as usize;
     let may = |c: &Candidate<'_>| {
-        ask.route.repeat == Repeatability::Safe && c.entry.trial_due(scene.now, apart)
+        ask.route.repeat == Repeatability::Safe && c.entry.probe_due(scene.now, apart)
     };
     for candidate in silent.into_iter().filter(|c| all || may(c)) {
         field.add(candidate);
@@ -336,24 +336,25 @@
     entry: &ServerEntry,
 ) -> bool {
     ask.at_home(&entry.region)
-        && !entry.departs()
-        && scene.arm.takes(entry.standing)
-        && (scene.arm != RolloutArm::Canary || entry.occupied(scene.now) < entry.server.slots)
+        && !entry.is_leaving()
+        && scene.rollout_arm.includes(entry.rollout_role)
+        && (scene.rollout_arm != RolloutArm::Canary
+            || entry.in_flight(scene.now) < entry.server.slots)
         && !scene.evacuated.contains(&entry.server.domain)
         && !ask.tried.contains(&index)
-        && entry.reachable(scene.now)
-        && (entry.own == 0 || !entry.on_trial())
+        && entry.is_reachable(scene.now)
+        && (entry.own_in_flight == 0 || !entry.is_probing())
 }
 
 /// Whether the bound on cold servers lets this host send there now.
 fn cold_allows(scene: &PickContext<'_>, entry: &ServerEntry) -> bool {
     let due = scene.now >= crate::cold_start::next_send(scene.started, entry.cold_sent);
-    !entry.cold(scene.now) || (entry.cold_sender && scene.hosts_known && due)
+    !entry.is_cold(scene.now) || (entry.cold_sender && scene.hosts_known && due)
 }
 
 /// Whether the limit that a server named lets this host send there now.
 fn limit_allows(scene: &PickContext<'_>, entry: &ServerEntry) -> bool {
-    let limited = &entry.limited;
+    let limited = &entry.server_limit;
     limited.limit().is_none() || (scene.hosts_known && limited.allows(scene.now))
 }
 
@@ -366,10 +367,10 @@
 
 /// Answer time without the wait, and what the place costs, in milliseconds.
 fn cost_ms(scene: &PickContext<'_>, entry: &ServerEntry, pace: AnswerTimes, knows: bool) -> f64 {
-    let away = if entry.region == scene.place.1 { 0.0 } else { AWAY_MS };
-    let work = if knows { pace.knowing_ms } else { pace.unknowing_ms };
-    let failing = 1.0 + FAILING * entry.failing(scene.now);
-    let cold = if entry.cold(scene.now) { COLD } else { 1.0 };
+    let away = if entry.region == scene.location.1 { 0.0 } else { AWAY_MS };
+    let work = if knows { pace.warm_ms } else { pace.not_warm_ms };
+    let failing = 1.0 + FAILING * entry.failure_rate(scene.now);
+    let cold = if entry.is_cold(scene.now) { COLD } else { 1.0 };
     away + work * entry.slowness(scene.now).max(0.7) * failing * cold
 }
 
@@ -382,8 +383,8 @@
     knows: bool,
     wait: f64,
 ) -> bool {
-    let work = if knows { pace.knowing_ms } else { pace.unknowing_ms };
-    entry.cold(scene.now) && work * COLD + wait > route.timeout_ms as f64 * TIMEOUT_PART
+    let work = if knows { pace.warm_ms } else { pace.not_warm_ms };
+    entry.is_cold(scene.now) && work * COLD + wait > route.timeout_ms as f64 * TIMEOUT_PART
 }
 
 /// Whether a server has room for a request of a key that it does not know.
@@ -406,8 +407,8 @@
 ) -> f64 {
     let objective = ask.route.objective_ms as f64;
     let part = if ask.returning { RETURN_PART } else { AIM_PART };
-    let away = if entry.region == scene.place.1 { 0.0 } else { AWAY_MS };
-    let left = objective * part - pace.knowing_ms * entry.slowness(scene.now).max(1.0) - away;
+    let away = if entry.region == scene.location.1 { 0.0 } else { AWAY_MS };
+    let left = objective * part - pace.warm_ms * entry.slowness(scene.now).max(1.0) - away;
     left.max(objective * WAIT_LEAST)
 }
 
--- a/elmstream_steer/src/poison.rs
+++ b/elmstream_steer/src/poison.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether a start of a server is known to have ended.
-    pub fn knows_end(&self, server: u64) -> bool {
+    pub fn knows_crash(&self, server: u64) -> bool {
         self.ended.contains_key(&server)
     }
 
@@ -96,19 +96,19 @@
     }
 
     /// Servers that have ended under a request.
-    pub fn servers(&self, digest: &RequestDigest) -> usize {
-        self.suspects.get(digest).map_or(0, |suspect| suspect.counted().count())
+    pub fn crashed_servers(&self, digest: &RequestDigest) -> usize {
+        self.suspects.get(digest).map_or(0, |suspect| suspect.active_crashes().count())
     }
 
     /// Why a request is refused; none if it is not.
-    pub fn refuses(&self, digest: &RequestDigest) -> Option<PoisonEvidence> {
+    pub fn refusal(&self, digest: &RequestDigest) -> Option<PoisonEvidence> {
         let suspect = self.suspects.get(digest)?;
         suspect.refused().then(|| suspect.harm())
     }
 
     /// A server ended under a request of this host, which was sent when so many
     /// generations were `known`.
-    pub fn ended(
+    pub fn record_crash(
         &mut self,
         now: Time,
         unix_s: u64,
@@ -117,8 +117,8 @@
         known: u8,
     ) -> PoisonChange {
         let generation = known.saturating_add(1);
-        let ending = ServerCrash { digest, server, generation, at_s: unix_s, void: false };
-        let turn = self.hear(now, &ending);
+        let ending = ServerCrash { digest, server, generation, at_s: unix_s, voided: false };
+        let turn = self.merge(now, &ending);
         if let Some(suspect) = self.suspects.get_mut(&digest) {
             suspect.own = true;
             suspect.decided |= matches!(turn, PoisonChange::Refused(_));
@@ -127,7 +127,7 @@
     }
 
     /// Takes in an ending that another host tells of.
-    pub fn hear(&mut self, now: Time, ending: &ServerCrash) -> PoisonChange {
+    pub fn merge(&mut self, now: Time, ending: &ServerCrash) -> PoisonChange {
         if !self.suspects.contains_key(&ending.digest) {
             self.make_room();
         }
@@ -136,13 +136,13 @@
         let suspect = self.suspects.entry(ending.digest).or_default();
         let (before, was_refused) = (suspect.generation(), suspect.refused());
         let cleared = suspect.cleared.is_some_and(|at| now.since(at) < CLEARED);
-        if !suspect.endings.contains_key(&ending.server) && suspect.endings.len() >= ENDINGS {
+        if !suspect.crashes.contains_key(&ending.server) && suspect.crashes.len() >= ENDINGS {
             suspect.drop_void();
         }
-        let full = suspect.endings.len() >= ENDINGS;
-        match suspect.endings.get_mut(&ending.server) {
+        let full = suspect.crashes.len() >= ENDINGS;
+        match suspect.crashes.get_mut(&ending.server) {
             Some(mark) => {
-                if ending.void && !mark.void {
+                if ending.voided && !mark.void {
                     mark.void = true;
                     mark.learned = now;
                 }
@@ -152,10 +152,10 @@
             }
             None if full => {}
             None => {
-                let ServerCrash { generation, at_s, void, .. } = *ending;
+                let ServerCrash { generation, at_s, voided: void, .. } = *ending;
                 let void = void || cleared;
                 let mark = CrashRecord { generation, at_s, void, learned: now, told: Time(0) };
-                suspect.endings.insert(ending.server, mark);
+                suspect.crashes.insert(ending.server, mark);
             }
         }
         match suspect.refused() {
@@ -169,7 +169,7 @@
     }
 
     /// A request got a whole answer, so it is none that ends its server.
-    pub fn answered(&mut self, now: Time, digest: &RequestDigest) {
+    pub fn record_answer(&mut self, now: Time, digest: &RequestDigest) {
         if let Some(suspect) = self.suspects.get_mut(digest) {
             suspect.cleared = Some(now);
             suspect.void(now);
@@ -179,7 +179,7 @@
 
     /// Endings that the next beat tells: those of refused requests first, and of these
     /// the ones that were told longest ago.
-    pub fn tell(&mut self, now: Time) -> Vec<ServerCrash> {
+    pub fn next_reports(&mut self, now: Time) -> Vec<ServerCrash> {
         // Beats are many, and mostly there is nothing to tell.
         if self.news.is_none_or(|at| now.since(at) >= TELL) {
             return Vec::new();
@@ -187,13 +187,13 @@
         let mut due: Vec<(bool, Time, RequestDigest, u64)> = Vec::new();
         for (digest, suspect) in &self.suspects {
             let refused = suspect.refused();
-            let new = suspect.endings.iter().filter(|(_, mark)| now.since(mark.learned) < TELL);
+            let new = suspect.crashes.iter().filter(|(_, mark)| now.since(mark.learned) < TELL);
             due.extend(new.map(|(server, mark)| (!refused, mark.told, *digest, *server)));
         }
         due.sort_unstable();
         due.truncate(TOLD);
         let told = due.into_iter().filter_map(|(_, _, digest, server)| {
-            let mark = self.suspects.get_mut(&digest)?.endings.get_mut(&server)?;
+            let mark = self.suspects.get_mut(&digest)?.crashes.get_mut(&server)?;
             mark.told = now;
             Some(crash_report(digest, server, mark))
         });
@@ -201,15 +201,15 @@
     }
 
     /// A host has come, or is back: what is refused is told again.
-    pub fn tell_again(&mut self, now: Time) {
+    pub fn rebroadcast(&mut self, now: Time) {
         self.news = Some(now);
         for suspect in self.suspects.values_mut().filter(|suspect| suspect.refused()) {
-            suspect.endings.values_mut().for_each(|mark| mark.learned = now);
+            suspect.crashes.values_mut().for_each(|mark| mark.learned = now);
         }
     }
 
     /// All endings that are known of refused requests, for a host that starts.
-    pub fn all(&self) -> Vec<ServerCrash> {
+    pub fn refused_crashes(&self) -> Vec<ServerCrash> {
         let refused = self.suspects.iter().filter(|(_, suspect)| suspect.refused());
         refused.flat_map(|(digest, suspect)| crash_reports(*digest, suspect)).collect()
     }
@@ -219,7 +219,7 @@
     ///
     /// The host that saw the last one does it at once. The others look some time later
     /// whether it did: one that wrote as well could undo an operator's lift.
-    pub fn to_list(&self, now: Time) -> Vec<PendingListing> {
+    pub fn pending_listings(&self, now: Time) -> Vec<PendingListing> {
         let mut due = Vec::new();
         for (digest, suspect) in &self.suspects {
             let since = suspect.refused_at.map_or(0, |at| now.since(at));
@@ -233,7 +233,7 @@
     }
 
     /// All requests that are refused, with the ends of servers that decided it.
-    pub fn all_refused(&self) -> Vec<(RequestDigest, Vec<ServerCrash>)> {
+    pub fn refused_requests(&self) -> Vec<(RequestDigest, Vec<ServerCrash>)> {
         let refused = self.suspects.iter().filter(|(_, suspect)| suspect.refused());
         refused
             .map(|(digest, suspect)| (*digest, crash_reports(*digest, suspect).collect()))
@@ -242,15 +242,15 @@
 
     /// Whether a request was refused, or suspected, and is cleared: by a whole answer, or by an
     /// operator.
-    pub fn cleared(&self, digest: &RequestDigest) -> bool {
+    pub fn is_cleared(&self, digest: &RequestDigest) -> bool {
         let suspect = self.suspects.get(digest);
         suspect.is_some_and(|suspect| {
-            !suspect.endings.is_empty() && suspect.counted().next().is_none()
+            !suspect.crashes.is_empty() && suspect.active_crashes().next().is_none()
         })
     }
 
     /// The store lists a request.
-    pub fn listed(&mut self, digest: &RequestDigest) {
+    pub fn mark_listed(&mut self, digest: &RequestDigest) {
         if let Some(suspect) = self.suspects.get_mut(digest) {
             suspect.listed = true;
         }
@@ -259,7 +259,7 @@
     /// Lets a request in again, as an operator asks for; whether it was refused.
     ///
     /// Ends that other hosts have seen and this one has not heard of yet count as before that.
-    pub fn lift(&mut self, now: Time, digest: &RequestDigest) -> bool {
+    pub fn readmit(&mut self, now: Time, digest: &RequestDigest) -> bool {
         if !self.suspects.contains_key(digest) {
             self.make_room();
         }
@@ -272,12 +272,12 @@
     }
 
     /// Requests that are refused now.
-    pub fn refused(&self) -> usize {
+    pub fn refused_count(&self) -> usize {
         self.suspects.values().filter(|suspect| suspect.refused()).count()
     }
 
     /// Forgets what is long past.
-    pub fn forget(&mut self, now: Time, unix_s: u64) {
+    pub fn expire(&mut self, now: Time, unix_s: u64) {
         self.ended.retain(|_, at| now.since(*at) < ENDED);
         self.suspects.retain(|_, suspect| {
             let keep = if suspect.refused() { REFUSE_S } else { SUSPECT_S };
--- a/elmstream_steer/src/poison_record.rs
+++ b/elmstream_steer/src/poison_record.rs
@@ -27,7 +27,7 @@
     /// When it was seen, in seconds of the teller's time of day.
     pub at_s: u64,
     /// Whether it says nothing: the request has had a whole answer, or was let in again.
-    pub void: bool,
+    pub voided: bool,
 }
 
 /// Why a request is refused, for lines.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspect {
     /// Ends of servers, by the hashes of their starts.
-    pub endings: BTreeMap<u64, CrashRecord>,
+    pub crashes: BTreeMap<u64, CrashRecord>,
     /// Whether this host saw an ending itself.
     pub own: bool,
     /// Whether it saw the one for which the request is refused.
@@ -77,32 +77,32 @@
 
 impl Suspect {
     /// Endings that count.
-    pub fn counted(&self) -> impl Iterator<Item = &CrashRecord> {
-        self.endings.values().filter(|mark| !mark.void)
+    pub fn active_crashes(&self) -> impl Iterator<Item = &CrashRecord> {
+        self.crashes.values().filter(|mark| !mark.void)
     }
 
     /// Generations of endings; no more than there are endings, as those before may have
     /// been voided or not be known here.
     pub fn generation(&self) -> u8 {
-        let last = self.counted().map(|mark| mark.generation).max().unwrap_or(0);
-        last.min(self.counted().count() as u8)
+        let last = self.active_crashes().map(|mark| mark.generation).max().unwrap_or(0);
+        last.min(self.active_crashes().count() as u8)
     }
 
     /// Whether the request is refused.
     pub fn refused(&self) -> bool {
-        let (generation, servers) = (self.generation(), self.counted().count());
+        let (generation, servers) = (self.generation(), self.active_crashes().count());
         generation >= GENERATIONS || generation >= GENERATIONS_OF_SEVERAL && servers >= SERVERS
     }
 
     /// When the last server ended, in seconds of its teller's time of day.
     pub fn last_s(&self) -> u64 {
-        self.endings.values().map(|mark| mark.at_s).max().unwrap_or(0)
+        self.crashes.values().map(|mark| mark.at_s).max().unwrap_or(0)
     }
 
     /// Why it is refused, for lines.
     pub fn harm(&self) -> PoisonEvidence {
         PoisonEvidence {
-            servers: self.counted().count(),
+            servers: self.active_crashes().count(),
             generations: self.generation(),
             last_s: self.last_s(),
             own: self.own,
@@ -111,16 +111,16 @@
 
     /// Forgets the void ending that has been known for the longest time.
     pub fn drop_void(&mut self) {
-        let void = self.endings.iter().filter(|(_, mark)| mark.void);
+        let void = self.crashes.iter().filter(|(_, mark)| mark.void);
         let oldest = void.min_by_key(|(_, mark)| mark.learned).map(|(server, _)| *server);
         if let Some(server) = oldest {
-            self.endings.remove(&server);
+            self.crashes.remove(&server);
         }
     }
 
     /// None of what has ended speaks against the request any more.
     pub fn void(&mut self, now: Time) {
-        for mark in self.endings.values_mut().filter(|mark| !mark.void) {
+        for mark in self.crashes.values_mut().filter(|mark| !mark.void) {
             mark.void = true;
             mark.learned = now;
         }
@@ -132,11 +132,11 @@
     digest: RequestDigest,
     suspect: &Suspect,
 ) -> impl Iterator<Item = ServerCrash> {
-    suspect.endings.iter().map(move |(server, mark)| crash_report(digest, *server, mark))
+    suspect.crashes.iter().map(move |(server, mark)| crash_report(digest, *server, mark))
 }
 
 /// An ending as hosts tell it.
 pub(crate) fn crash_report(digest: RequestDigest, server: u64, mark: &CrashRecord) -> ServerCrash {
     let CrashRecord { generation, at_s, void, .. } = *mark;
-    ServerCrash { digest, server, generation, at_s, void }
+    ServerCrash { digest, server, generation, at_s, voided: void }
 }
--- a/elmstream_steer/src/quota.rs
+++ b/elmstream_steer/src/quota.rs
@@ -56,11 +56,11 @@
     /// Bounds of the fleet.
     pub bounds: &'a Bounds,
     /// Hosts that are known and heard.
-    pub heard: FleetView,
+    pub fleet: FleetView,
     /// Whether this host knows where the others are.
     pub hosts_known: bool,
     /// Hashes of the addresses of hosts that may be running, with this one's first.
-    pub places: &'a [u64],
+    pub address_hashes: &'a [u64],
 }
 
 /// Whether a request is within its workspace's limit.
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedReport {
     /// Whom it is for.
-    pub place: u64,
+    pub address_hash: u64,
     /// The report.
     pub report: UsageReport,
 }
@@ -90,9 +90,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedBroadcast {
     /// Whom they go to.
-    pub place: u64,
+    pub address_hash: u64,
     /// The parts.
-    pub spread: FractionBroadcast,
+    pub broadcast: FractionBroadcast,
 }
 
 /// A part as it was given.
@@ -157,7 +157,7 @@
     }
 
     /// Rules on a request, and counts it.
-    pub fn rule(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) -> QuotaDecision {
+    pub fn admit(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) -> QuotaDecision {
         let workspace = &member.workspace;
         if workspace.rate_per_s <= 0.0 {
             return QuotaDecision::Within;
@@ -172,7 +172,7 @@
         own.asked = own.asked.wrapping_add(1);
         let part = match latest(own.given(now), told(&self.heard, now, member.id)) {
             Some(given) => given.part,
-            None if own.vain >= UNANSWERED || scene.heard.alone() => {
+            None if own.vain >= UNANSWERED || scene.fleet.is_isolated() => {
                 let allowed = local_share(self.seed, scene, member);
                 if own.used.sum(now, window) < allowed { 1.0 } else { 0.0 }
             }
@@ -192,21 +192,21 @@
     }
 
     /// A request that was let through is sent to one more server.
-    pub fn sent_again(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
+    pub fn record_retry(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
         if let Some(own) = self.own.get_mut(&member.id) {
             own.count(scene.now, tally::window(scene.bounds), 1);
         }
     }
 
     /// A request that was let through was run by no server.
-    pub fn not_run(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
+    pub fn refund(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
         if let Some(own) = self.own.get_mut(&member.id) {
             own.count(scene.now, tally::window(scene.bounds), -1);
         }
     }
 
     /// Reports that are due; called each 100 ms.
-    pub fn reports(
+    pub fn due_reports(
         &mut self,
         scene: &QuotaContext<'_>,
         table: &WorkspaceTable,
@@ -217,76 +217,80 @@
         let mut by_place: FxHashMap<(u64, bool), Vec<WorkspaceUsage>> = FxHashMap::default();
         for (id, own) in &mut self.own {
             let Some(again) = own.due(now) else { continue };
-            let used = own.used.sum(now, window);
-            let (asked, let_through) = (own.asked, own.let_through);
-            let told = WorkspaceUsage { workspace: *id, asked, let_through, used };
+            let used_in_window = own.used.sum(now, window);
+            let (requested, admitted) = (own.asked, own.let_through);
+            let told = WorkspaceUsage { workspace: *id, requested, admitted, used_in_window };
             own.reported = own.asked;
             own.unanswered.get_or_insert(now);
-            for place in ranked(scene.places, *id, again) {
+            for place in ranked(scene.address_hashes, *id, again) {
                 by_place.entry((place, again > 0)).or_default().push(told);
             }
         }
         let reader = self.seed;
         let reports = by_place.iter().flat_map(|((place, in_vain), uses)| {
             uses.chunks(ENTRIES).map(|uses| AddressedReport {
-                place: *place,
-                report: UsageReport { reader, uses: uses.to_vec(), in_vain: *in_vain },
+                address_hash: *place,
+                report: UsageReport {
+                    start_hash: reader,
+                    uses: uses.to_vec(),
+                    earlier_unanswered: *in_vain,
+                },
             })
         });
         let (own, others): (Vec<_>, Vec<_>) =
-            reports.partition(|report| scene.places.first() == Some(&report.place));
+            reports.partition(|report| scene.address_hashes.first() == Some(&report.address_hash));
         for report in own {
-            let verdict = self.sum_up(scene, table, &report.report);
-            self.judged(now, &verdict);
+            let verdict = self.on_report(scene, table, &report.report);
+            self.on_reply(now, &verdict);
         }
         others
     }
 
     /// Takes in a host's report; the answer to it.
-    pub fn sum_up(
+    pub fn on_report(
         &mut self,
         scene: &QuotaContext<'_>,
         table: &WorkspaceTable,
         report: &UsageReport,
     ) -> UsageReply {
-        let mut parts = Vec::new();
+        let mut fractions = Vec::new();
         for told in &report.uses {
             let Some(member) = table.get(told.workspace) else { continue };
             let tally = self.tallies.entry(told.workspace).or_default();
-            tally.hear(scene.now, tally::window(scene.bounds), report, *told);
-            let pressed = tally.told(scene.now).is_some();
+            tally.on_report(scene.now, tally::window(scene.bounds), report, *told);
+            let pressed = tally.broadcast_fraction(scene.now).is_some();
             let age = scene.now.since(self.started);
-            let part = tally.part(scene.now, scene.bounds, &member.workspace, scene.heard, age);
-            self.urgent |= !pressed && tally.told(scene.now).is_some();
-            parts.push(AdmitFraction::new(told.workspace, part));
+            let part = tally.fraction(scene.now, scene.bounds, &member.workspace, scene.fleet, age);
+            self.urgent |= !pressed && tally.broadcast_fraction(scene.now).is_some();
+            fractions.push(AdmitFraction::new(told.workspace, part));
         }
-        let place = scene.places.first().copied().unwrap_or_default();
-        UsageReply { place, parts }
+        let address_hash = scene.address_hashes.first().copied().unwrap_or_default();
+        UsageReply { address_hash, fractions }
     }
 
     /// Takes in the answer to a report.
-    pub fn judged(&mut self, now: Time, verdict: &UsageReply) {
-        for part in &verdict.parts {
+    pub fn on_reply(&mut self, now: Time, verdict: &UsageReply) {
+        for part in &verdict.fractions {
             if let Some(own) = self.own.get_mut(&part.workspace) {
-                let place = verdict.place as u32;
+                let place = verdict.address_hash as u32;
                 own.answered(Grant { place, part: part.value(), stamp: 0, at: now });
             }
         }
     }
 
     /// What all hosts have to know now, and whom this host tells.
-    pub fn tell(&mut self, scene: &QuotaContext<'_>) -> Vec<AddressedBroadcast> {
+    pub fn due_broadcasts(&mut self, scene: &QuotaContext<'_>) -> Vec<AddressedBroadcast> {
         let now = scene.now;
         if !self.urgent && now.since(self.told) < TELL_EVERY {
             return Vec::new();
         }
-        let own = scene.places.first().copied().unwrap_or_default();
+        let own = scene.address_hashes.first().copied().unwrap_or_default();
         let parts = self.tallies.iter().filter_map(|(id, tally)| {
-            let (part, at) = tally.told(now)?;
+            let (part, at) = tally.broadcast_fraction(now)?;
             let stamp = (at.0 / MILLI) as u32;
             Some(BroadcastFraction {
-                part: AdmitFraction::new(*id, part),
-                place: own as u32,
+                fraction: AdmitFraction::new(*id, part),
+                address_hash: own as u32,
                 stamp,
             })
         });
@@ -298,35 +302,40 @@
             return Vec::new();
         }
         self.draws += 1;
-        let addressed = arcs(scene.places, hash::combine(self.seed, self.draws)).into_iter();
+        let addressed =
+            arcs(scene.address_hashes, hash::combine(self.seed, self.draws)).into_iter();
         addressed
             .flat_map(|(place, arc)| {
                 let chunks = parts.chunks(ENTRIES);
                 chunks.map(move |parts| AddressedBroadcast {
-                    place,
-                    spread: FractionBroadcast { parts: parts.to_vec(), arc },
+                    address_hash: place,
+                    broadcast: FractionBroadcast { fractions: parts.to_vec(), arc },
                 })
             })
             .collect()
     }
 
     /// Takes in what all hosts are told, and whom this host passes it on to.
-    pub fn pass_on(
+    pub fn on_broadcast(
         &mut self,
         scene: &QuotaContext<'_>,
         spread: &FractionBroadcast,
     ) -> Vec<AddressedBroadcast> {
-        self.hear(scene.now, &spread.parts);
+        self.hear(scene.now, &spread.fractions);
         let (begin, end) = spread.arc;
-        let inside = scene.places.iter().skip(1).filter(|place| (begin..end).contains(place));
-        let passed = FractionBroadcast { parts: spread.parts.clone(), arc: (0, 0) };
-        inside.map(|place| AddressedBroadcast { place: *place, spread: passed.clone() }).collect()
+        let inside =
+            scene.address_hashes.iter().skip(1).filter(|place| (begin..end).contains(place));
+        let passed = FractionBroadcast { fractions: spread.fractions.clone(), arc: (0, 0) };
+        inside
+            .map(|place| AddressedBroadcast { address_hash: *place, broadcast: passed.clone() })
+            .collect()
     }
 
     fn hear(&mut self, now: Time, parts: &[BroadcastFraction]) {
-        for BroadcastFraction { part, place, stamp } in parts {
-            let new = Grant { place: *place, part: part.value(), stamp: *stamp, at: now };
-            let known = self.heard.entry(part.workspace).or_default();
+        for BroadcastFraction { fraction, address_hash, stamp } in parts {
+            let new =
+                Grant { place: *address_hash, part: fraction.value(), stamp: *stamp, at: now };
+            let known = self.heard.entry(fraction.workspace).or_default();
             known.retain(|given| now.since(given.at) < HOLD);
             match known.iter_mut().find(|given| given.place == new.place) {
                 Some(given) if older(new.stamp, given.stamp) => {}
@@ -338,7 +347,12 @@
 
     /// A configuration is in force. Under a limit that was lowered hosts begin anew, as
     /// what they let through before was within the old one.
-    pub fn configured(&mut self, bounds: &Bounds, table: &WorkspaceTable, before: &WorkspaceTable) {
+    pub fn on_configuration(
+        &mut self,
+        bounds: &Bounds,
+        table: &WorkspaceTable,
+        before: &WorkspaceTable,
+    ) {
         for member in table.all() {
             let old = before.get(member.id).map(|old| tally::limit(bounds, &old.workspace));
             let new = tally::limit(bounds, &member.workspace);
@@ -352,20 +366,20 @@
     }
 
     /// Workspaces of which requests are held back, as far as this host knows.
-    pub fn held_back(&self, now: Time) -> usize {
+    pub fn throttled_count(&self, now: Time) -> usize {
         let held =
             self.own.values().filter(|own| own.given(now).is_some_and(|given| given.part < 1.0));
         held.count()
     }
 
     /// Workspaces that no tally answers for.
-    pub fn unanswered(&self) -> usize {
+    pub fn unanswered_count(&self) -> usize {
         self.own.values().filter(|own| own.vain >= UNANSWERED).count()
     }
 
     fn forget(&mut self, now: Time) {
         self.own.retain(|_, own| now.since(own.last) < FORGET);
-        self.tallies.retain(|_, tally| !tally.idle(now));
+        self.tallies.retain(|_, tally| !tally.is_idle(now));
         self.heard.retain(|_, given| given.iter().any(|given| now.since(given.at) < HOLD));
     }
 }
@@ -374,7 +388,7 @@
     /// Requests are let through, or were not run after all.
     fn count(&mut self, now: Time, window: u64, by: i32) {
         self.let_through = self.let_through.wrapping_add_signed(by);
-        self.used.change(now, window, by);
+        self.used.adjust(now, window, by);
     }
 
     /// Counts anew if the limit was lowered.
@@ -415,7 +429,7 @@
 /// Where that is not a whole number the host draws whether it has one more, so that all
 /// hosts together have as many as they may have. They would have one each otherwise.
 pub fn local_share(seed: u64, scene: &QuotaContext<'_>, member: &WorkspaceEntry) -> u32 {
-    let hosts = scene.heard.known.max(1) as f64;
+    let hosts = scene.fleet.possible.max(1) as f64;
     let share = tally::limit(scene.bounds, &member.workspace) / hosts;
     let epoch = scene.now.0 / DRAW_EVERY;
     let draw = hash::unit_interval(hash::combine(hash::combine(seed, member.id), epoch));
--- a/elmstream_steer/src/reader_rank.rs
+++ b/elmstream_steer/src/reader_rank.rs
@@ -53,15 +53,15 @@
     /// Hash of its name.
     pub host: u64,
     /// Time of a whole reading, in milliseconds. Times within a factor of two count as alike.
-    pub millis: u16,
+    pub read_ms: u16,
     /// Failure domain and region.
-    pub place: (&'a str, &'a str),
+    pub location: (&'a str, &'a str),
 }
 
 impl RankedReader<'_> {
     /// Those that read sooner have a lower one.
     pub(crate) fn order(&self) -> (u32, u64) {
-        (self.millis.max(NEAR_MS).ilog2(), !hash::combine(self.host, 0))
+        (self.read_ms.max(NEAR_MS).ilog2(), !hash::combine(self.host, 0))
     }
 }
 
@@ -89,8 +89,8 @@
 /// Whether a reader is of a failure domain that those before it are not of, and of
 /// another region if it is the last rank and these are all of one.
 fn widens(before: &[Option<RankedReader<'_>>], reader: &RankedReader<'_>) -> bool {
-    let places = || before.iter().flatten().map(|reader| reader.place);
+    let places = || before.iter().flatten().map(|reader| reader.location);
     let last = before.len() as u64 + 1 == READER_RANKS;
-    let same_region = places().all(|(_, region)| region == reader.place.1);
-    places().all(|(domain, _)| domain != reader.place.0) && !(last && same_region)
+    let same_region = places().all(|(_, region)| region == reader.location.1);
+    places().all(|(domain, _)| domain != reader.location.0) && !(last && same_region)
 }
--- a/elmstream_steer/src/region_shares.rs
+++ b/elmstream_steer/src/region_shares.rs
@@ -54,8 +54,8 @@
 /// The regions' parts for one service.
 #[derive(Clone, Debug, Default)]
 pub struct RegionShares {
-    kept: BTreeMap<String, f64>,
-    spare: Vec<(String, f64)>,
+    home_shares: BTreeMap<String, f64>,
+    spare_capacity: Vec<(String, f64)>,
 }
 
 impl RegionShares {
@@ -68,10 +68,10 @@
             let worth = if slots > 0.0 { region.slots / slots } else { 0.0 };
             let part = (region.demand + PRIOR) / demand;
             let kept = (worth * OVERSHOOT / part).min(1.0);
-            division.kept.insert(name.clone(), kept);
+            division.home_shares.insert(name.clone(), kept);
             let spare = (worth - part * kept).max(0.0);
             if spare > 0.0 {
-                division.spare.push((name.clone(), spare));
+                division.spare_capacity.push((name.clone(), spare));
             }
         }
         division
@@ -80,11 +80,11 @@
     /// Regions for a key of callers in `home`, the first one first.
     ///
     /// Regions that are not named follow in no special order.
-    pub fn order(&self, home: &str, key: u64) -> Vec<&str> {
-        let kept = self.kept.get(home).copied().unwrap_or(0.0);
+    pub fn region_order(&self, home: &str, key: u64) -> Vec<&str> {
+        let kept = self.home_shares.get(home).copied().unwrap_or(0.0);
         let stays = hash::unit_interval(hash::combine(key, HOME_SEED)) < kept;
         let mut away: Vec<(f64, &str)> = Vec::new();
-        for (name, weight) in self.spare.iter().filter(|(name, _)| name != home) {
+        for (name, weight) in self.spare_capacity.iter().filter(|(name, _)| name != home) {
             let draw = hash::unit_interval(hash::combine(key, hash::of(name) ^ AWAY_SEED))
                 .max(f64::MIN_POSITIVE);
             away.push((-draw.ln() / weight, name));
@@ -92,7 +92,7 @@
         away.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut order: Vec<&str> = away.into_iter().map(|(_, name)| name).collect();
         let place = if stays { 0 } else { 1.min(order.len()) };
-        if let Some((home, _)) = self.kept.get_key_value(home) {
+        if let Some((home, _)) = self.home_shares.get_key_value(home) {
             order.insert(place, home);
         }
         order
--- a/elmstream_steer/src/restore.rs
+++ b/elmstream_steer/src/restore.rs
@@ -18,12 +18,14 @@
     }
 
     /// Whether a host holds on to something from an earlier era that this one was not told.
-    pub fn lacks_held(&self, table: Table, held: u32) -> bool {
-        held != 0 && held != self.view.held_digest(table) && !self.held_taken.contains(&held)
+    pub fn lacks_retained(&self, table: Table, held: u32) -> bool {
+        held != 0
+            && held != self.view.retained_digest(table)
+            && !self.merged_retained.contains(&held)
     }
 
     /// What becomes of a table that was known from an earlier era of the store.
-    pub(crate) fn returned(
+    pub(crate) fn store_restored(
         &mut self,
         now: Time,
         table: Table,
@@ -33,25 +35,25 @@
         // Servers that the store has lost write themselves down again.
         self.lenient_until = now + AFTER_OUTAGE;
         // What this fleet wrote since the copy is gone.
-        self.registry.look_again();
+        self.registry.invalidate();
         self.urgent = true;
-        StateChange::StoreReturned(StoreRestored {
+        StateChange::StoreRestored(StoreRestored {
             table,
             before,
-            version: self.view.mark(table).version,
+            version: self.view.watermark(table).version,
             changed: changes.len(),
-            held: self.view.held(table).into_iter().map(|row| row.key).collect(),
+            retained: self.view.retained(table).into_iter().map(|row| row.key).collect(),
         })
     }
 
     /// Ends what has held on for long enough against what the store says.
-    pub(crate) fn end_holds(&mut self, now: Time) -> Vec<StateChange> {
+    pub(crate) fn end_retention(&mut self, now: Time) -> Vec<StateChange> {
         let mut changes = Vec::new();
-        for key in self.view.end_holds(now) {
-            changes.push(StateChange::HoldEnded(key.clone()));
+        for key in self.view.end_retention(now) {
+            changes.push(StateChange::RetentionEnded(key.clone()));
             match (&key, self.view.get(&key)) {
                 (RowKey::Server(id), None) => self.drop_server(id, &mut changes),
-                _ => self.apply(now, &key, &mut changes),
+                _ => self.apply_row(now, &key, &mut changes),
             }
         }
         changes
--- a/elmstream_steer/src/returning_callers.rs
+++ b/elmstream_steer/src/returning_callers.rs
@@ -20,7 +20,7 @@
 
 impl ReturningCallers {
     /// Whether a request of a route with so many milliseconds left comes back.
-    pub fn returns(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
+    pub fn is_returning(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
         let Some((usual, seen)) = self.usual.get_mut(route) else {
             self.usual.insert(route.to_owned(), (left_ms, now));
             return false;
--- a/elmstream_steer/src/rollout.rs
+++ b/elmstream_steer/src/rollout.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum RolloutStage {
     /// A small part of the requests tries the version out.
-    Trial,
+    Canary,
     /// So many hundredths of the keys go there; with 100 the other servers get nothing.
     Shift(u8),
     /// All traffic has moved, and the other servers may be stopped.
@@ -53,14 +53,14 @@
 
 impl RolloutStage {
     /// Whether nothing follows it.
-    pub fn ends(self) -> bool {
+    pub fn is_final(self) -> bool {
         matches!(self, RolloutStage::Completed | RolloutStage::RolledBack)
     }
 
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            RolloutStage::Trial => "trial",
+            RolloutStage::Canary => "trial",
             RolloutStage::Shift(_) => "shift",
             RolloutStage::Completed => "completed",
             RolloutStage::RolledBack => "rolled_back",
@@ -87,15 +87,16 @@
     ///
     /// An order that is written again is a new one. But the operator also writes again what a
     /// store that came back from a copy has lost, and that takes no verdict back.
-    pub fn is_of(&self, order: &RolloutOrder, version: StoreVersion) -> bool {
+    pub fn belongs_to(&self, order: &RolloutOrder, version: StoreVersion) -> bool {
         let written_again = self.order.era < version.era;
         self.target == order.target && (self.order == version || written_again)
     }
 
     /// Whether it holds on against another one of the same order.
     pub fn outranks(&self, other: Option<&RolloutProgress>) -> bool {
-        let goes_on = |other: &RolloutProgress| self.target == other.target && !other.stage.ends();
-        self.stage.ends() && other.is_none_or(goes_on)
+        let goes_on =
+            |other: &RolloutProgress| self.target == other.target && !other.stage.is_final();
+        self.stage.is_final() && other.is_none_or(goes_on)
     }
 }
 
@@ -104,7 +105,7 @@
 pub enum RolloutRole {
     /// No roll-out concerns it.
     #[default]
-    Free,
+    Unaffected,
     /// It is of another version than the ordered one.
     Old,
     /// It is of the ordered version, and gets requests on trial.
@@ -112,7 +113,7 @@
     /// It is of the ordered version, and gets requests as traffic shifts.
     Target,
     /// It gets nothing.
-    Shut,
+    Excluded,
 }
 
 /// Which servers a request may go to.
@@ -120,7 +121,7 @@
 pub enum RolloutArm {
     /// All that are not shut.
     #[default]
-    Free,
+    Any,
     /// Servers of other versions than the ordered one.
     Old,
     /// Those of the ordered version that are tried out, if they have a slot free.
@@ -131,10 +132,10 @@
 
 impl RolloutArm {
     /// Whether a server is among them.
-    pub fn takes(self, standing: RolloutRole) -> bool {
+    pub fn includes(self, standing: RolloutRole) -> bool {
         match self {
-            RolloutArm::Free => standing != RolloutRole::Shut,
-            RolloutArm::Old => matches!(standing, RolloutRole::Free | RolloutRole::Old),
+            RolloutArm::Any => standing != RolloutRole::Excluded,
+            RolloutArm::Old => matches!(standing, RolloutRole::Unaffected | RolloutRole::Old),
             RolloutArm::Canary => standing == RolloutRole::Canary,
             RolloutArm::Target => matches!(standing, RolloutRole::Canary | RolloutRole::Target),
         }
@@ -148,11 +149,11 @@
     /// The store's version of the order's row.
     pub version: StoreVersion,
     /// When this host learned of the order.
-    pub learned: Time,
+    pub learned_at: Time,
     /// Its progress, and since when this host knows of the stage.
     pub progress: Option<(RolloutProgress, Time)>,
     /// Part of its requests that this host sends on trial, as [`canary_multiplier`] gives it.
-    pub trials: f64,
+    pub canary_multiplier: f64,
 }
 
 impl Rollout {
@@ -162,30 +163,30 @@
     }
 
     /// Whether it is still to be decided.
-    pub fn goes_on(&self) -> bool {
-        self.stage().is_none_or(|stage| !stage.ends())
+    pub fn is_active(&self) -> bool {
+        self.stage().is_none_or(|stage| !stage.is_final())
     }
 
     /// Where a server of the service stands; `first` says whether it is among the first ones
     /// of the ordered version, `known` since when it is known.
-    pub fn standing(&self, now: Time, version: &str, first: bool, known: Time) -> RolloutRole {
+    pub fn role(&self, now: Time, version: &str, first: bool, known: Time) -> RolloutRole {
         let target = version == self.order.target;
         match (&self.progress, target) {
-            (None, true) => RolloutRole::Shut,
+            (None, true) => RolloutRole::Excluded,
             (None, false) => RolloutRole::Old,
             (Some((progress, since)), _) => match (progress.stage, target) {
-                (RolloutStage::Trial | RolloutStage::Shift(_), true) if first => {
+                (RolloutStage::Canary | RolloutStage::Shift(_), true) if first => {
                     RolloutRole::Canary
                 }
-                (RolloutStage::Trial | RolloutStage::Shift(_), true) => RolloutRole::Target,
-                (RolloutStage::Trial | RolloutStage::Shift(_), false) => RolloutRole::Old,
-                (RolloutStage::RolledBack, true) => RolloutRole::Shut,
+                (RolloutStage::Canary | RolloutStage::Shift(_), true) => RolloutRole::Target,
+                (RolloutStage::Canary | RolloutStage::Shift(_), false) => RolloutRole::Old,
+                (RolloutStage::RolledBack, true) => RolloutRole::Excluded,
                 (RolloutStage::Completed, false)
                     if known <= *since && now.since(*since) < STOPPED =>
                 {
-                    RolloutRole::Shut
+                    RolloutRole::Excluded
                 }
-                (RolloutStage::Completed | RolloutStage::RolledBack, _) => RolloutRole::Free,
+                (RolloutStage::Completed | RolloutStage::RolledBack, _) => RolloutRole::Unaffected,
             },
         }
     }
@@ -193,7 +194,7 @@
     /// Which servers a request of a key goes to. `young` says whether what is known of the
     /// progress is; `again` whether a server has been tried; `affords` whether the bound on
     /// requests on trial leaves one.
-    pub fn arm(
+    pub fn pick_arm(
         &self,
         key: u64,
         young: bool,
@@ -201,11 +202,11 @@
         affords: impl FnOnce() -> bool,
     ) -> RolloutArm {
         match self.stage() {
-            Some(RolloutStage::Completed | RolloutStage::RolledBack) => RolloutArm::Free,
+            Some(RolloutStage::Completed | RolloutStage::RolledBack) => RolloutArm::Any,
             Some(RolloutStage::Shift(100)) if young => RolloutArm::Target,
             // One that may have failed there goes where it is safe.
-            Some(RolloutStage::Trial | RolloutStage::Shift(_)) if again => RolloutArm::Old,
-            Some(RolloutStage::Trial) if young && self.trials > 0.0 && affords() => {
+            Some(RolloutStage::Canary | RolloutStage::Shift(_)) if again => RolloutArm::Old,
+            Some(RolloutStage::Canary) if young && self.canary_multiplier > 0.0 && affords() => {
                 RolloutArm::Canary
             }
             Some(RolloutStage::Shift(percent)) if young => {
