--- a/elmstream_steer/src/rollout_control.rs
+++ b/elmstream_steer/src/rollout_control.rs
@@ -83,7 +83,7 @@
     /// Where servers stand may change without news.
     fn moves(&self, now: Time) -> bool {
         let recent = |(_, since): &(RolloutProgress, Time)| now.since(*since) < STOPPED + SECOND;
-        let going = |r: &Rollout| r.goes_on() || r.progress.as_ref().is_some_and(recent);
+        let going = |r: &Rollout| r.is_active() || r.progress.as_ref().is_some_and(recent);
         self.changed || self.versions.waits() || self.by_service.values().any(going)
     }
 }
@@ -141,14 +141,19 @@
 
 impl Steer {
     /// Judges and steps in other ways than usual.
-    pub fn set_rollout_ways(&mut self, judging: AnalysisMethod, stepping: StepPolicy) {
+    pub fn set_rollout_policies(&mut self, judging: AnalysisMethod, stepping: StepPolicy) {
         self.rollouts.ways = (judging, stepping);
     }
 
     // The store.
 
     /// An order has come, changed or gone.
-    pub(crate) fn ordered(&mut self, now: Time, service: &str, order: Option<&RolloutOrder>) {
+    pub(crate) fn on_rollout_order(
+        &mut self,
+        now: Time,
+        service: &str,
+        order: Option<&RolloutOrder>,
+    ) {
         self.rollouts.changed = true;
         self.urgent = true;
         let key = RowKey::Rollout(service.to_owned());
@@ -165,12 +170,17 @@
             self.rollouts.evidence.remove(service);
             self.rollouts.routes.remove(service);
             self.rollouts.judges.remove(service);
-            let trials = rollout::canary_multiplier(self.hash, version, self.fleet);
-            let new =
-                Rollout { order: order.clone(), version, learned: now, progress: None, trials };
+            let trials = rollout::canary_multiplier(self.hash, version, self.fleet_size);
+            let new = Rollout {
+                order: order.clone(),
+                version,
+                learned_at: now,
+                progress: None,
+                canary_multiplier: trials,
+            };
             self.rollouts.by_service.insert(service.to_owned(), new);
         }
-        self.progressed(now, service);
+        self.on_rollout_progress(now, service);
     }
 
     /// How far the roll-out of a service has come; none if it has not begun.
@@ -180,7 +190,7 @@
 
     /// The progress of a service's order may have changed; its version and stage if that is
     /// new.
-    pub(crate) fn progressed(
+    pub(crate) fn on_rollout_progress(
         &mut self,
         now: Time,
         service: &str,
@@ -190,7 +200,7 @@
         let rollout = self.rollouts.by_service.get_mut(service)?;
         let item = self.view.get(&RowKey::Progress(service.to_owned()));
         let Some(RowContent::Progress(progress)) = item else { return None };
-        if !progress.is_of(&rollout.order, rollout.version) {
+        if !progress.belongs_to(&rollout.order, rollout.version) {
             return None;
         }
         let before = rollout.progress.as_ref().map(|(known, since)| (known.stage, *since));
@@ -200,55 +210,56 @@
     }
 
     /// Whether roll-outs are under way, so that their progress has to be known.
-    pub(crate) fn rolls_out(&self) -> bool {
-        self.rollouts.by_service.values().any(Rollout::goes_on)
+    pub(crate) fn has_active_rollouts(&self) -> bool {
+        self.rollouts.by_service.values().any(Rollout::is_active)
     }
 
     /// Since when this host has had to know the progress of roll-outs.
-    pub(crate) fn ordered_since(&self) -> Option<Time> {
-        let going = self.rollouts.by_service.values().filter(|rollout| rollout.goes_on());
-        going.map(|rollout| rollout.learned).min()
+    pub(crate) fn active_rollout_since(&self) -> Option<Time> {
+        let going = self.rollouts.by_service.values().filter(|rollout| rollout.is_active());
+        going.map(|rollout| rollout.learned_at).min()
     }
 
     /// Whether this host has an order of which it cannot know how far it has come.
-    pub fn lacks_progress(&self) -> bool {
-        !self.rollouts.by_service.is_empty() && self.view.mark(Table::Rollouts).fresh.is_none()
+    pub fn awaits_rollout_progress(&self) -> bool {
+        !self.rollouts.by_service.is_empty()
+            && self.view.watermark(Table::Rollouts).confirmed_at.is_none()
     }
 
     // Servers and requests.
 
     /// A server has been listed with a version.
-    pub(crate) fn saw_version(&mut self, now: Time, service: &str, version: &str) {
-        let first = self.view.mark(Table::Servers).fresh.is_none();
+    pub(crate) fn record_version(&mut self, now: Time, service: &str, version: &str) {
+        let first = self.view.watermark(Table::Servers).confirmed_at.is_none();
         self.rollouts.changed = true;
         self.rollouts.versions.see(now, service, version, first);
     }
 
     /// Finds out where servers stand, if that may have changed.
-    pub(crate) fn stand(&mut self, now: Time) {
+    pub(crate) fn assign_rollout_roles(&mut self, now: Time) {
         if !self.rollouts.moves(now) {
             return;
         }
         self.rollouts.changed = false;
-        let begun = self.rollouts.by_service.values().any(|r| r.goes_on() && r.stage().is_some());
+        let begun = self.rollouts.by_service.values().any(|r| r.is_active() && r.stage().is_some());
         if begun && !self.knows_progress(now) {
             self.rollouts.stale = Some(now);
         }
-        self.rollouts.versions.accept(self.view.mark(Table::Rules).fresh);
+        self.rollouts.versions.accept(self.view.watermark(Table::Rules).confirmed_at);
         let firsts = self.canaries();
         let undecided = self.without_order();
         let rollouts = &self.rollouts;
         for (index, entry) in self.servers.all_mut_indexed() {
             let (service, version) = (&entry.server.service, &entry.server.version);
-            entry.standing = match rollouts.get(service) {
+            entry.rollout_role = match rollouts.get(service) {
                 Some(rollout) => {
-                    rollout.standing(now, version, firsts.contains(&index), entry.known)
+                    rollout.role(now, version, firsts.contains(&index), entry.known_since)
                 }
-                None if rollouts.versions.holds_back(service, version) => RolloutRole::Shut,
+                None if rollouts.versions.holds_back(service, version) => RolloutRole::Excluded,
                 None if undecided.get(service).is_some_and(|target| target == version) => {
-                    RolloutRole::Shut
+                    RolloutRole::Excluded
                 }
-                None => RolloutRole::Free,
+                None => RolloutRole::Unaffected,
             };
         }
     }
@@ -271,33 +282,34 @@
     /// Servers that get requests on trial: the first ones by a draw of the order.
     fn canaries(&self) -> Vec<ServerIndex> {
         let mut canaries = Vec::new();
-        for (service, rollout) in self.rollouts.by_service.iter().filter(|(_, r)| r.goes_on()) {
+        for (service, rollout) in self.rollouts.by_service.iter().filter(|(_, r)| r.is_active()) {
             let target = &rollout.order.target;
-            let target = |entry: &ServerEntry| entry.server.version == *target && !entry.departs();
-            let all = self.servers.of(service).filter(|(_, entry)| target(entry));
+            let target =
+                |entry: &ServerEntry| entry.server.version == *target && !entry.is_leaving();
+            let all = self.servers.of_service(service).filter(|(_, entry)| target(entry));
             let mut ranked: Vec<(u64, ServerIndex)> = all
                 .map(|(index, entry)| (hash::combine(entry.hash, rollout.version.count), index))
                 .collect();
             ranked.sort_unstable();
             let share = self.settings.bounds.exposure_share;
-            let most = rollout::canary_count(ranked.len(), share, self.fleet);
+            let most = rollout::canary_count(ranked.len(), share, self.fleet_size);
             canaries.extend(ranked.into_iter().take(most).map(|(_, index)| index));
         }
         canaries
     }
 
     /// Which servers a request may go to.
-    pub(crate) fn arm(&mut self, now: Time, ask: &PickRequest<'_>) -> RolloutArm {
+    pub(crate) fn pick_rollout_arm(&mut self, now: Time, ask: &PickRequest<'_>) -> RolloutArm {
         let PickRequest { service, key, route, .. } = *ask;
         if self.rollouts.by_service.is_empty() {
-            return RolloutArm::Free;
+            return RolloutArm::Any;
         }
         let again = !ask.tried.is_empty();
         let rested = self.rollouts.stale.is_none_or(|stale| now.since(stale) >= RESUMED);
         let young = rested && self.knows_progress(now);
         let Rollouts { by_service, exposures, .. } = &mut self.rollouts;
-        let Some(rollout) = by_service.get(service) else { return RolloutArm::Free };
-        rollout.arm(key, young, again, || exposures.affords(&kind(service, &route.name)))
+        let Some(rollout) = by_service.get(service) else { return RolloutArm::Any };
+        rollout.pick_arm(key, young, again, || exposures.can_withdraw(&kind(service, &route.name)))
     }
 
     /// Whether what is known of the progress of roll-outs is young enough to go by.
@@ -308,24 +320,30 @@
 
     /// Whether the servers of other versions get nothing more, whatever those of the ordered
     /// version can take.
-    pub(crate) fn has_left(&self, service: &str) -> bool {
+    pub(crate) fn traffic_shifted(&self, service: &str) -> bool {
         self.rollout_stage(service) == Some(RolloutStage::Shift(100))
     }
 
     /// A request was sent to a server; on trial it is spent.
-    pub(crate) fn sent_on_trial(&mut self, service: &str, route: &str, index: ServerIndex) {
+    pub(crate) fn record_canary_request(&mut self, service: &str, route: &str, index: ServerIndex) {
         let stage = self.rollout_stage(service);
-        let standing = self.servers.get(index).map(|entry| entry.standing);
-        if stage == Some(RolloutStage::Trial) && standing == Some(RolloutRole::Canary) {
-            self.rollouts.exposures.spend(&kind(service, route));
+        let standing = self.servers.get(index).map(|entry| entry.rollout_role);
+        if stage == Some(RolloutStage::Canary) && standing == Some(RolloutRole::Canary) {
+            self.rollouts.exposures.withdraw(&kind(service, route));
         }
     }
 
     /// What became of a request of a route counts for its service's roll-out.
-    pub fn count_outcome(&mut self, now: Time, index: ServerIndex, route: &str, outcome: Outcome) {
+    pub fn count_rollout_outcome(
+        &mut self,
+        now: Time,
+        index: ServerIndex,
+        route: &str,
+        outcome: Outcome,
+    ) {
         let Some(entry) = self.servers.get(index) else { return };
         let service = entry.server.service.as_str();
-        let rollout = self.rollouts.by_service.get(service).filter(|r| r.goes_on());
+        let rollout = self.rollouts.by_service.get(service).filter(|r| r.is_active());
         let sent = match outcome {
             Outcome::Answered { micros, .. } => Time(now.0.saturating_sub(micros)),
             _ => now,
@@ -334,17 +352,19 @@
             server: entry.hash as u32,
             route: route_hash(route),
             outcome,
-            cold: entry.cold(sent),
+            cold: entry.is_cold(sent),
             target: rollout.is_some_and(|r| entry.server.version == r.order.target),
         };
         let slow = match outcome {
-            Outcome::Answered { micros, knew } => self.rollouts.usuals.slow(&seen, micros, knew),
+            Outcome::Answered { micros, was_warm: knew } => {
+                self.rollouts.usuals.is_slow(&seen, micros, knew)
+            }
             _ => false,
         };
         let Some((rollout, stage)) = rollout.and_then(|r| Some((r, r.stage()?))) else { return };
         let evidence = self.rollouts.evidence.entry(service.to_owned()).or_default();
         let answered = evidence.count(&seen, slow);
-        if answered && stage == RolloutStage::Trial && rollout.trials > 0.0 {
+        if answered && stage == RolloutStage::Canary && rollout.canary_multiplier > 0.0 {
             let service = service.to_owned();
             self.earn_trial(&service, route);
         }
@@ -354,20 +374,25 @@
     /// that one with few requests is tried out as well.
     fn earn_trial(&mut self, service: &str, route: &str) {
         let bounds = &self.settings.bounds;
-        let (slack, hosts) = (bounds.exposure_slack, self.places.len());
+        let (slack, hosts) = (bounds.exposure_slack, self.address_hashes.len());
         let Rollouts { routes, exposures, by_service, .. } = &mut self.rollouts;
         let Some(rollout) = by_service.get(service) else { return };
         let routes = routes.entry(service.to_owned()).or_default();
         if routes.len() < ROUTES && routes.insert(route.to_owned()) {
             // A host that restarts may have used its part of the slack before.
-            let ran = rollout.learned.since(self.started) >= LATE_START;
-            let slack = if ran { slack * rollout.trials / ROUTES as f64 } else { 0.0 };
+            let ran = rollout.learned_at.since(self.started) >= LATE_START;
+            let slack = if ran { slack * rollout.canary_multiplier / ROUTES as f64 } else { 0.0 };
             exposures.grant(&kind(service, route), slack, hosts);
         }
         let part = 1.0 / routes.len() as f64;
-        let share = bounds.exposure_share * CANARY_SHARE * rollout.trials * part;
+        let share = bounds.exposure_share * CANARY_SHARE * rollout.canary_multiplier * part;
         for route in routes.iter() {
-            exposures.earn(&kind(service, route), share, slack * rollout.trials * part, hosts);
+            exposures.deposit(
+                &kind(service, route),
+                share,
+                slack * rollout.canary_multiplier * part,
+                hosts,
+            );
         }
     }
 
@@ -378,7 +403,10 @@
         let mut due = Vec::new();
         for (service, rollout) in &self.rollouts.by_service {
             let shifted = rollout.stage() == Some(RolloutStage::Shift(100));
-            if rollout.goes_on() && rollout.stage().is_some() && (rollout.trials > 0.0 || shifted) {
+            if rollout.is_active()
+                && rollout.stage().is_some()
+                && (rollout.canary_multiplier > 0.0 || shifted)
+            {
                 let report = self.report_of(service, rollout);
                 due.push((service.clone(), report));
             }
@@ -389,51 +417,54 @@
             let evidence = self.rollouts.evidence.entry(service).or_default();
             let Some(report) = evidence.report(now, report) else { continue };
             match judge {
-                None => self.take_report(now, report),
-                Some(judge) => messages.push((judge, Message::Rollout(Box::new(report)))),
+                None => self.on_rollout_report(now, report),
+                Some(judge) => messages.push((judge, Message::RolloutReport(Box::new(report)))),
             }
         }
         messages
     }
 
     fn report_of(&self, service: &str, rollout: &Rollout) -> RolloutReport {
-        let old = self.servers.of(service).filter(|(_, entry)| entry.standing == RolloutRole::Old);
-        let in_flight: u32 = old.map(|(_, entry)| entry.own).sum();
+        let old = self
+            .servers
+            .of_service(service)
+            .filter(|(_, entry)| entry.rollout_role == RolloutRole::Old);
+        let in_flight: u32 = old.map(|(_, entry)| entry.own_in_flight).sum();
         RolloutReport {
             service: hash::of(service) as u32,
             order: rollout.version,
-            place: self.places.first().copied().unwrap_or_default(),
-            start: self.reader,
+            address_hash: self.address_hashes.first().copied().unwrap_or_default(),
+            start: self.start_hash,
             region: self.settings.host.region.clone(),
             target: Vec::new(),
             old: Vec::new(),
             stage: rollout.stage(),
-            left: rollout.stage() == Some(RolloutStage::Shift(100)) && in_flight == 0,
+            old_drained: rollout.stage() == Some(RolloutStage::Shift(100)) && in_flight == 0,
         }
     }
 
     /// Takes in a host's report on a roll-out.
-    pub fn take_report(&mut self, now: Time, report: RolloutReport) {
+    pub fn on_rollout_report(&mut self, now: Time, report: RolloutReport) {
         let Rollouts { by_service, judges, ways, .. } = &mut self.rollouts;
         let service = by_service.iter().find(|(service, rollout)| {
             hash::of(service) as u32 == report.service && rollout.version == report.order
         });
         let Some((service, _)) = service else { return };
         let judge = judges.entry(service.clone()).or_insert_with(|| CanaryAnalysis::new(ways.0));
-        judge.take(now, report);
+        judge.on_report(now, report);
     }
 
     /// Where the host is that reads, and writes, for all; none if that is this one.
     fn first_reader(&self, now: Time) -> Option<SocketAddr> {
-        let own = RankedReader { host: self.hash, millis: self.store_ms, place: ("", "") };
+        let own = RankedReader { host: self.hash, read_ms: self.store_ms, location: ("", "") };
         let served = self.members.live(now).filter(|member| !member.leaving);
         let others = served.filter_map(|member| {
             let reader =
-                RankedReader { host: member.hash, millis: member.store_ms?, place: ("", "") };
+                RankedReader { host: member.hash, read_ms: member.store_ms?, location: ("", "") };
             Some((reader.order(), member.host.peers))
         });
         let first = others.min()?;
-        let reads = self.calls.served() && !self.leaving && own.order() < first.0;
+        let reads = self.store_schedule.is_served() && !self.leaving && own.order() < first.0;
         (!reads).then_some(first.1)
     }
 
@@ -442,9 +473,9 @@
     /// What this host has to write of roll-outs now, if it writes for all.
     ///
     /// `unix_ms` is the time of day, by which hosts that start later know when an order came.
-    pub fn rollout_due(&mut self, now: Time, unix_ms: u64) -> Option<RolloutWrite> {
-        let idle = !self.rolls_out() && !self.rewrites();
-        if idle || !self.knows_progress(now) || !self.keeps(now) {
+    pub fn due_rollout_write(&mut self, now: Time, unix_ms: u64) -> Option<RolloutWrite> {
+        let idle = !self.has_active_rollouts() && !self.rewrites();
+        if idle || !self.knows_progress(now) || !self.maintains_host_list(now) {
             return None;
         }
         let services: Vec<String> = self.rollouts.by_service.keys().cloned().collect();
@@ -453,7 +484,7 @@
 
     /// Whether the progress of some order has to be written again as it is.
     fn rewrites(&self) -> bool {
-        let held = self.view.held(Table::Rollouts);
+        let held = self.view.retained(Table::Rollouts);
         let again = |rollout: &Rollout| {
             let progress = rollout.progress.as_ref();
             progress.is_some_and(|(progress, _)| progress.order != rollout.version)
@@ -465,8 +496,8 @@
         let rollout = self.rollouts.get(service)?;
         let key = RowKey::Progress(service.to_owned());
         let known = rollout.progress.as_ref().map(|(progress, _)| progress);
-        let lost =
-            known.is_some_and(|known| known.order != rollout.version || self.view.is_held(&key));
+        let lost = known
+            .is_some_and(|known| known.order != rollout.version || self.view.is_retained(&key));
         let judge = self.rollouts.judges.get(service);
         let sight = self.sight(now, unix_ms, service, rollout);
         let next = rollout_steps::next_stage(self.rollouts.ways.1, &sight);
@@ -480,7 +511,7 @@
         };
         let expected = (self.view.store_count(&key), rollout.version.count);
         let cause = judge
-            .and_then(CanaryAnalysis::bad)
+            .and_then(CanaryAnalysis::rejection)
             .filter(|_| stage == RolloutStage::RolledBack)
             .cloned();
         Some(RolloutWrite { service: service.to_owned(), progress, expected, cause })
@@ -489,9 +520,9 @@
     /// Whether so few requests are left until the deadline that a version which is bad could
     /// not get too many.
     fn few(&self, since_order_ms: u64, service: &str, rollout: &Rollout) -> bool {
-        let asked = self.rollouts.judges.get(service).map_or(0, CanaryAnalysis::asked);
+        let asked = self.rollouts.judges.get(service).map_or(0, CanaryAnalysis::old_answers);
         let left = rollout.order.duration_ms.saturating_sub(since_order_ms);
-        let told = (rollout::SENDERS / self.fleet as f64).min(1.0);
+        let told = (rollout::SENDERS / self.fleet_size as f64).min(1.0);
         let rate = f64::from(asked) / since_order_ms.max(1) as f64 / told;
         rate * left as f64 <= self.settings.bounds.exposure_slack * FEW_PART
     }
@@ -499,30 +530,34 @@
     fn sight(&self, now: Time, unix_ms: u64, service: &str, rollout: &Rollout) -> StepContext {
         let judge = self.rollouts.judges.get(service);
         let since = |at: Time| now.since(at) / MILLI;
-        let mut since_order_ms = since(rollout.learned);
-        if rollout.learned.since(self.started) < LATE_START
+        let mut since_order_ms = since(rollout.learned_at);
+        if rollout.learned_at.since(self.started) < LATE_START
             && let Some((progress, _)) = &rollout.progress
         {
             let told = unix_ms.saturating_sub(progress.began_unix_ms);
             since_order_ms = since_order_ms.max(told.min(2 * rollout.order.duration_ms));
         }
-        let calm = judge.is_none_or(CanaryAnalysis::is_calm);
+        let calm = judge.is_none_or(CanaryAnalysis::is_clear);
         let few = calm && self.few(since_order_ms, service, rollout);
         let others_left = judge.is_some_and(|judge| {
-            let own = self.places.first().is_some_and(|place| judge.left(now, *place));
-            own && self.members.live(now).all(|member| judge.left(now, member.place))
+            let own =
+                self.address_hashes.first().is_some_and(|place| judge.has_drained_old(now, *place));
+            own && self
+                .members
+                .live(now)
+                .all(|member| judge.has_drained_old(now, member.address_hash))
         });
         StepContext {
             stage: rollout.stage(),
             since_order_ms,
             since_stage_ms: rollout.progress.as_ref().map_or(0, |(_, at)| since(*at)),
             duration_ms: rollout.order.duration_ms,
-            longest_ms: self.longest_ms(service),
-            news_ms: self.settings.bounds.configuration_ms,
-            bad: judge.is_some_and(|judge| judge.bad().is_some()),
-            trusted: judge.is_some_and(CanaryAnalysis::trusts) || few,
-            routes_trusted: judge.is_some_and(CanaryAnalysis::trusts_routes) || few,
-            left: others_left,
+            longest_request_ms: self.longest_ms(service),
+            propagation_ms: self.settings.bounds.configuration_ms,
+            is_bad: judge.is_some_and(|judge| judge.rejection().is_some()),
+            trusted: judge.is_some_and(CanaryAnalysis::is_trusted) || few,
+            routes_trusted: judge.is_some_and(CanaryAnalysis::are_routes_trusted) || few,
+            old_drained: others_left,
             slots: self.slots(service, &rollout.order.target),
         }
     }
@@ -538,7 +573,8 @@
     /// Slots of a service's usable servers of a version, and of the others.
     fn slots(&self, service: &str, version: &str) -> (u32, u32) {
         let mut slots = (0, 0);
-        for (_, entry) in self.servers.of(service).filter(|(_, entry)| !entry.departs()) {
+        for (_, entry) in self.servers.of_service(service).filter(|(_, entry)| !entry.is_leaving())
+        {
             match entry.server.version == version {
                 true => slots.0 += entry.server.slots,
                 false => slots.1 += entry.server.slots,
@@ -548,7 +584,7 @@
     }
 
     /// The store took what was written; its counter for it.
-    pub fn rollout_written(
+    pub fn on_rollout_written(
         &mut self,
         now: Time,
         write: &RolloutWrite,
@@ -556,12 +592,12 @@
     ) -> Vec<StateChange> {
         let key = RowKey::Progress(write.service.clone());
         let item = Some(RowContent::Progress(write.progress.clone()));
-        self.take(now, Table::Rollouts, vec![crate::view::Row::new(key, version, item)])
+        self.apply_rows(now, Table::Rollouts, vec![crate::view::Row::new(key, version, item)])
     }
 
     /// Answers of the ordered version that are known here, and why it is bad if it is, for
     /// lines and metrics.
-    pub fn rollout_judged(&self, service: &str) -> Option<&CanaryAnalysis> {
+    pub fn rollout_analysis(&self, service: &str) -> Option<&CanaryAnalysis> {
         self.rollouts.judges.get(service)
     }
 }
--- a/elmstream_steer/src/rollout_counts.rs
+++ b/elmstream_steer/src/rollout_counts.rs
@@ -39,7 +39,7 @@
 
 impl AnswerCounts {
     /// All of them.
-    pub fn all(self) -> u32 {
+    pub fn total(self) -> u32 {
         self.good + self.bad
     }
 
@@ -65,7 +65,7 @@
     /// The store's version of the order's row.
     pub order: StoreVersion,
     /// Hash of the host's address, and of its start.
-    pub place: u64,
+    pub address_hash: u64,
     /// Hash of the start.
     pub start: u64,
     /// Region of the host.
@@ -78,7 +78,7 @@
     pub stage: Option<RolloutStage>,
     /// Whether it has nothing in flight at servers of other versions and sends nothing more
     /// there.
-    pub left: bool,
+    pub old_drained: bool,
 }
 
 /// How long answers of versions that are not on trial take, by route, and by whether the
@@ -96,7 +96,7 @@
 impl Baselines {
     /// Takes an answer's time in, unless its server is on trial; whether it is far longer
     /// than usual.
-    pub fn slow(&mut self, seen: &ObservedAnswer, micros: u64, knew: bool) -> bool {
+    pub fn is_slow(&mut self, seen: &ObservedAnswer, micros: u64, knew: bool) -> bool {
         let millis = micros as f64 / MILLI as f64;
         if self.0.len() >= KINDS && !self.0.contains_key(&(seen.route, knew)) {
             return false;
@@ -166,12 +166,12 @@
     pub fn count(&mut self, seen: &ObservedAnswer, slow: bool) -> bool {
         let bad = match seen.outcome {
             Outcome::Answered { .. } => slow && !seen.cold,
-            Outcome::Failed | Outcome::Unknown | Outcome::Ended | Outcome::Silent => true,
+            Outcome::Failed | Outcome::Unknown | Outcome::ServerCrashed | Outcome::Silent => true,
             Outcome::Full
-            | Outcome::Elsewhere
+            | Outcome::WrongServer
             | Outcome::NoConnection
             | Outcome::NotSent
-            | Outcome::Left => return false,
+            | Outcome::CallerGone => return false,
         };
         let marks = match seen.target {
             true => bounded(&mut self.target, (seen.server, seen.route), (0, seen.route)),
@@ -200,7 +200,7 @@
 
 /// A text that differs if what a report says does.
 fn words(report: &RolloutReport) -> String {
-    format!("{:?}{:?}{:?}{}", report.target, report.old, report.stage, report.left)
+    format!("{:?}{:?}{:?}{}", report.target, report.old, report.stage, report.old_drained)
 }
 
 /// The count of a kind, or of all others if there are too many kinds.
--- a/elmstream_steer/src/rollout_steps.rs
+++ b/elmstream_steer/src/rollout_steps.rs
@@ -48,17 +48,17 @@
     /// Time from the order until it has to be decided, in milliseconds.
     pub duration_ms: u64,
     /// The longest time that a request of the service may take, in milliseconds.
-    pub longest_ms: u64,
+    pub longest_request_ms: u64,
     /// Time in which news reach all hosts, in milliseconds.
-    pub news_ms: u64,
+    pub propagation_ms: u64,
     /// Whether the version is found to be bad.
-    pub bad: bool,
+    pub is_bad: bool,
     /// Whether enough of its answers were good.
     pub trusted: bool,
     /// The same of each route that callers ask for.
     pub routes_trusted: bool,
     /// Whether all hosts have left the servers of other versions.
-    pub left: bool,
+    pub old_drained: bool,
     /// Slots of usable servers of the ordered version, and of the others.
     pub slots: (u32, u32),
 }
@@ -66,7 +66,7 @@
 impl StepContext {
     /// Time since the order at which traffic begins to shift.
     fn shift_at(&self) -> u64 {
-        let shift = FIRST_SHIFT_MS + REST_MS + self.longest_ms;
+        let shift = FIRST_SHIFT_MS + REST_MS + self.longest_request_ms;
         let most = (self.duration_ms as f64 * SHIFT_PART) as u64;
         self.duration_ms - shift.min(most)
     }
@@ -79,29 +79,29 @@
     /// Whether nobody sends to the servers of other versions any more. Hosts that cannot be
     /// heard have learned it by the time that news take, if they can know anything.
     fn moved(&self) -> bool {
-        self.left || self.since_stage_ms >= self.news_ms + self.longest_ms
+        self.old_drained || self.since_stage_ms >= self.propagation_ms + self.longest_request_ms
     }
 }
 
 /// The stage that follows now; none if the present one goes on.
 pub fn next_stage(stepping: StepPolicy, sight: &StepContext) -> Option<RolloutStage> {
-    let Some(stage) = sight.stage else { return Some(RolloutStage::Trial) };
-    if stage.ends() {
+    let Some(stage) = sight.stage else { return Some(RolloutStage::Canary) };
+    if stage.is_final() {
         return None;
     }
-    if sight.bad {
+    if sight.is_bad {
         return Some(RolloutStage::RolledBack);
     }
     let late = sight.since_order_ms + ROOM_MS >= sight.duration_ms;
     let first_shift = sight.since_stage_ms >= FIRST_SHIFT_MS;
     match (stage, stepping) {
         (RolloutStage::Shift(100), _) => sight.moved().then_some(RolloutStage::Completed),
-        (RolloutStage::Trial, StepPolicy::Late) if sight.since_order_ms >= sight.shift_at() => {
+        (RolloutStage::Canary, StepPolicy::Late) if sight.since_order_ms >= sight.shift_at() => {
             let time = sight.since_order_ms + SHIFT_LEAST_MS <= sight.duration_ms;
             let shift = (time && sight.may_shift()).then_some(RolloutStage::Shift(FIRST_SHIFT));
             shift.or(late.then_some(RolloutStage::RolledBack))
         }
-        (RolloutStage::Trial, StepPolicy::Late) => None,
+        (RolloutStage::Canary, StepPolicy::Late) => None,
         (_, StepPolicy::Late) => {
             // A route with few requests may not have been tried before; now it is.
             let goes_on = first_shift && sight.routes_trusted;
--- a/elmstream_steer/src/server.rs
+++ b/elmstream_steer/src/server.rs
@@ -59,9 +59,9 @@
     /// Its region.
     pub region: String,
     /// This host's requests in flight.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// The other hosts' requests in flight.
-    pub others: u32,
+    pub others_in_flight: u32,
     /// Other hosts that wait for its answers in vain.
     pub silent_elsewhere: u32,
     /// Other hosts that it answers, told while some host waits in vain.
@@ -79,7 +79,7 @@
     /// When the last one of them was given up.
     unanswered_at: Time,
     /// Last answer of any kind.
-    pub answered: Option<Time>,
+    pub last_answered: Option<Time>,
     /// Last trial of a silent server.
     tried: Time,
     /// Whether it was silent, or took no connections, when this was last asked.
@@ -92,23 +92,23 @@
     /// Requests that it last said to have, and when.
     told: Option<(u32, Time)>,
     /// The limit that it names, and this host's part in it.
-    pub limited: ServerLimit,
+    pub server_limit: ServerLimit,
     /// Whether it said that it is about to leave.
     pub leaving: bool,
     /// It wants nothing from this host until then.
-    pub rests_until: Time,
+    pub backoff_until: Time,
     /// Part of lately answered requests that failed, 0 to 1.
-    failing: f64,
+    failure_rate: f64,
     /// Mean answer time against the service's, 1 for alike.
     slowness: f64,
     /// When the two were last learned.
     judged: Time,
     /// The store no longer lists it; it leaves the table then.
-    pub lapses: Option<Time>,
+    pub lapses_at: Option<Time>,
     /// Since when it is known.
-    pub known: Time,
+    pub known_since: Time,
     /// Whether it may get requests while its service is rolled out.
-    pub standing: RolloutRole,
+    pub rollout_role: RolloutRole,
 }
 
 /// What became of a request at a server.
@@ -119,14 +119,14 @@
         /// After this many microseconds.
         micros: u64,
         /// Whether the server was taken to know the key.
-        knew: bool,
+        was_warm: bool,
     },
     /// A whole answer that is a failure of the server.
     Failed,
     /// It was full and did not run the request.
     Full,
     /// Another server has the address now.
-    Elsewhere,
+    WrongServer,
     /// No connection came up; nothing was sent.
     NoConnection,
     /// Its time was over before a connection was there; nothing was sent.
@@ -134,18 +134,18 @@
     /// It was sent, and what became of it is not known.
     Unknown,
     /// The server ended after it was sent.
-    Ended,
+    ServerCrashed,
     /// No answer in time.
     Silent,
     /// The caller left.
-    Left,
+    CallerGone,
 }
 
 impl Outcome {
     /// Whether the server was taken to know the key; none if it did not answer.
-    pub fn knew(self) -> Option<bool> {
+    pub fn was_warm(self) -> Option<bool> {
         match self {
-            Outcome::Answered { knew, .. } => Some(knew),
+            Outcome::Answered { was_warm: knew, .. } => Some(knew),
             _ => None,
         }
     }
@@ -156,13 +156,13 @@
             Outcome::Answered { .. } => "answered",
             Outcome::Failed => "failed",
             Outcome::Full => "full",
-            Outcome::Elsewhere => "elsewhere",
+            Outcome::WrongServer => "elsewhere",
             Outcome::NoConnection => "no_connection",
             Outcome::NotSent => "not_sent",
             Outcome::Unknown => "broken",
-            Outcome::Ended => "server_ended",
+            Outcome::ServerCrashed => "server_ended",
             Outcome::Silent => "silent",
-            Outcome::Left => "left",
+            Outcome::CallerGone => "left",
         }
     }
 }
@@ -173,17 +173,17 @@
     /// Mean answer time, in milliseconds.
     pub mean_ms: f64,
     /// The same of servers that were taken to know the key.
-    pub knowing_ms: f64,
+    pub warm_ms: f64,
     /// The same of the others.
-    pub unknowing_ms: f64,
+    pub not_warm_ms: f64,
 }
 
 impl Default for AnswerTimes {
     fn default() -> AnswerTimes {
         AnswerTimes {
             mean_ms: FIRST_GUESS_MS,
-            knowing_ms: FIRST_GUESS_MS,
-            unknowing_ms: FIRST_GUESS_MS * UNKNOWING,
+            warm_ms: FIRST_GUESS_MS,
+            not_warm_ms: FIRST_GUESS_MS * UNKNOWING,
         }
     }
 }
@@ -192,7 +192,7 @@
     /// Takes an answer time in; how long it was against the service's mean of its kind.
     fn learn(&mut self, millis: f64, knew: bool) -> f64 {
         self.mean_ms += (millis - self.mean_ms) * MEAN_WEIGHT;
-        let kind = if knew { &mut self.knowing_ms } else { &mut self.unknowing_ms };
+        let kind = if knew { &mut self.warm_ms } else { &mut self.not_warm_ms };
         let ratio = (millis / *kind).min(SLOWEST);
         *kind += (millis - *kind) * MEAN_WEIGHT;
         ratio
@@ -207,8 +207,8 @@
             hash: hash::of(id),
             server: server.clone(),
             region: region.to_owned(),
-            own: 0,
-            others: 0,
+            own_in_flight: 0,
+            others_in_flight: 0,
             silent_elsewhere: 0,
             answers_elsewhere: 0,
             cold_until: Time(0),
@@ -217,30 +217,30 @@
             waiting_since: None,
             unanswered: 0,
             unanswered_at: Time(0),
-            answered: None,
+            last_answered: None,
             tried: Time(0),
             was_silent: false,
             failures: 0,
             down_until: Time(0),
             refused_until: Time(0),
             told: None,
-            limited: ServerLimit::default(),
+            server_limit: ServerLimit::default(),
             leaving: false,
-            rests_until: Time(0),
-            failing: 0.0,
+            backoff_until: Time(0),
+            failure_rate: 0.0,
             slowness: 1.0,
             judged: now,
-            lapses: None,
-            known: now,
-            standing: RolloutRole::Free,
+            lapses_at: None,
+            known_since: now,
+            rollout_role: RolloutRole::Unaffected,
         };
-        entry.keep_cold(now, server.cold_ms);
+        entry.extend_cold(now, server.cold_ms);
         entry
     }
 
     /// Requests in flight from all hosts, as far as is known.
-    pub fn occupied(&self, now: Time) -> u32 {
-        let counted = self.own + self.others;
+    pub fn in_flight(&self, now: Time) -> u32 {
+        let counted = self.own_in_flight + self.others_in_flight;
         match self.told {
             Some((told, at)) if now.since(at) < TOLD => counted.max(told),
             _ => counted,
@@ -248,31 +248,31 @@
     }
 
     /// Whether it is about to leave, by the store or by its own word.
-    pub fn departs(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.server.draining || self.leaving
     }
 
     /// Whether it has asked this host for rest that is not over.
-    pub fn rests(&self, now: Time) -> bool {
-        now < self.rests_until
+    pub fn is_backing_off(&self, now: Time) -> bool {
+        now < self.backoff_until
     }
 
     /// It wants nothing from this host for so many microseconds; whether that is news.
     ///
     /// What an earlier answer asked for stands, so the end only moves later.
-    pub fn rest(&mut self, now: Time, micros: u64) -> bool {
-        let rested = !self.rests(now);
-        self.rests_until = self.rests_until.max(now + micros.min(REST_MAX));
+    pub fn back_off(&mut self, now: Time, micros: u64) -> bool {
+        let rested = !self.is_backing_off(now);
+        self.backoff_until = self.backoff_until.max(now + micros.min(REST_MAX));
         rested
     }
 
     /// Whether it counts as cold.
-    pub fn cold(&self, now: Time) -> bool {
+    pub fn is_cold(&self, now: Time) -> bool {
         now < self.cold_until
     }
 
     /// Whether this host waits for answers of it in vain, or lately did.
-    pub fn silent(&self, now: Time, pace: AnswerTimes) -> bool {
+    pub fn is_silent(&self, now: Time, pace: AnswerTimes) -> bool {
         let patience = (pace.mean_ms * SILENT_MEANS) as u64 * MILLI;
         let patience = patience.clamp(SILENT_MIN, SILENT_MAX);
         self.waiting_since.is_some_and(|since| now.since(since) > patience) || self.suspect(now)
@@ -287,8 +287,8 @@
 
     /// Part of lately answered requests that failed, 0 to 1. It fades, as a server that
     /// is left for it is not judged anew.
-    pub fn failing(&self, now: Time) -> f64 {
-        self.failing * self.judgement(now)
+    pub fn failure_rate(&self, now: Time) -> f64 {
+        self.failure_rate * self.judgement(now)
     }
 
     /// Mean answer time against the service's, 1 for alike. It fades likewise.
@@ -302,8 +302,8 @@
     }
 
     /// Whether it answered this host just now.
-    pub fn well(&self, now: Time) -> bool {
-        self.answered.is_some_and(|at| now.since(at) < WELL)
+    pub fn answered_recently(&self, now: Time) -> bool {
+        self.last_answered.is_some_and(|at| now.since(at) < WELL)
     }
 
     /// Whether it is left alone for its silence, by what this host sees and what the
@@ -312,62 +312,64 @@
     /// An answer to any host shows that the server runs, so one lost answer does not
     /// take it from anybody. One host's word alone does not count either: the way from
     /// that host may be cut.
-    pub fn shunned(&self, now: Time, pace: AnswerTimes, hosts: usize) -> bool {
-        if self.silent(now, pace) {
+    pub fn is_ejected(&self, now: Time, pace: AnswerTimes, hosts: usize) -> bool {
+        if self.is_silent(now, pace) {
             return self.answers_elsewhere == 0 || self.unanswered >= CUT_OFF;
         }
         let witnesses = (hosts as u32).div_ceil(WITNESS_PART).min(WITNESSES);
-        self.silent_elsewhere >= witnesses && self.answers_elsewhere == 0 && !self.well(now)
+        self.silent_elsewhere >= witnesses
+            && self.answers_elsewhere == 0
+            && !self.answered_recently(now)
     }
 
     /// Whether it gets one request of this host at a time, as it has not answered since
     /// it was given up.
-    pub fn on_trial(&self) -> bool {
+    pub fn is_probing(&self) -> bool {
         self.unanswered > 0
     }
 
     /// Whether a connection may be tried and it has not just refused.
-    pub fn reachable(&self, now: Time) -> bool {
+    pub fn is_reachable(&self, now: Time) -> bool {
         now >= self.down_until && now >= self.refused_until
     }
 
     /// Whether a silent server is due for a trial; `apart` is the time between.
-    pub fn trial_due(&self, now: Time, apart: u64) -> bool {
+    pub fn probe_due(&self, now: Time, apart: u64) -> bool {
         now.since(self.tried) > apart
     }
 
     /// The server stays cold for at least this long from now.
-    pub fn keep_cold(&mut self, now: Time, millis: u64) {
+    pub fn extend_cold(&mut self, now: Time, millis: u64) {
         if millis > 0 {
             self.cold_until = self.cold_until.max(now + millis * MILLI + COLD_MARGIN);
         }
     }
 
     /// A request is sent.
-    pub fn sent(&mut self, now: Time) {
-        self.own += 1;
+    pub fn record_sent(&mut self, now: Time) {
+        self.own_in_flight += 1;
         self.tried = now;
         self.waiting_since.get_or_insert(now);
-        if self.cold(now) {
+        if self.is_cold(now) {
             self.cold_sent = Some(now);
         }
-        self.limited.sent(now);
+        self.server_limit.record_sent(now);
     }
 
     /// What the server said of its load.
-    pub fn tell(&mut self, now: Time, requests: u32) {
+    pub fn record_load(&mut self, now: Time, requests: u32) {
         self.told = Some((requests, now));
     }
 
     /// Its process has ended, as this host saw or another one told.
     ///
     /// That says nothing of how it works: it is gone, or another start takes its place.
-    pub fn end(&mut self, now: Time) {
+    pub fn record_crash(&mut self, now: Time) {
         self.down_until = now + DOWN_MAX;
     }
 
     /// What tells this start of it from others, alike on all hosts.
-    pub fn start(&self) -> u64 {
+    pub fn start_hash(&self) -> u64 {
         match self.server.born {
             0 => self.hash,
             born => hash::combine(self.hash, born),
@@ -375,10 +377,10 @@
     }
 
     /// Takes in what became of a request that was sent.
-    pub fn done(&mut self, now: Time, outcome: Outcome, pace: &mut AnswerTimes) {
-        self.own = self.own.saturating_sub(1);
+    pub fn record_outcome(&mut self, now: Time, outcome: Outcome, pace: &mut AnswerTimes) {
+        self.own_in_flight = self.own_in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Answered { micros, knew } => {
+            Outcome::Answered { micros, was_warm: knew } => {
                 self.heard(now);
                 self.fail(now, false);
                 let ratio = pace.learn(micros as f64 / MILLI as f64, knew);
@@ -392,7 +394,7 @@
                 self.heard(now);
                 self.refused_until = now + FULL;
             }
-            Outcome::Elsewhere => {
+            Outcome::WrongServer => {
                 self.heard(now);
                 self.refused_until = now + DOWN_MAX;
             }
@@ -401,16 +403,16 @@
                 self.failures += 1;
                 self.down_until = now + pause.min(DOWN_MAX);
             }
-            Outcome::Ended => self.end(now),
+            Outcome::ServerCrashed => self.record_crash(now),
             Outcome::NotSent => {}
             // Others were answered meanwhile, so this one was lost.
             Outcome::Silent if !self.unheard(now) => self.fail(now, true),
             Outcome::Silent => {}
-            Outcome::Left => {
+            Outcome::CallerGone => {
                 self.unheard(now);
             }
         }
-        if self.own == 0 {
+        if self.own_in_flight == 0 {
             self.waiting_since = None;
         }
     }
@@ -428,28 +430,28 @@
 
     /// Whether it has fallen silent, or takes no connections; some if that has turned
     /// since this was last asked.
-    pub fn turned(&mut self, now: Time, pace: AnswerTimes) -> Option<bool> {
-        let silent = self.silent(now, pace) || self.failures > 1;
+    pub fn silence_change(&mut self, now: Time, pace: AnswerTimes) -> Option<bool> {
+        let silent = self.is_silent(now, pace) || self.failures > 1;
         let turned = silent != self.was_silent;
         self.was_silent = silent;
         turned.then_some(silent)
     }
 
     fn heard(&mut self, now: Time) {
-        self.answered = Some(now);
+        self.last_answered = Some(now);
         self.failures = 0;
         // It runs after all, so the answers that did not come were lost.
         for _ in 0..self.unanswered.min(CUT_OFF) {
             self.fail(now, true);
         }
         self.unanswered = 0;
-        self.waiting_since = (self.own > 0).then_some(now);
+        self.waiting_since = (self.own_in_flight > 0).then_some(now);
     }
 
     fn fail(&mut self, now: Time, failed: bool) {
-        (self.failing, self.slowness) = (self.failing(now), self.slowness(now));
+        (self.failure_rate, self.slowness) = (self.failure_rate(now), self.slowness(now));
         self.judged = now;
         let value = if failed { 1.0 } else { 0.0 };
-        self.failing += (value - self.failing) * FAILURE_WEIGHT;
+        self.failure_rate += (value - self.failure_rate) * FAILURE_WEIGHT;
     }
 }
--- a/elmstream_steer/src/server_limit.rs
+++ b/elmstream_steer/src/server_limit.rs
@@ -97,7 +97,7 @@
 
     /// Whether this host may send a request now.
     pub fn allows(&self, now: Time) -> bool {
-        self.limit.is_none() || self.next().is_some_and(|next| now >= next)
+        self.limit.is_none() || self.next_send().is_some_and(|next| now >= next)
     }
 
     /// Time between two requests of this host, in microseconds; none if it is no sender.
@@ -106,19 +106,19 @@
     }
 
     /// When this host may send its next request; none if it may send none.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_send(&self) -> Option<Time> {
         Some(self.last + self.spacing?)
     }
 
     /// A request is sent.
-    pub fn sent(&mut self, now: Time) {
+    pub fn record_sent(&mut self, now: Time) {
         if self.limit.is_some() {
             self.last = now;
         }
     }
 
     /// The server said this in an answer to this host; whether it is new.
-    pub fn hear(&mut self, now: Time, limit: Option<RequestRate>) -> bool {
+    pub fn on_answer(&mut self, now: Time, limit: Option<RequestRate>) -> bool {
         let new = self.learn(limit, now);
         if self.limit == limit && (new || limit.is_some()) {
             self.own = Some(now);
@@ -127,7 +127,7 @@
     }
 
     /// Another host was told this by the server; whether it is new.
-    pub fn hear_of(&mut self, now: Time, told: &LimitNotice) -> bool {
+    pub fn on_notice(&mut self, now: Time, told: &LimitNotice) -> bool {
         let said = Time(now.0.saturating_sub(u64::from(told.age_ms) * MILLI));
         let new = self.learn(told.limit, said);
         if new {
@@ -156,32 +156,39 @@
     }
 
     /// What the other hosts have to know; `hash` and `start` are the server's.
-    pub fn tell(&self, now: Time, hash: u64, start: u64) -> Option<LimitNotice> {
+    pub fn notice(&self, now: Time, hash: u64, start: u64) -> Option<LimitNotice> {
         let age = now.since(self.own.filter(|own| now.since(*own) < TELL)?);
         let (server, start) = (hash as u32, start as u32);
         Some(LimitNotice { server, start, limit: self.limit, age_ms: (age / MILLI) as u16 })
     }
 
     /// Forgets a limit that nobody has heard for long.
-    pub fn forget(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         if self.limit.is_some() && now.since(self.said) >= FORGET {
             *self = ServerLimit { said: now, ..ServerLimit::default() };
         }
     }
 
     /// It has to be found out anew whether this host is a sender.
-    pub fn look_again(&mut self) {
+    pub fn invalidate(&mut self) {
         self.picked = None;
     }
 
     /// Whether it has to be found out anew whether this host is a sender.
-    pub fn due(&self, now: Time) -> bool {
+    pub fn election_due(&self, now: Time) -> bool {
         self.limit.is_some() && self.picked.is_none_or(|at| now.since(at) >= PICK_EVERY)
     }
 
     /// Finds out whether this host is a sender; `own` is the hash of its address, `part` the
     /// part of the fleet that it hears.
-    pub fn pick(&mut self, now: Time, own: u64, among: &[SenderCandidate], server: u64, part: f64) {
+    pub fn elect(
+        &mut self,
+        now: Time,
+        own: u64,
+        among: &[SenderCandidate],
+        server: u64,
+        part: f64,
+    ) {
         self.picked = Some(now);
         let Some(limit) = self.limit else { return };
         let Some(share) = share(own, among, server, sender_count(limit, part)) else {
@@ -203,7 +210,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SenderCandidate {
     /// Hash of its address.
-    pub place: u64,
+    pub address_hash: u64,
     /// How much it is asked, against the others; none for 0.
     pub weight: f64,
 }
@@ -229,11 +236,12 @@
 fn share(own: u64, among: &[SenderCandidate], server: u64, senders: usize) -> Option<f64> {
     // Weighted rendezvous hashing.
     let rank = |candidate: &SenderCandidate| {
-        let draw =
-            hash::unit_interval(hash::combine(candidate.place, server)).max(f64::MIN_POSITIVE);
+        let draw = hash::unit_interval(hash::combine(candidate.address_hash, server))
+            .max(f64::MIN_POSITIVE);
         -draw.ln() / candidate.weight
     };
-    let me = among.iter().find(|candidate| candidate.place == own && candidate.weight > 0.0)?;
+    let me =
+        among.iter().find(|candidate| candidate.address_hash == own && candidate.weight > 0.0)?;
     let mut ranks: Vec<(f64, f64)> = among
         .iter()
         .filter(|candidate| candidate.weight > 0.0)
--- a/elmstream_steer/src/servers.rs
+++ b/elmstream_steer/src/servers.rs
@@ -40,12 +40,12 @@
     }
 
     /// Place of a server by the hash of its id, cut to 32 bits.
-    pub fn place(&self, hash: u32) -> Option<ServerIndex> {
+    pub fn index_by_hash(&self, hash: u32) -> Option<ServerIndex> {
         self.by_hash.get(&hash).copied()
     }
 
     /// A server by the hash of its id, cut to 32 bits, to be changed.
-    pub fn by_hash(&mut self, hash: u32) -> Option<&mut ServerEntry> {
+    pub fn get_mut_by_hash(&mut self, hash: u32) -> Option<&mut ServerEntry> {
         let index = self.by_hash.get(&hash)?;
         self.entries.get_mut(&index.0)
     }
@@ -57,7 +57,7 @@
     }
 
     /// Servers of a service.
-    pub fn of(&self, service: &str) -> impl Iterator<Item = (ServerIndex, &ServerEntry)> {
+    pub fn of_service(&self, service: &str) -> impl Iterator<Item = (ServerIndex, &ServerEntry)> {
         let places = self.by_service.get(service).into_iter().flatten();
         places.filter_map(|index| Some((*index, self.get(*index)?)))
     }
@@ -78,30 +78,30 @@
     }
 
     /// Answer times of a service.
-    pub fn pace(&self, service: &str) -> AnswerTimes {
+    pub fn answer_times(&self, service: &str) -> AnswerTimes {
         self.paces.get(service).copied().unwrap_or_default()
     }
 
     /// Servers that have fallen silent, or answer again, since this was last asked.
-    pub fn turned(&mut self, now: Time) -> Vec<(String, bool)> {
+    pub fn silence_changes(&mut self, now: Time) -> Vec<(String, bool)> {
         let paces = &self.paces;
         let pace = |service: &str| paces.get(service).copied().unwrap_or_default();
         let entries = self.entries.values_mut();
         let turned = entries.filter_map(|entry| {
-            let silent = entry.turned(now, pace(&entry.server.service))?;
+            let silent = entry.silence_change(now, pace(&entry.server.service))?;
             Some((entry.id.clone(), silent))
         });
         turned.collect()
     }
 
     /// Takes a server in as the store has it now.
-    pub fn put(&mut self, now: Time, id: &str, server: &Server, region: &str) -> ServerIndex {
+    pub fn insert(&mut self, now: Time, id: &str, server: &Server, region: &str) -> ServerIndex {
         if let Some(index) = self.find(id)
             && let Some(entry) = self.entries.get_mut(&index.0)
         {
             entry.server = server.clone();
-            entry.lapses = None;
-            entry.keep_cold(now, server.cold_ms);
+            entry.lapses_at = None;
+            entry.extend_cold(now, server.cold_ms);
             return index;
         }
         let index = ServerIndex(self.next);
@@ -125,9 +125,9 @@
     }
 
     /// Takes in what became of a request that was sent.
-    pub fn done(&mut self, now: Time, index: ServerIndex, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Time, index: ServerIndex, outcome: Outcome) {
         let Some(entry) = self.entries.get_mut(&index.0) else { return };
         let pace = self.paces.entry(entry.server.service.clone()).or_default();
-        entry.done(now, outcome, pace);
+        entry.record_outcome(now, outcome, pace);
     }
 }
--- a/elmstream_steer/src/sliding_window.rs
+++ b/elmstream_steer/src/sliding_window.rs
@@ -18,11 +18,11 @@
 impl SlidingWindow {
     /// One more request; `window` is in microseconds and the same in each call.
     pub fn add(&mut self, now: Time, window: u64) {
-        self.change(now, window, 1);
+        self.adjust(now, window, 1);
     }
 
     /// So many more requests, or fewer, up to now.
-    pub fn change(&mut self, now: Time, window: u64, by: i32) {
+    pub fn adjust(&mut self, now: Time, window: u64, by: i32) {
         let mut at = self.advance(now, window);
         if by >= 0 {
             self.counts[at] = self.counts[at].saturating_add(by as u32);
@@ -58,7 +58,7 @@
     }
 
     /// Requests of the sum that leave it within a time from now.
-    pub fn leaving(&mut self, now: Time, window: u64, within: u64) -> u32 {
+    pub fn expiring(&mut self, now: Time, window: u64, within: u64) -> u32 {
         let at = self.advance(now, window);
         let parts = (within * PARTS as u64 / window.max(1)) as usize;
         let oldest = (1..=parts.min(PARTS)).map(|n| (at + n) % self.counts.len());
--- a/elmstream_steer/src/startup.rs
+++ b/elmstream_steer/src/startup.rs
@@ -30,28 +30,28 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StartupContext {
     /// When it started.
-    pub began: Time,
+    pub started_at: Time,
     /// Whether others ask it first, or it knows of no others.
-    pub asked_first: bool,
+    pub is_seed: bool,
     /// Whether a host that it asked knows nothing either, or does not answer.
-    pub untold: bool,
+    pub has_uninformed_peer: bool,
     /// Hosts that may be running, this one included.
-    pub hosts: u64,
+    pub possible_hosts: u64,
     /// A draw from 0 up to 1, another one for each start.
     pub draw: f64,
 }
 
 impl StartupContext {
     /// Whether the host asks the store itself by now.
-    pub fn due(&self, now: Time) -> bool {
-        let waited = now.since(self.began);
-        if self.asked_first {
+    pub fn may_read(&self, now: Time) -> bool {
+        let waited = now.since(self.started_at);
+        if self.is_seed {
             return true;
         }
         if self.draw < FIRST_PART {
-            return self.untold || waited >= SEEN_BY;
+            return self.has_uninformed_peer || waited >= SEEN_BY;
         }
-        let apart = (self.hosts * APART).min(READ_SPREAD) as f64 * self.draw;
+        let apart = (self.possible_hosts * APART).min(READ_SPREAD) as f64 * self.draw;
         waited >= PEER_WAIT_MAX + apart as u64
     }
 }
--- a/elmstream_steer/src/steer.rs
+++ b/elmstream_steer/src/steer.rs
@@ -49,39 +49,39 @@
     pub(crate) settings: Settings,
     pub(crate) hash: u64,
     /// Hash of this start.
-    pub(crate) reader: u64,
+    pub(crate) start_hash: u64,
     pub(crate) started: Time,
     pub(crate) view: View,
     pub(crate) routes: RouteTable,
     pub(crate) workspaces: WorkspaceTable,
     pub(crate) quotas: Quotas,
     pub(crate) evacuated: BTreeSet<String>,
-    pub(crate) cold: HashMap<String, (u64, f64)>,
+    pub(crate) cold_settings: HashMap<String, (u64, f64)>,
     pub(crate) servers: ServerTable,
-    pub(crate) leavings: LeavingServers,
-    pub(crate) counts: HashMap<String, DecayingCount>,
-    pub(crate) divisions: HashMap<String, RegionShares>,
-    pub(crate) divided: Time,
-    pub(crate) warmth: WarmKeys,
+    pub(crate) leaving_servers: LeavingServers,
+    pub(crate) demand_counts: HashMap<String, DecayingCount>,
+    pub(crate) region_shares: HashMap<String, RegionShares>,
+    pub(crate) shares_updated: Time,
+    pub(crate) warm_keys: WarmKeys,
     pub(crate) members: Members,
     pub(crate) budgets: Budgets,
-    pub(crate) harms: PoisonTracker,
-    pub(crate) returns: ReturningCallers,
+    pub(crate) poison: PoisonTracker,
+    pub(crate) returning_callers: ReturningCallers,
     pub(crate) rollouts: Rollouts,
-    pub(crate) number: u64,
-    pub(crate) calls: StoreSchedule,
+    pub(crate) heartbeat_number: u64,
+    pub(crate) store_schedule: StoreSchedule,
     pub(crate) registry: Registry,
     /// Whether hosts that start ask this one first.
-    pub(crate) asked_first: bool,
+    pub(crate) is_seed: bool,
     /// Whether a host that this one asked could tell it nothing.
-    pub(crate) untold: bool,
+    pub(crate) has_uninformed_peer: bool,
     /// News of each table that others know and this host lacks.
-    pub(crate) behind: [Option<PendingNews>; 3],
+    pub(crate) pending_news: [Option<PendingNews>; 3],
     /// Version of each table that this host has itself read the store up to.
-    pub(crate) covered: [StoreVersion; 3],
+    pub(crate) read_up_to: [StoreVersion; 3],
     /// What hosts told of that holds on from an earlier era, as
-    /// [`crate::heartbeat::TableStatus::held`] names it.
-    pub(crate) held_taken: HashSet<u32>,
+    /// [`crate::heartbeat::TableStatus::retained_digest`] names it.
+    pub(crate) merged_retained: HashSet<u32>,
     pub(crate) store_ms: u16,
     pub(crate) ready: bool,
     /// News that hosts must not wait for have come since the last beat.
@@ -89,15 +89,15 @@
     pub(crate) leaving: bool,
     pub(crate) lenient_until: Time,
     /// Hosts that are live, this one included.
-    pub(crate) live: usize,
+    pub(crate) live_hosts: usize,
     /// Those of them whose regions are not lost.
-    pub(crate) heard: usize,
+    pub(crate) reachable: usize,
     /// Those of them that are in this host's region.
-    pub(crate) near: usize,
+    pub(crate) near_live: usize,
     /// Hosts that may be running, this one included, as far as any live host knows.
-    pub(crate) fleet: usize,
+    pub(crate) fleet_size: usize,
     /// Hashes of the addresses of hosts that may be running, with this one's first.
-    pub(crate) places: Vec<u64>,
+    pub(crate) address_hashes: Vec<u64>,
 }
 
 /// News that another host told of.
@@ -106,7 +106,7 @@
     /// Version of the table that the other host knows.
     pub(crate) version: StoreVersion,
     /// When it was first told.
-    pub(crate) at: Time,
+    pub(crate) told_at: Time,
 }
 
 /// What a change of the view brought about, for logs.
@@ -121,10 +121,10 @@
     /// A host is no longer heard of.
     HostLost(String),
     /// The store has come back from a copy.
-    StoreReturned(StoreRestored),
+    StoreRestored(StoreRestored),
     /// What held on from an earlier era of the store does no longer; what the store says is
     /// in force.
-    HoldEnded(RowKey),
+    RetentionEnded(RowKey),
     /// A service is to be rolled out to a version, or that has come so far.
     Rollout {
         /// The service.
@@ -148,7 +148,7 @@
     /// Rows that are in force in another way since.
     pub changed: usize,
     /// Rows that hold on against what the store says.
-    pub held: Vec<RowKey>,
+    pub retained: Vec<RowKey>,
 }
 
 /// What a host believes of a server.
@@ -198,49 +198,49 @@
         Steer {
             settings,
             hash,
-            reader,
+            start_hash: reader,
             started: now,
             view: View::default(),
             routes: RouteTable::default(),
             workspaces: WorkspaceTable::default(),
             quotas: Quotas::new(reader, now),
             evacuated: BTreeSet::new(),
-            cold: HashMap::new(),
+            cold_settings: HashMap::new(),
             servers: ServerTable::default(),
-            leavings: LeavingServers::default(),
-            counts: HashMap::new(),
-            divisions: HashMap::new(),
-            divided: Time(0),
-            warmth: WarmKeys::default(),
+            leaving_servers: LeavingServers::default(),
+            demand_counts: HashMap::new(),
+            region_shares: HashMap::new(),
+            shares_updated: Time(0),
+            warm_keys: WarmKeys::default(),
             members,
             budgets: Budgets::new(reader),
-            harms: PoisonTracker::default(),
-            returns: ReturningCallers::default(),
+            poison: PoisonTracker::default(),
+            returning_callers: ReturningCallers::default(),
             rollouts: Rollouts::new(reader),
-            number: 0,
-            calls: StoreSchedule::default(),
+            heartbeat_number: 0,
+            store_schedule: StoreSchedule::default(),
             registry: Registry::default(),
-            asked_first: false,
-            untold: false,
-            behind: [None; 3],
-            covered: [StoreVersion::default(); 3],
-            held_taken: HashSet::new(),
+            is_seed: false,
+            has_uninformed_peer: false,
+            pending_news: [None; 3],
+            read_up_to: [StoreVersion::default(); 3],
+            merged_retained: HashSet::new(),
             store_ms: FAR_MS,
             ready: false,
             urgent: false,
             leaving: false,
             lenient_until: Time(0),
-            live: 1,
-            heard: 1,
-            near: 1,
-            fleet: 1,
-            places: vec![place],
+            live_hosts: 1,
+            reachable: 1,
+            near_live: 1,
+            fleet_size: 1,
+            address_hashes: vec![place],
         }
     }
 
     /// What an earlier era of the store said holds on for other times than usual.
-    pub fn set_holds(&mut self, holds: Retention) {
-        self.view.set_holds(holds);
+    pub fn set_retention(&mut self, holds: Retention) {
+        self.view.set_retention(holds);
     }
 
     /// Settings of the host.
@@ -249,7 +249,7 @@
     }
 
     /// Failure domains and bounds have changed.
-    pub fn change(&mut self, domains: BTreeMap<String, String>, bounds: Bounds) {
+    pub fn reconfigure(&mut self, domains: BTreeMap<String, String>, bounds: Bounds) {
         self.settings.domains = domains;
         self.settings.bounds = bounds;
     }
@@ -286,23 +286,24 @@
 
     /// Whether callers can be served.
     pub fn serves(&self) -> bool {
-        let knows = self.version().is_some() && self.view.mark(Table::Servers).fresh.is_some();
+        let knows =
+            self.version().is_some() && self.view.watermark(Table::Servers).confirmed_at.is_some();
         // A host that starts during a roll-out does not know yet which servers are used.
-        knows && !self.leaving && (self.ready || !self.lacks_progress())
+        knows && !self.leaving && (self.ready || !self.awaits_rollout_progress())
     }
 
     /// Hosts that start ask this one first, so it does not wait for others itself.
-    pub fn asked_first(&mut self) {
-        self.asked_first = true;
+    pub fn mark_as_seed(&mut self) {
+        self.is_seed = true;
     }
 
     /// A host that this one asked knows nothing itself, or did not answer.
-    pub fn untold(&mut self) {
-        self.untold = true;
+    pub fn record_uninformed_peer(&mut self) {
+        self.has_uninformed_peer = true;
     }
 
     /// The host is about to stop.
-    pub fn leave(&mut self) {
+    pub fn start_leaving(&mut self) {
         self.leaving = true;
     }
 
@@ -318,33 +319,33 @@
     /// # Errors
     ///
     /// The request is not let in.
-    pub fn let_in(
+    pub fn authenticate(
         &self,
         now: Time,
         route: &Route,
         shown: PresentedKey,
     ) -> Result<Option<Rc<WorkspaceEntry>>, Denial> {
-        self.workspaces.admit(route, shown, self.vouches(now))
+        self.workspaces.authenticate(route, shown, self.can_deny_routes(now))
     }
 
     /// Rules on a request of a workspace by its limit, and counts it if it is within.
-    pub fn rule(&mut self, now: Time, member: &WorkspaceEntry) -> QuotaDecision {
-        self.with_quotas(now, |quotas, scene, _| quotas.rule(scene, member))
+    pub fn admit(&mut self, now: Time, member: &WorkspaceEntry) -> QuotaDecision {
+        self.with_quotas(now, |quotas, scene, _| quotas.admit(scene, member))
     }
 
     /// A request that was within its limit is sent to one more server.
-    pub fn sent_again(&mut self, now: Time, member: &WorkspaceEntry) {
-        self.with_quotas(now, |quotas, scene, _| quotas.sent_again(scene, member));
+    pub fn record_workspace_retry(&mut self, now: Time, member: &WorkspaceEntry) {
+        self.with_quotas(now, |quotas, scene, _| quotas.record_retry(scene, member));
     }
 
     /// A request that was within its limit was run by no server.
-    pub fn not_run(&mut self, now: Time, member: &WorkspaceEntry) {
-        self.with_quotas(now, |quotas, scene, _| quotas.not_run(scene, member));
+    pub fn refund_workspace(&mut self, now: Time, member: &WorkspaceEntry) {
+        self.with_quotas(now, |quotas, scene, _| quotas.refund(scene, member));
     }
 
     /// Workspaces whose requests are held back, and those that nobody sums, for metrics.
-    pub fn limits_seen(&self, now: Time) -> (usize, usize) {
-        (self.quotas.held_back(now), self.quotas.unanswered())
+    pub fn quota_counts(&self, now: Time) -> (usize, usize) {
+        (self.quotas.throttled_count(now), self.quotas.unanswered_count())
     }
 
     /// Does something with the quotas and what they rest on.
@@ -356,9 +357,13 @@
         let scene = quota::QuotaContext {
             now,
             bounds: &self.settings.bounds,
-            heard: FleetView { known: self.fleet, live: self.heard, near: self.near },
-            hosts_known: self.registry.known(),
-            places: &self.places,
+            fleet: FleetView {
+                possible: self.fleet_size,
+                live: self.reachable,
+                near: self.near_live,
+            },
+            hosts_known: self.registry.is_known(),
+            address_hashes: &self.address_hashes,
         };
         act(&mut self.quotas, &scene, &self.workspaces)
     }
@@ -366,19 +371,19 @@
     // Requests.
 
     /// Chooses the server of a request and counts it as sent.
-    pub fn send(&mut self, now: Time, ask: &PickRequest<'_>) -> Pick {
-        let arm = self.arm(now, ask);
+    pub fn pick_server(&mut self, now: Time, ask: &PickRequest<'_>) -> Pick {
+        let arm = self.pick_rollout_arm(now, ask);
         let mut choice = self.choose(now, ask, arm);
-        let falls_back =
-            matches!(arm, RolloutArm::Canary | RolloutArm::Target) && !self.has_left(ask.service);
+        let falls_back = matches!(arm, RolloutArm::Canary | RolloutArm::Target)
+            && !self.traffic_shifted(ask.service);
         if matches!(choice, Pick::Refuse(_)) && falls_back {
             choice = self.choose(now, ask, RolloutArm::Old);
         }
         if let Pick::Send(index) = choice
             && let Some(entry) = self.servers.get_mut(index)
         {
-            entry.sent(now);
-            self.sent_on_trial(ask.service, &ask.route.name, index);
+            entry.record_sent(now);
+            self.record_canary_request(ask.service, &ask.route.name, index);
         }
         choice
     }
@@ -387,114 +392,119 @@
         let host = &self.settings.host;
         let empty = RegionShares::default();
         let scene = PickContext {
-            arm,
+            rollout_arm: arm,
             now,
             started: self.started,
-            place: (&host.domain, &host.region),
+            location: (&host.domain, &host.region),
             servers: &self.servers,
             evacuated: &self.evacuated,
-            hosts: self.live,
-            hosts_known: self.registry.known(),
-            division: self.divisions.get(ask.service).unwrap_or(&empty),
-            warmth: &self.warmth,
+            live_hosts: self.live_hosts,
+            hosts_known: self.registry.is_known(),
+            region_shares: self.region_shares.get(ask.service).unwrap_or(&empty),
+            warm_keys: &self.warm_keys,
         };
         pick::pick_server(&scene, ask)
     }
 
     /// Takes in what became of a request that was sent.
-    pub fn done(&mut self, now: Time, index: ServerIndex, outcome: Outcome) {
-        self.servers.done(now, index, outcome);
+    pub fn record_outcome(&mut self, now: Time, index: ServerIndex, outcome: Outcome) {
+        self.servers.record_outcome(now, index, outcome);
     }
 
     /// Takes in what a server said of its load.
-    pub fn tell(&mut self, now: Time, index: ServerIndex, requests: u32) {
+    pub fn record_server_load(&mut self, now: Time, index: ServerIndex, requests: u32) {
         if let Some(entry) = self.servers.get_mut(index) {
-            entry.tell(now, requests);
+            entry.record_load(now, requests);
         }
     }
 
     /// A server said in an answer that it is about to leave; whether that is new.
-    pub fn says_leaving(&mut self, now: Time, index: ServerIndex) -> bool {
-        let start = self.servers.get(index).map(|entry| entry.start());
-        start.is_some_and(|start| self.learn_leaving(now, start).is_some())
+    pub fn on_server_leaving(&mut self, now: Time, index: ServerIndex) -> bool {
+        let start = self.servers.get(index).map(|entry| entry.start_hash());
+        start.is_some_and(|start| self.record_leaving(now, start).is_some())
     }
 
     /// Whether what a server has said since it was chosen still lets a request go there.
     ///
     /// A connection may take 0.4 s to come up.
-    pub fn lets_go(&self, now: Time, index: ServerIndex) -> bool {
-        self.servers.get(index).is_some_and(|entry| !entry.leaving && !entry.rests(now))
+    pub fn still_accepts(&self, now: Time, index: ServerIndex) -> bool {
+        self.servers.get(index).is_some_and(|entry| !entry.leaving && !entry.is_backing_off(now))
     }
 
     /// A server turned a request away and wants nothing from this host for a time; whether
     /// it was not at rest before.
-    pub fn asks_for_rest(&mut self, now: Time, index: ServerIndex, rest: Duration) -> bool {
+    pub fn on_server_backoff(&mut self, now: Time, index: ServerIndex, rest: Duration) -> bool {
         let Some(entry) = self.servers.get_mut(index) else { return false };
         // Servers that turn all hosts away at once do not get them all back at once.
         let draw = hash::unit_interval(hash::combine(self.hash, entry.hash ^ now.0));
         let spread = 1.0 + REST_SPREAD * draw;
-        entry.rest(now, (rest.as_micros() as f64 * spread) as u64)
+        entry.back_off(now, (rest.as_micros() as f64 * spread) as u64)
     }
 
     /// A server works on a request of a key; whether it was taken to know it.
     ///
     /// It counts as knowing it from then on, so that the key's next requests, from
     /// other hosts too, do not meet yet another server.
-    pub fn learn(&mut self, now: Time, index: ServerIndex, key: u64) -> bool {
-        let knew = self.warmth.knows(now, index, key);
+    pub fn record_warm_key(&mut self, now: Time, index: ServerIndex, key: u64) -> bool {
+        let knew = self.warm_keys.is_warm(now, index, key);
         if let Some(entry) = self.servers.get(index) {
-            self.warmth.learn(now, (index, entry.hash as u32), key);
+            self.warm_keys.record(now, (index, entry.hash as u32), key);
         }
         knew
     }
 
     /// Whether a server is taken to know a key.
-    pub fn knows(&self, now: Time, index: ServerIndex, key: u64) -> bool {
-        self.warmth.knows(now, index, key)
+    pub fn is_warm(&self, now: Time, index: ServerIndex, key: u64) -> bool {
+        self.warm_keys.is_warm(now, index, key)
     }
 
     /// A request of a service came, which earns a part of a repeat.
-    pub fn earn(&mut self, now: Time, service: &str) {
-        if let Some(count) = self.counts.get_mut(service) {
+    pub fn deposit_retry(&mut self, now: Time, service: &str) {
+        if let Some(count) = self.demand_counts.get_mut(service) {
             count.add(now);
         } else {
-            self.counts.entry(service.to_owned()).or_default().add(now);
+            self.demand_counts.entry(service.to_owned()).or_default().add(now);
         }
         let bounds = &self.settings.bounds;
-        self.budgets.earn(service, bounds.retry_ratio, bounds.retry_slack, self.places.len());
+        self.budgets.deposit(
+            service,
+            bounds.retry_ratio,
+            bounds.retry_slack,
+            self.address_hashes.len(),
+        );
     }
 
     /// Whether a request of a route, whose caller waits so many milliseconds, most
     /// likely comes from one who was refused before.
-    pub fn returns(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
-        self.returns.returns(now, route, left_ms)
+    pub fn is_returning(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
+        self.returning_callers.is_returning(now, route, left_ms)
     }
 
     /// Whether the budget has a repeat left for a service.
-    pub fn affords(&mut self, service: &str) -> bool {
-        self.budgets.affords(service)
+    pub fn can_retry(&mut self, service: &str) -> bool {
+        self.budgets.can_withdraw(service)
     }
 
     /// Spends a repeat of a service's budget, if there is one.
-    pub fn repeat(&mut self, service: &str) -> bool {
-        self.budgets.spend(service)
+    pub fn withdraw_retry(&mut self, service: &str) -> bool {
+        self.budgets.withdraw(service)
     }
 
     // Requests under which servers end.
 
     /// What is known of them.
-    pub fn harms(&self) -> &PoisonTracker {
-        &self.harms
+    pub fn poison(&self) -> &PoisonTracker {
+        &self.poison
     }
 
-    /// The same, to be changed; what other hosts must know is told by [`Steer::ended`].
-    pub fn harms_mut(&mut self) -> &mut PoisonTracker {
-        &mut self.harms
+    /// The same, to be changed; what other hosts must know is told by [`Steer::on_server_crash`].
+    pub fn poison_mut(&mut self) -> &mut PoisonTracker {
+        &mut self.poison
     }
 
     /// A server ended under a request, which was sent when so many generations of
     /// endings were `known`.
-    pub fn ended(
+    pub fn on_server_crash(
         &mut self,
         now: Time,
         unix_s: u64,
@@ -502,8 +512,8 @@
         server: u64,
         known: u8,
     ) -> PoisonChange {
-        self.leave_ended(now, server);
-        let turn = self.harms.ended(now, unix_s, digest, server, known);
+        self.mark_server_crashed(now, server);
+        let turn = self.poison.record_crash(now, unix_s, digest, server, known);
         self.urgent |= turn != PoisonChange::None;
         turn
     }
--- a/elmstream_steer/src/store_reads.rs
+++ b/elmstream_steer/src/store_reads.rs
@@ -31,11 +31,11 @@
 
 impl Steer {
     /// Whether this host has to ask the store for a table now, and why.
-    pub fn must_read(&self, now: Time, table: Table) -> Option<ReadReason> {
-        if self.rests(now, table) || table == Table::Rollouts && !self.rolls_out() {
+    pub fn due_read(&self, now: Time, table: Table) -> Option<ReadReason> {
+        if self.rests(now, table) || table == Table::Rollouts && !self.has_active_rollouts() {
             return None;
         }
-        self.calls.due(now, table, &self.scene(now, table))
+        self.store_schedule.due_read(now, table, &self.read_context(now, table))
     }
 
     /// Whether no host has a reason to ask yet, whatever its rank. That is so most of the
@@ -43,47 +43,47 @@
     fn rests(&self, now: Time, table: Table) -> bool {
         let first = reader_rank::read_delay(table, 0, self.settings.bounds.configuration_ms);
         let young = self.view.age(now, table).is_some_and(|age| age < first);
-        young && self.calls.served() && self.behind(table).is_none()
+        young && self.store_schedule.is_served() && self.behind(table).is_none()
     }
 
     /// What the host goes by as long as it knows nothing.
-    pub(crate) fn start(&self) -> StartupContext {
+    pub(crate) fn startup(&self) -> StartupContext {
         StartupContext {
-            began: self.started,
-            asked_first: self.asked_first || self.members.is_empty(),
-            untold: self.untold,
-            hosts: self.places.len() as u64,
-            draw: hash::unit_interval(hash::combine(self.reader, START_SEED)),
+            started_at: self.started,
+            is_seed: self.is_seed || self.members.is_empty(),
+            has_uninformed_peer: self.has_uninformed_peer,
+            possible_hosts: self.address_hashes.len() as u64,
+            draw: hash::unit_interval(hash::combine(self.start_hash, START_SEED)),
         }
     }
 
-    pub(crate) fn scene(&self, now: Time, table: Table) -> ReadContext {
+    pub(crate) fn read_context(&self, now: Time, table: Table) -> ReadContext {
         let staying = self.members.live(now).filter(|member| !member.leaving);
         let served = staying.filter_map(|member| {
             let place = (member.host.domain.as_str(), member.host.region.as_str());
-            Some(RankedReader { host: member.hash, millis: member.store_ms?, place })
+            Some(RankedReader { host: member.hash, read_ms: member.store_ms?, location: place })
         });
         let place = (self.settings.host.domain.as_str(), self.settings.host.region.as_str());
-        let own = RankedReader { host: self.hash, millis: self.store_ms, place };
-        let ahead = match self.calls.served() && !self.leaving {
+        let own = RankedReader { host: self.hash, read_ms: self.store_ms, location: place };
+        let ahead = match self.store_schedule.is_served() && !self.leaving {
             true => reader_rank::rank(own, served),
             false => served.count() as u64,
         };
-        let mark = self.view.mark(table);
+        let mark = self.view.watermark(table);
         let behind = self.behind(table);
-        let stamp = mark.reading.map_or(0, |reading| reading.stamp);
+        let stamp = mark.last_read.map_or(0, |reading| reading.stamp);
         // A few hosts read how far a roll-out has come when it is ordered, not all that start.
         let fresh = match table {
-            Table::Rollouts => mark.fresh.or(self.ordered_since()),
-            Table::Rules | Table::Servers => mark.fresh,
+            Table::Rollouts => mark.confirmed_at.or(self.active_rollout_since()),
+            Table::Rules | Table::Servers => mark.confirmed_at,
         };
         ReadContext {
-            fresh,
-            start: self.start(),
-            draw: hash::unit_interval(hash::combine(self.reader, stamp)),
-            ahead,
-            hosts: self.live as u64,
-            behind: behind.map(|told| told.at),
+            confirmed_at: fresh,
+            startup: self.startup(),
+            draw: hash::unit_interval(hash::combine(self.start_hash, stamp)),
+            ranked_ahead: ahead,
+            live_hosts: self.live_hosts as u64,
+            behind_since: behind.map(|told| told.told_at),
             bound_ms: self.settings.bounds.configuration_ms,
         }
     }
@@ -92,7 +92,7 @@
     ///
     /// A caller takes that for the last word. So a host says it only while its own
     /// knowledge is young, and none has told it of more.
-    pub fn vouches(&self, now: Time) -> bool {
+    pub fn can_deny_routes(&self, now: Time) -> bool {
         let bound = self.settings.bounds.configuration_ms * MILLI;
         let most = (bound as f64 * VOUCH_PART) as u64;
         let young = self.view.age(now, Table::Rules).is_some_and(|age| age < most);
@@ -101,67 +101,67 @@
 
     /// News of a table that this host was told of and still lacks.
     fn behind(&self, table: Table) -> Option<PendingNews> {
-        self.behind[table as usize].filter(|told| told.version > self.knows_up_to(table))
+        self.pending_news[table as usize].filter(|told| told.version > self.known_version(table))
     }
 
     /// The store answered this host's call for a table, which began at `asked`, with all
     /// up to `version`.
     ///
     /// That covers whatever other hosts told of before: they have it from the store.
-    pub fn store_answered(
+    pub fn record_store_answer(
         &mut self,
         table: Table,
         why: ReadReason,
         asked: Time,
         version: StoreVersion,
     ) {
-        self.calls.answered(table, why == ReadReason::Check);
-        self.view.complete(table, version);
-        let told = self.behind(table).filter(|told| told.at <= asked);
-        let covered = &mut self.covered[table as usize];
+        self.store_schedule.record_answer(table, why == ReadReason::Check);
+        self.view.mark_complete(table, version);
+        let told = self.behind(table).filter(|told| told.told_at <= asked);
+        let covered = &mut self.read_up_to[table as usize];
         let told = told.map_or(version, |told| told.version);
         *covered = version.max(*covered).max(told);
     }
 
     /// A call of this host for a table failed.
-    pub fn store_failed(&mut self, now: Time, table: Table) {
+    pub fn record_store_failure(&mut self, now: Time, table: Table) {
         let draw = self.draw(now);
-        self.calls.failed(now, table, draw);
+        self.store_schedule.record_failure(now, table, draw);
     }
 
     /// How long this host waits before it asks the store once more, in microseconds.
-    pub fn store_pause(&self, now: Time) -> u64 {
-        store_schedule::retry_pause(self.live as u64, self.draw(now))
+    pub fn store_retry_pause(&self, now: Time) -> u64 {
+        store_schedule::retry_pause(self.live_hosts as u64, self.draw(now))
     }
 
     /// A number from 0 up to 1 that differs by host and time.
     fn draw(&self, now: Time) -> f64 {
-        hash::unit_interval(hash::combine(self.reader, now.0))
+        hash::unit_interval(hash::combine(self.start_hash, now.0))
     }
 
     /// Version of a table up to which this host knows all that matters.
-    pub(crate) fn knows_up_to(&self, table: Table) -> StoreVersion {
-        self.view.mark(table).version.max(self.covered[table as usize])
+    pub(crate) fn known_version(&self, table: Table) -> StoreVersion {
+        self.view.watermark(table).version.max(self.read_up_to[table as usize])
     }
 
     /// All servers were read in this time.
-    pub fn store_read_in(&mut self, millis: u64) {
+    pub fn record_read_time(&mut self, millis: u64) {
         self.store_ms = self.store_ms.min(millis.min(u64::from(u16::MAX)) as u16);
     }
 
     /// All rows of a table as the store has them; what is not among them is gone.
-    pub fn read_all(
+    pub fn on_full_read(
         &mut self,
         now: Time,
         table: Table,
         version: StoreVersion,
         rows: Vec<Row>,
     ) -> Vec<StateChange> {
-        self.read_all_of(now, now, table, version, rows)
+        self.on_full_read_at(now, now, table, version, rows)
     }
 
     /// The same as the store had them at a moment.
-    pub fn read_all_of(
+    pub fn on_full_read_at(
         &mut self,
         now: Time,
         moment: Time,
@@ -169,28 +169,28 @@
         version: StoreVersion,
         rows: Vec<Row>,
     ) -> Vec<StateChange> {
-        let before = self.view.mark(table).version;
+        let before = self.view.watermark(table).version;
         if version < before {
             return Vec::new();
         }
         self.view.learn_era(version.era, version.count, None);
-        let first = self.view.mark(table).fresh.is_none();
-        let crossed = self.view.enter(now, table, version.era);
+        let first = self.view.watermark(table).confirmed_at.is_none();
+        let crossed = self.view.enter_era(now, table, version.era);
         let gone = if crossed { StoreVersion::absent(version.era) } else { version };
-        let rows = self.with_absent(table, gone, rows);
-        let mut changes = self.read_of(now, moment, table, rows);
+        let rows = self.with_tombstones(table, gone, rows);
+        let mut changes = self.on_changes_at(now, moment, table, rows);
         if crossed || first {
-            self.view.begin(table, version);
+            self.view.set_tombstone_floor(table, version);
         }
-        self.view.complete(table, version);
+        self.view.mark_complete(table, version);
         if crossed {
-            changes.push(self.returned(now, table, before, &changes));
+            changes.push(self.store_restored(now, table, before, &changes));
         }
         changes
     }
 
     /// Rows of a whole table, and removals of what is not among them.
-    pub(crate) fn with_absent(
+    pub(crate) fn with_tombstones(
         &self,
         table: Table,
         version: StoreVersion,
@@ -198,35 +198,40 @@
     ) -> Vec<Row> {
         let mut present: Vec<RowKey> = rows.iter().map(|row| row.key.clone()).collect();
         present.sort();
-        let gone = self.view.missing(table, &present);
+        let gone = self.view.unlisted_keys(table, &present);
         rows.extend(gone.into_iter().map(|key| Row::new(key, version, None)));
         rows
     }
 
     /// Rows that the store says have changed.
-    pub fn read(&mut self, now: Time, table: Table, rows: Vec<Row>) -> Vec<StateChange> {
-        self.read_of(now, now, table, rows)
+    pub fn on_changes(&mut self, now: Time, table: Table, rows: Vec<Row>) -> Vec<StateChange> {
+        self.on_changes_at(now, now, table, rows)
     }
 
     /// The same up to a moment. A host that stood still takes an answer in long after
     /// the store gave it, and must not pass it on as fresh.
-    pub fn read_of(
+    pub fn on_changes_at(
         &mut self,
         now: Time,
         moment: Time,
         table: Table,
         rows: Vec<Row>,
     ) -> Vec<StateChange> {
-        let changes = self.take(now, table, rows);
-        let reading = StoreRead { reader: self.reader, stamp: moment.0 / MILLI };
+        let changes = self.apply_rows(now, table, rows);
+        let reading = StoreRead { reader: self.start_hash, stamp: moment.0 / MILLI };
         // The store's counter also rises with what does not matter, so the table's
         // version is that of its last row that did.
-        let mark = self.view.mark(table).version;
+        let mark = self.view.watermark(table).version;
         self.view.confirm(now, table, mark, reading);
         changes
     }
 
-    pub(crate) fn take(&mut self, now: Time, table: Table, rows: Vec<Row>) -> Vec<StateChange> {
+    pub(crate) fn apply_rows(
+        &mut self,
+        now: Time,
+        table: Table,
+        rows: Vec<Row>,
+    ) -> Vec<StateChange> {
         let before = self.view.age(now, Table::Servers);
         if table == Table::Servers && before.is_some_and(|age| age > OUTAGE) {
             self.lenient_until = now + AFTER_OUTAGE;
@@ -235,25 +240,26 @@
         for row in rows {
             let key = row.key.clone();
             if self.view.merge(now, row) {
-                self.apply(now, &key, &mut changes);
+                self.apply_row(now, &key, &mut changes);
             }
         }
-        self.pick_cold(now);
-        self.stand(now);
+        self.elect_cold_senders(now);
+        self.assign_rollout_roles(now);
         changes
     }
 
     /// Brings the tables in line with a row of the view.
-    pub(crate) fn apply(&mut self, now: Time, key: &RowKey, changes: &mut Vec<StateChange>) {
+    pub(crate) fn apply_row(&mut self, now: Time, key: &RowKey, changes: &mut Vec<StateChange>) {
         let item = self.view.get(key).cloned();
         match (key, item) {
             (RowKey::Configuration, Some(RowContent::Configuration(configuration))) => {
                 self.routes = RouteTable::new(&configuration);
                 let workspaces = WorkspaceTable::new(&configuration);
                 let before = std::mem::replace(&mut self.workspaces, workspaces);
-                self.quotas.configured(&self.settings.bounds, &self.workspaces, &before);
+                self.quotas.on_configuration(&self.settings.bounds, &self.workspaces, &before);
                 let services = configuration.services.iter();
-                self.cold = services.map(|s| (s.name.clone(), (s.cold_ms, s.cold_per_s))).collect();
+                self.cold_settings =
+                    services.map(|s| (s.name.clone(), (s.cold_ms, s.cold_per_s))).collect();
                 self.urgent = true;
                 changes.push(StateChange::Configuration(configuration.version));
             }
@@ -272,19 +278,19 @@
                     Some(RowContent::Rollout(order)) => Some(order),
                     _ => None,
                 };
-                self.ordered(now, service, order);
+                self.on_rollout_order(now, service, order);
                 let target = order.map(|order| order.target.clone());
                 let stage = self.rollout_stage(service);
                 changes.push(StateChange::Rollout { service: service.clone(), target, stage });
             }
             (RowKey::Progress(service), _) => {
-                if let Some((target, stage)) = self.progressed(now, service) {
+                if let Some((target, stage)) = self.on_rollout_progress(now, service) {
                     let (target, stage) = (Some(target), Some(stage));
                     changes.push(StateChange::Rollout { service: service.clone(), target, stage });
                 }
             }
             (RowKey::Server(id), Some(RowContent::Server(server))) => {
-                self.saw_version(now, &server.service, &server.version);
+                self.record_version(now, &server.service, &server.version);
                 let region = self.settings.domains.get(&server.domain);
                 let region = region.cloned().unwrap_or_default();
                 if self.started_anew(id, &server) {
@@ -292,10 +298,10 @@
                     self.forget_start(id);
                     changes.push(StateChange::Server(id.clone(), ServerState::Restarted));
                 }
-                let index = self.servers.put(now, id, &server, &region);
+                let index = self.servers.insert(now, id, &server, &region);
                 if let Some(entry) = self.servers.get_mut(index) {
                     // Its entry may have gone and come back, or be older than its word.
-                    entry.leaving = self.leavings.knows(entry.start());
+                    entry.leaving = self.leaving_servers.knows(entry.start_hash());
                 }
                 let state =
                     if server.draining { ServerState::Draining } else { ServerState::Ready };
@@ -311,9 +317,9 @@
                 if now < self.lenient_until
                     && let Some(index) = self.servers.find(id)
                     && let Some(entry) = self.servers.get_mut(index)
-                    && !entry.departs()
+                    && !entry.is_leaving()
                 {
-                    entry.lapses = Some(now + LAPSE);
+                    entry.lapses_at = Some(now + LAPSE);
                     changes.push(StateChange::Server(id.clone(), ServerState::Lapsed));
                 } else {
                     self.drop_server(id, changes);
@@ -342,25 +348,25 @@
     /// Another start has come under a server's id.
     fn forget_start(&mut self, id: &str) {
         let known = self.servers.find(id).and_then(|index| self.servers.get(index));
-        if let Some(start) = known.map(|entry| entry.start()) {
-            self.leavings.forget(start);
+        if let Some(start) = known.map(|entry| entry.start_hash()) {
+            self.leaving_servers.forget(start);
         }
         self.remove(id);
     }
 
     pub(crate) fn remove(&mut self, id: &str) {
         if let Some(index) = self.servers.find(id) {
-            self.warmth.forget(index);
+            self.warm_keys.remove_server(index);
         }
         self.servers.remove(id);
     }
 
     /// Servers of a failure domain that is taken back may have turned cold.
     fn take_back(&mut self, now: Time, domain: &str) {
-        let cold = &self.cold;
+        let cold = &self.cold_settings;
         for entry in self.servers.all_mut().filter(|entry| entry.server.domain == domain) {
             let millis = cold.get(&entry.server.service).map_or(0, |(millis, _)| *millis);
-            entry.keep_cold(now, millis + RETURN_MARGIN_MS);
+            entry.extend_cold(now, millis + RETURN_MARGIN_MS);
         }
     }
 }
--- a/elmstream_steer/src/store_schedule.rs
+++ b/elmstream_steer/src/store_schedule.rs
@@ -38,17 +38,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReadContext {
     /// When the table was last known to be current; none if it is not known at all.
-    pub fresh: Option<Time>,
+    pub confirmed_at: Option<Time>,
     /// What the host goes by as long as the table is not known at all.
-    pub start: StartupContext,
+    pub startup: StartupContext,
     /// A draw from 0 up to 1, another one for each host and reading.
     pub draw: f64,
     /// Live hosts whom the store serves, and that come before this one.
-    pub ahead: u64,
+    pub ranked_ahead: u64,
     /// Live hosts, this one included.
-    pub hosts: u64,
+    pub live_hosts: u64,
     /// When this host was told of news that it still lacks.
-    pub behind: Option<Time>,
+    pub behind_since: Option<Time>,
     /// Bound on configurations, in milliseconds.
     pub bound_ms: u64,
 }
@@ -97,13 +97,13 @@
 
 impl StoreSchedule {
     /// Whether the store served the host's last calls.
-    pub fn served(&self) -> bool {
+    pub fn is_served(&self) -> bool {
         self.failures.iter().all(Option::is_none)
     }
 
     /// A call was answered. One that checked, while others read the store all along,
     /// speaks for all tables.
-    pub fn answered(&mut self, table: Table, checked: bool) {
+    pub fn record_answer(&mut self, table: Table, checked: bool) {
         if checked {
             self.failures = [None; 3];
         }
@@ -111,30 +111,30 @@
     }
 
     /// A call failed; `draw` is from 0 up to 1.
-    pub fn failed(&mut self, now: Time, table: Table, draw: f64) {
+    pub fn record_failure(&mut self, now: Time, table: Table, draw: f64) {
         self.failures[table as usize] = Some(Failure { at: now, draw });
     }
 
     /// Whether the host has to ask the store for a table now, and why.
-    pub fn due(&self, now: Time, table: Table, scene: &ReadContext) -> Option<ReadReason> {
+    pub fn due_read(&self, now: Time, table: Table, scene: &ReadContext) -> Option<ReadReason> {
         let rested = |pause: fn(&Failure, u64) -> u64| {
             let failure = self.failures[table as usize];
-            failure.is_none_or(|failure| now.since(failure.at) >= pause(&failure, scene.hosts))
+            failure.is_none_or(|failure| now.since(failure.at) >= pause(&failure, scene.live_hosts))
         };
-        let Some(fresh) = scene.fresh else {
-            let due = scene.start.due(now) && rested(Failure::pause);
+        let Some(fresh) = scene.confirmed_at else {
+            let due = scene.startup.may_read(now) && rested(Failure::pause);
             return due.then_some(ReadReason::Start);
         };
-        let (age, served) = (now.since(fresh), self.served());
-        let turn = read_delay(table, scene.ahead, scene.bound_ms);
-        if served && scene.ahead < READER_RANKS && age >= turn {
+        let (age, served) = (now.since(fresh), self.is_served());
+        let turn = read_delay(table, scene.ranked_ahead, scene.bound_ms);
+        if served && scene.ranked_ahead < READER_RANKS && age >= turn {
             return Some(ReadReason::Rank);
         }
         if scene.lacks(now) && rested(Failure::behind) {
             return Some(ReadReason::Behind);
         }
-        let turn = read_delay(table, scene.ahead.max(1), scene.bound_ms);
-        let spread = drawn(scene.hosts, scene.draw);
+        let turn = read_delay(table, scene.ranked_ahead.max(1), scene.bound_ms);
+        let spread = drawn(scene.live_hosts, scene.draw);
         if age >= turn + spread && rested(Failure::pause) {
             return Some(ReadReason::Slot);
         }
@@ -151,8 +151,8 @@
 impl ReadContext {
     /// Whether this host has lacked for long what others have told it of.
     fn lacks(&self, now: Time) -> bool {
-        let apart = (self.hosts * BEHIND_SLOT).min(BEHIND_SPREAD) as f64 * self.draw;
-        self.behind.is_some_and(|since| now.since(since) >= BEHIND_WAIT + apart as u64)
+        let apart = (self.live_hosts * BEHIND_SLOT).min(BEHIND_SPREAD) as f64 * self.draw;
+        self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_WAIT + apart as u64)
     }
 }
 
--- a/elmstream_steer/src/stored_row.rs
+++ b/elmstream_steer/src/stored_row.rs
@@ -14,21 +14,21 @@
     /// Version of the last change that matters.
     pub version: StoreVersion,
     /// Newest version that was seen.
-    pub seen: StoreVersion,
-    pub item: Option<RowContent>,
-    pub at: Time,
-    pub counts: RemovedCounters,
+    pub last_version: StoreVersion,
+    pub content: Option<RowContent>,
+    pub changed_at: Time,
+    pub removed_counters: RemovedCounters,
     /// The version that it had in an earlier era, if the store says the same in this one.
-    pub carried: Option<StoreVersion>,
+    pub carried_from: Option<StoreVersion>,
     /// What the store's era says, if this holds on from an earlier one against it.
-    pub copy: Option<StoreCopy>,
+    pub store_copy: Option<StoreCopy>,
 }
 
 /// What the store says, and is not in force yet.
 #[derive(Clone, Debug)]
 pub(crate) struct StoreCopy {
     pub version: StoreVersion,
-    pub item: Option<RowContent>,
+    pub content: Option<RowContent>,
 }
 
 /// What a row that was taken in came to.
@@ -37,52 +37,62 @@
     /// Nothing new.
     Nothing,
     /// What the store says has changed, but not what is in force.
-    Noted,
+    Recorded,
     /// What is in force has changed.
     Changed,
 }
 
 impl StoredRow {
     pub fn new(now: Time, version: StoreVersion, item: Option<RowContent>) -> StoredRow {
-        StoredRow { version, seen: version, item, at: now, counts: None, carried: None, copy: None }
+        StoredRow {
+            version,
+            last_version: version,
+            content: item,
+            changed_at: now,
+            removed_counters: None,
+            carried_from: None,
+            store_copy: None,
+        }
     }
 
     /// What an earlier era said, if the row is not of the store's own.
-    pub fn earlier<'a>(&'a self, key: &'a RowKey) -> EarlierRow<'a> {
-        EarlierRow { key, item: self.item.as_ref(), counts: self.counts }
+    pub fn as_earlier<'a>(&'a self, key: &'a RowKey) -> EarlierRow<'a> {
+        EarlierRow { key, content: self.content.as_ref(), removed_counters: self.removed_counters }
     }
 
     /// Takes in what the store says.
-    pub fn take(&mut self, now: Time, row: &Row, era: &Era, holds: &Retention) -> Effect {
-        let newest = self.copy.as_ref().map_or(self.seen, |copy| copy.version);
+    pub fn merge(&mut self, now: Time, row: &Row, era: &Era, holds: &Retention) -> Effect {
+        let newest = self.store_copy.as_ref().map_or(self.last_version, |copy| copy.version);
         if newest >= row.version {
             return Effect::Nothing;
         }
-        let (before, new) = (self.item.as_ref(), row.item.as_ref());
-        let crosses = row.version.era > self.seen.era;
+        let (before, new) = (self.content.as_ref(), row.content.as_ref());
+        let crosses = row.version.era > self.last_version.era;
         if crosses {
-            let until = era.holds_until(holds, self.earlier(&row.key), (row.version, new));
+            let until = era.retained_until(holds, self.as_earlier(&row.key), (row.version, new));
             if until.is_some_and(|until| now < until) {
-                let known =
-                    self.copy.replace(StoreCopy { version: row.version, item: row.item.clone() });
-                let again = known.is_some_and(|known| same_content(known.item.as_ref(), new));
-                return if again { Effect::Nothing } else { Effect::Noted };
+                let known = self
+                    .store_copy
+                    .replace(StoreCopy { version: row.version, content: row.content.clone() });
+                let again = known.is_some_and(|known| same_content(known.content.as_ref(), new));
+                return if again { Effect::Nothing } else { Effect::Recorded };
             }
         } else if goes_back(before, new) {
             return Effect::Nothing;
         }
-        let against = self.copy.take().is_some();
-        let seen = std::mem::replace(&mut self.seen, row.version);
+        let against = self.store_copy.take().is_some();
+        let seen = std::mem::replace(&mut self.last_version, row.version);
         if !same(before, new) {
             // A copy may be of before the last return, when the row had other counters.
-            let known = self.item.is_some() && self.carried.is_none();
+            let known = self.content.is_some() && self.carried_from.is_none();
             let there = known.then_some([self.version, seen]);
-            *self = StoredRow::new(now, row.version, row.item.clone());
-            self.counts = row.counts.or(there.map(|there| there.map(|at| at.count)));
+            *self = StoredRow::new(now, row.version, row.content.clone());
+            self.removed_counters =
+                row.removed_counters.or(there.map(|there| there.map(|at| at.count)));
             return Effect::Changed;
         }
         if let (Some(RowContent::Server(known)), Some(RowContent::Server(new))) =
-            (&mut self.item, new)
+            (&mut self.content, new)
         {
             known.entries = new.entries;
         }
@@ -93,43 +103,46 @@
         }
         // Others may have read something else before it was written again.
         if against || crosses {
-            self.carried = Some(self.version);
+            self.carried_from = Some(self.version);
         }
         self.version = row.version;
-        Effect::Noted
+        Effect::Recorded
     }
 
     /// What the store says, with a version of its era.
-    pub fn says(&self, era: u64) -> (StoreVersion, Option<RowContent>) {
-        match &self.copy {
-            Some(copy) => (copy.version, copy.item.clone()),
-            None => (self.seen.max(StoreVersion::absent(era)), self.item.clone()),
+    pub fn as_stored(&self, era: u64) -> (StoreVersion, Option<RowContent>) {
+        match &self.store_copy {
+            Some(copy) => (copy.version, copy.content.clone()),
+            None => (self.last_version.max(StoreVersion::absent(era)), self.content.clone()),
         }
     }
 
     /// What the store says, with the version of its last change that matters.
-    pub fn said(&self, key: &RowKey) -> Row {
-        match &self.copy {
-            Some(copy) => Row::new(key.clone(), copy.version, copy.item.clone()),
+    pub fn to_stored_row(&self, key: &RowKey) -> Row {
+        match &self.store_copy {
+            Some(copy) => Row::new(key.clone(), copy.version, copy.content.clone()),
             None => self.in_force(key),
         }
     }
 
     /// Whether a host that knew the table up to a version of an earlier era knows the row.
-    pub fn known_by(&self, version: StoreVersion) -> bool {
-        let carried = self.carried.is_some_and(|carried| carried <= version);
-        self.copy.is_none() && carried && version.era < self.version.era
+    pub fn is_known_at(&self, version: StoreVersion) -> bool {
+        let carried = self.carried_from.is_some_and(|carried| carried <= version);
+        self.store_copy.is_none() && carried && version.era < self.version.era
     }
 
     /// What is in force.
     pub fn in_force(&self, key: &RowKey) -> Row {
-        let counts = self.counts;
-        Row { counts, ..Row::new(key.clone(), self.version, self.item.clone()) }
+        let counts = self.removed_counters;
+        Row {
+            removed_counters: counts,
+            ..Row::new(key.clone(), self.version, self.content.clone())
+        }
     }
 
     /// Whether the store has the row.
-    pub fn is_there(&self) -> bool {
-        self.copy.as_ref().map_or(self.item.is_some(), |copy| copy.item.is_some())
+    pub fn exists_in_store(&self) -> bool {
+        self.store_copy.as_ref().map_or(self.content.is_some(), |copy| copy.content.is_some())
     }
 
     /// Whether what holds on here goes before what holds on at another host.
@@ -138,8 +151,8 @@
             Some(RowContent::Configuration(configuration)) => (configuration.version, version),
             _ => (0, version),
         };
-        let own = rank(self.item.as_ref(), self.version);
-        self.copy.is_some() && own >= rank(other.item.as_ref(), other.version)
+        let own = rank(self.content.as_ref(), self.version);
+        self.store_copy.is_some() && own >= rank(other.content.as_ref(), other.version)
     }
 }
 
@@ -153,9 +166,9 @@
         }
         (Some(RowContent::Configuration(_)), _) => true,
         (Some(RowContent::Progress(known)), Some(RowContent::Progress(new))) => {
-            known.order == new.order && known.stage.ends() && new.stage != known.stage
+            known.order == new.order && known.stage.is_final() && new.stage != known.stage
         }
-        (Some(RowContent::Progress(known)), _) => known.stage.ends(),
+        (Some(RowContent::Progress(known)), _) => known.stage.is_final(),
         _ => false,
     }
 }
--- a/elmstream_steer/src/tally.rs
+++ b/elmstream_steer/src/tally.rs
@@ -60,22 +60,22 @@
     /// The workspace's id.
     pub workspace: u64,
     /// Requests since the host's start, modulo 2^32.
-    pub asked: u32,
+    pub requested: u32,
     /// Those of them that were let through, modulo 2^32.
-    pub let_through: u32,
+    pub admitted: u32,
     /// Those that were let through in the window up to now.
-    pub used: u32,
+    pub used_in_window: u32,
 }
 
 /// A host's report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReport {
     /// Hash of the host's start.
-    pub reader: u64,
+    pub start_hash: u64,
     /// What workspaces asked and used.
     pub uses: Vec<WorkspaceUsage>,
     /// Whether hosts that rank before the receiver did not answer.
-    pub in_vain: bool,
+    pub earlier_unanswered: bool,
 }
 
 /// What part of a workspace's requests may be let through.
@@ -84,18 +84,18 @@
     /// The workspace's id.
     pub workspace: u64,
     /// The part, 65,535 for all.
-    pub part: u16,
+    pub fraction: u16,
 }
 
 impl AdmitFraction {
     /// A part from 0 to 1.
     pub fn new(workspace: u64, part: f64) -> AdmitFraction {
-        AdmitFraction { workspace, part: (part * f64::from(u16::MAX)) as u16 }
+        AdmitFraction { workspace, fraction: (part * f64::from(u16::MAX)) as u16 }
     }
 
     /// The part, from 0 to 1.
     pub fn value(&self) -> f64 {
-        f64::from(self.part) / f64::from(u16::MAX)
+        f64::from(self.fraction) / f64::from(u16::MAX)
     }
 }
 
@@ -103,9 +103,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BroadcastFraction {
     /// The part.
-    pub part: AdmitFraction,
+    pub fraction: AdmitFraction,
     /// Hash of the address of the host that worked it out, cut to 32 bits.
-    pub place: u32,
+    pub address_hash: u32,
     /// When that was, in milliseconds of that host's clock, modulo 2^32.
     pub stamp: u32,
 }
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FractionBroadcast {
     /// The parts.
-    pub parts: Vec<BroadcastFraction>,
+    pub fractions: Vec<BroadcastFraction>,
     /// Hosts that the receiver passes them on to: those the hashes of whose addresses are
     /// from the first one up to the second one; none if both are alike.
     pub arc: (u64, u64),
@@ -124,16 +124,16 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReply {
     /// Hash of the address of the host that sums.
-    pub place: u64,
+    pub address_hash: u64,
     /// Parts of the workspaces of the report.
-    pub parts: Vec<AdmitFraction>,
+    pub fractions: Vec<AdmitFraction>,
 }
 
 /// How much of the fleet a host knows and hears.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView {
     /// Hosts that may be running, this one included.
-    pub known: usize,
+    pub possible: usize,
     /// Those of them that are heard, this one included.
     pub live: usize,
     /// Those of them that are in this host's region.
@@ -146,19 +146,19 @@
     /// Hosts that are not heard may have been cut off and go on by themselves, so their
     /// part of the limit is left to them.
     fn part(self) -> f64 {
-        self.live as f64 / self.known.max(self.live).max(1) as f64
+        self.live as f64 / self.possible.max(self.live).max(1) as f64
     }
 
     /// The part of the fleet that this host sums for while others who rank before it do
     /// not answer: they may have been lost with their regions, which shows only seconds
     /// later.
     fn part_near(self) -> f64 {
-        self.near.min(self.live) as f64 / self.known.max(self.live).max(1) as f64
+        self.near.min(self.live) as f64 / self.possible.max(self.live).max(1) as f64
     }
 
     /// Whether so few are heard that each goes by its own part.
-    pub fn alone(self) -> bool {
-        self.known > 1 && (self.live == 1 || self.live * FEW <= self.known)
+    pub fn is_isolated(self) -> bool {
+        self.possible > 1 && (self.live == 1 || self.live * FEW <= self.possible)
     }
 }
 
@@ -180,15 +180,15 @@
 /// What one host last reported.
 #[derive(Clone, Copy, Debug)]
 struct HostReport {
-    asked: u32,
-    let_through: u32,
-    used: u32,
+    requested: u32,
+    admitted: u32,
+    used_in_window: u32,
     at: Time,
 }
 
 impl HostReport {
     fn silent(&self, now: Time, window: u64) -> bool {
-        let apart = window / u64::from(self.used.max(1));
+        let apart = window / u64::from(self.used_in_window.max(1));
         (SILENT.max(apart * SILENT_TIMES)..window).contains(&now.since(self.at))
     }
 }
@@ -229,43 +229,43 @@
 
 impl Tally {
     /// A host told of its requests.
-    pub fn hear(&mut self, now: Time, window: u64, from: &UsageReport, told: WorkspaceUsage) {
+    pub fn on_report(&mut self, now: Time, window: u64, from: &UsageReport, told: WorkspaceUsage) {
         self.advance(now);
-        let reader = from.reader;
-        if !from.in_vain {
+        let reader = from.start_hash;
+        if !from.earlier_unanswered {
             self.first_asked = now;
         }
-        let WorkspaceUsage { asked, let_through, used, .. } = told;
-        let new = HostReport { asked, let_through, used, at: now };
-        let asked = match self.hosts.insert(reader, new) {
+        let WorkspaceUsage { requested, admitted, used_in_window, .. } = told;
+        let new = HostReport { requested, admitted, used_in_window, at: now };
+        let requested = match self.hosts.insert(reader, new) {
             // Reports that come out of order show less than is known.
-            Some(old) if (asked.wrapping_sub(old.asked) as i32) < 0 => {
+            Some(old) if (requested.wrapping_sub(old.requested) as i32) < 0 => {
                 self.hosts.insert(reader, old);
                 return;
             }
             Some(old) => {
-                let more = let_through.wrapping_sub(old.let_through) as i32;
-                self.used.change(now, window, more);
+                let more = admitted.wrapping_sub(old.admitted) as i32;
+                self.used.adjust(now, window, more);
                 self.heard += i64::from(more);
-                asked.wrapping_sub(old.asked)
+                requested.wrapping_sub(old.requested)
             }
             None => {
-                let latest = used.min(FIRST_ASKED);
-                self.used.change(now, window, latest as i32);
+                let latest = used_in_window.min(FIRST_ASKED);
+                self.used.adjust(now, window, latest as i32);
                 self.heard += i64::from(latest);
-                self.used.add_spread(now, window, used - latest, reader);
-                asked.min(FIRST_ASKED)
+                self.used.add_spread(now, window, used_in_window - latest, reader);
+                requested.min(FIRST_ASKED)
             }
         };
         let at = (self.step % STEPS as u64) as usize;
-        self.asked[at] = self.asked[at].saturating_add(asked);
+        self.asked[at] = self.asked[at].saturating_add(requested);
     }
 
     /// The part of the workspace's requests that may be let through.
     ///
     /// `age` is how long this host has been running: what was let through before is not
     /// known, so the whole limit is taken to have been used.
-    pub fn part(
+    pub fn fraction(
         &mut self,
         now: Time,
         bounds: &Bounds,
@@ -283,7 +283,7 @@
         let room = self.room(now, bounds, workspace, heard);
         let young = self.young(bounds, workspace, heard, age);
         let mut share_out = |span: u64| {
-            let leaving = f64::from(self.used.leaving(now, window, span));
+            let leaving = f64::from(self.used.expiring(now, window, span));
             let young = young.map_or(f64::MAX, |young| young.room(span));
             let asked = self.rate() * span as f64 / 1e6;
             (young.min(room + leaving) / asked.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0)
@@ -298,10 +298,10 @@
         let window = window(bounds);
         let kept = |at: u64| 1.0 - (at.min(window) as f64 / window as f64);
         let limit = limit(bounds, workspace);
-        let own_part = limit / heard.known.max(1) as f64;
+        let own_part = limit / heard.possible.max(1) as f64;
         let silent = self.hosts.values().filter(|told| told.silent(now, window));
         // What a silent host let through before is in the sum until it leaves the window.
-        let counted = silent.map(|told| f64::from(told.used) * kept(now.since(told.at)));
+        let counted = silent.map(|told| f64::from(told.used_in_window) * kept(now.since(told.at)));
         let left: f64 = counted.map(|counted| (own_part - counted).max(0.0)).sum();
         let used = f64::from(self.used.sum(now, window)) + left;
         let stands_in = now.since(self.first_asked) > STANDS_IN;
@@ -325,7 +325,7 @@
 
     /// What hosts have to know that do not report, and when it was worked out; none if
     /// all their requests may be let through.
-    pub fn told(&self, now: Time) -> Option<(f64, Time)> {
+    pub fn broadcast_fraction(&self, now: Time) -> Option<(f64, Time)> {
         let at = self.worked_out.filter(|at| now.since(*at) < SLOW)?;
         (self.told < 1.0).then_some((self.told, at))
     }
@@ -349,7 +349,7 @@
     }
 
     /// Whether nothing has been told for long.
-    pub fn idle(&self, now: Time) -> bool {
+    pub fn is_idle(&self, now: Time) -> bool {
         self.hosts.values().all(|told| now.since(told.at) >= REMEMBERED)
     }
 
--- a/elmstream_steer/src/view.rs
+++ b/elmstream_steer/src/view.rs
@@ -122,9 +122,9 @@
     /// The store's version of the last change that matters.
     pub version: StoreVersion,
     /// The content; none if the row was removed.
-    pub item: Option<RowContent>,
+    pub content: Option<RowContent>,
     /// The counters at which it was there before, if it was removed and they are known.
-    pub counts: RemovedCounters,
+    pub removed_counters: RemovedCounters,
 }
 
 /// The store's counters at which a row was there before it was removed: of its last change
@@ -134,7 +134,7 @@
 impl Row {
     /// A row as the store has it.
     pub fn new(key: RowKey, version: StoreVersion, item: Option<RowContent>) -> Row {
-        Row { key, version, item, counts: None }
+        Row { key, version, content: item, removed_counters: None }
     }
 }
 
@@ -142,16 +142,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     rows: BTreeMap<RowKey, StoredRow>,
-    marks: [Watermark; 3],
+    watermarks: [Watermark; 3],
     /// Readings of each host that are known of.
     seen: [HashMap<u64, ReaderClock>; 3],
     era: Era,
-    holds: Retention,
+    retention: Retention,
     /// Whether any row may hold on against what the store says.
     holding: bool,
     /// Versions up to which each table was known when the era began here; none if nothing
     /// was.
-    bridges: [Option<StoreVersion>; 3],
+    era_bridges: [Option<StoreVersion>; 3],
     /// Digests of the keys of each table; none if they have changed since.
     digests: [Cell<Option<u32>>; 3],
 }
@@ -172,33 +172,33 @@
     /// Version up to which all changes that matter are known; 0 for nothing.
     pub version: StoreVersion,
     /// When the store was last known to say just this.
-    pub fresh: Option<Time>,
+    pub confirmed_at: Option<Time>,
     /// The reading that this rests on.
-    pub reading: Option<StoreRead>,
+    pub last_read: Option<StoreRead>,
     /// Removals since this version are known. A first whole reading shows nothing of what
     /// went before it, so what is told from before this version on lacks removals.
-    pub floor: StoreVersion,
+    pub tombstone_floor: StoreVersion,
     /// Version up to which nothing is missing, removals too; the table's own may be lower,
     /// as the store's counter rises with what does not matter.
-    pub complete: StoreVersion,
+    pub complete_to: StoreVersion,
 }
 
 impl Watermark {
     /// Version up to which nothing is missing, by what was read and what was told.
-    pub fn complete(&self) -> StoreVersion {
-        self.complete.max(self.version)
+    pub fn complete_version(&self) -> StoreVersion {
+        self.complete_to.max(self.version)
     }
 }
 
 impl View {
     /// How far a table is known.
-    pub fn mark(&self, table: Table) -> Watermark {
-        self.marks[table as usize]
+    pub fn watermark(&self, table: Table) -> Watermark {
+        self.watermarks[table as usize]
     }
 
     /// Age of what is known of a table, in microseconds; none if nothing is known.
     pub fn age(&self, now: Time, table: Table) -> Option<u64> {
-        self.mark(table).fresh.map(|fresh| now.since(fresh))
+        self.watermark(table).confirmed_at.map(|fresh| now.since(fresh))
     }
 
     /// A reading showed that the table is current up to `version`.
@@ -207,7 +207,7 @@
     /// took longer on its way than others of that host counts as that much older, so that
     /// a reader's last reading is not taken for a fresh one when it comes late.
     pub fn confirm(&mut self, now: Time, table: Table, version: StoreVersion, reading: StoreRead) {
-        let mark = &mut self.marks[table as usize];
+        let mark = &mut self.watermarks[table as usize];
         mark.version = mark.version.max(version);
         let seems = (now.0 / MILLI) as i64 - reading.stamp as i64;
         let new = ReaderClock { stamp: 0, least: seems };
@@ -218,9 +218,9 @@
         *seen = ReaderClock { stamp: reading.stamp, least: seen.least.min(seems) };
         let late = (seems - seen.least) as u64 * MILLI;
         let fresh = Time(now.0.saturating_sub(late));
-        if mark.fresh.is_none_or(|known| fresh > known) {
-            mark.fresh = Some(fresh);
-            mark.reading = Some(reading);
+        if mark.confirmed_at.is_none_or(|known| fresh > known) {
+            mark.confirmed_at = Some(fresh);
+            mark.last_read = Some(reading);
         }
     }
 
@@ -230,61 +230,61 @@
     }
 
     /// How long what an earlier era said holds on, in place of the usual.
-    pub fn set_holds(&mut self, holds: Retention) {
-        self.holds = holds;
+    pub fn set_retention(&mut self, holds: Retention) {
+        self.retention = holds;
     }
 
-    /// The store has an era, in whose first reading its counter was `first`, and which was
-    /// known of since it `began`.
-    pub fn learn_era(&mut self, number: u64, first: u64, began: Option<Time>) {
+    /// The store has an era, in whose first reading its counter was `first_count`, and which
+    /// has been known of since `known_since`.
+    pub fn learn_era(&mut self, number: u64, first_count: u64, known_since: Option<Time>) {
         if number > self.era.number {
-            self.era = Era { number, first, began };
+            self.era = Era { number, first_count, known_since };
             // What the era before said and was not in force is gone with it.
-            self.rows.values_mut().for_each(|row| row.copy = None);
+            self.rows.values_mut().for_each(|row| row.store_copy = None);
             self.digests.iter().for_each(|digest| digest.set(None));
         } else if number == self.era.number {
-            self.era.first = self.era.first.min(first);
-            self.era.began = self.era.began.into_iter().chain(began).min();
+            self.era.first_count = self.era.first_count.min(first_count);
+            self.era.known_since = self.era.known_since.into_iter().chain(known_since).min();
         }
     }
 
     /// A table is known from an era from now on; whether it was known from an earlier one.
-    pub fn enter(&mut self, now: Time, table: Table, number: u64) -> bool {
+    pub fn enter_era(&mut self, now: Time, table: Table, number: u64) -> bool {
         let place = table as usize;
-        let mark = self.marks[place];
+        let mark = self.watermarks[place];
         if number <= mark.version.era {
             return false;
         }
-        if let Some(read) = mark.fresh {
+        if let Some(read) = mark.confirmed_at {
             // A host that starts may know one table of the new era first, and the other one
             // from a host that does not know of it.
             let began = if now.since(read) < RECENT { now } else { read };
-            self.era.began.get_or_insert(began);
+            self.era.known_since.get_or_insert(began);
         }
-        self.bridges[place] = mark.fresh.map(|_| mark.version);
-        self.marks[place].version = StoreVersion::absent(number);
+        self.era_bridges[place] = mark.confirmed_at.map(|_| mark.version);
+        self.watermarks[place].version = StoreVersion::absent(number);
         self.digests[place].set(None);
-        mark.fresh.is_some()
+        mark.confirmed_at.is_some()
     }
 
     /// Takes a row in; whether it changed what is in force.
     pub fn merge(&mut self, now: Time, row: Row) -> bool {
         let (place, version) = (row.key.table() as usize, row.version);
         let effect = match self.rows.get_mut(&row.key) {
-            Some(known) => known.take(now, &row, &self.era, &self.holds),
+            Some(known) => known.merge(now, &row, &self.era, &self.retention),
             None => {
                 // A removal of what was never known still has to outlive late news.
-                let effect = row.item.as_ref().map_or(Effect::Nothing, |_| Effect::Changed);
-                let mut kept = StoredRow::new(now, version, row.item);
-                kept.counts = row.counts;
+                let effect = row.content.as_ref().map_or(Effect::Nothing, |_| Effect::Changed);
+                let mut kept = StoredRow::new(now, version, row.content);
+                kept.removed_counters = row.removed_counters;
                 self.rows.insert(row.key, kept);
                 effect
             }
         };
-        self.holding |= effect == Effect::Noted;
+        self.holding |= effect == Effect::Recorded;
         if effect != Effect::Nothing {
             self.digests[place].set(None);
-            let mark = &mut self.marks[place];
+            let mark = &mut self.watermarks[place];
             mark.version = mark.version.max(version);
         }
         effect == Effect::Changed
@@ -292,31 +292,38 @@
 
     /// Takes in what another host has in force from an earlier era; whether it changed what
     /// is in force here.
-    pub fn merge_earlier(&mut self, now: Time, row: Row) -> bool {
+    pub fn merge_retained(&mut self, now: Time, row: Row) -> bool {
         if row.version.era >= self.era.number {
             return false;
         }
         // A host that has just started goes by the others, who hold on to it.
-        self.era.began.get_or_insert(now);
+        self.era.known_since.get_or_insert(now);
         let era = self.era;
         let lacking = || StoredRow::new(now, StoreVersion::absent(era.number), None);
         let known = self.rows.get(&row.key).cloned().unwrap_or_else(lacking);
         // A host that was behind in the earlier era may hold on to what had changed since.
         let behind =
             |carried: StoreVersion| carried.era == row.version.era && carried >= row.version;
-        let later = known.carried.is_some_and(behind);
-        if later || same_content(known.item.as_ref(), row.item.as_ref()) || known.outranks(&row) {
+        let later = known.carried_from.is_some_and(behind);
+        if later
+            || same_content(known.content.as_ref(), row.content.as_ref())
+            || known.outranks(&row)
+        {
             return false;
         }
-        let (version, item) = known.says(era.number);
-        let earlier = EarlierRow { key: &row.key, item: row.item.as_ref(), counts: row.counts };
-        let until = era.holds_until(&self.holds, earlier, (version, item.as_ref()));
+        let (version, item) = known.as_stored(era.number);
+        let earlier = EarlierRow {
+            key: &row.key,
+            content: row.content.as_ref(),
+            removed_counters: row.removed_counters,
+        };
+        let until = era.retained_until(&self.retention, earlier, (version, item.as_ref()));
         if until.is_none_or(|until| now >= until) {
             return false;
         }
-        let mut kept = StoredRow::new(now, row.version, row.item);
-        kept.counts = row.counts;
-        kept.copy = Some(StoreCopy { version, item });
+        let mut kept = StoredRow::new(now, row.version, row.content);
+        kept.removed_counters = row.removed_counters;
+        kept.store_copy = Some(StoreCopy { version, content: item });
         self.digests[row.key.table() as usize].set(None);
         self.rows.insert(row.key, kept);
         self.holding = true;
@@ -325,18 +332,18 @@
 
     /// Ends what has held on for long enough against what the store says; the rows in which
     /// that changed what is in force.
-    pub fn end_holds(&mut self, now: Time) -> Vec<RowKey> {
-        let (era, holds) = (self.era, self.holds);
+    pub fn end_retention(&mut self, now: Time) -> Vec<RowKey> {
+        let (era, holds) = (self.era, self.retention);
         let mut ended = Vec::new();
         if !std::mem::take(&mut self.holding) {
             return ended;
         }
         for (key, row) in &mut self.rows {
-            let Some(copy) = &row.copy else { continue };
-            let said = (copy.version, copy.item.as_ref());
-            let until = era.holds_until(&holds, row.earlier(key), said);
+            let Some(copy) = &row.store_copy else { continue };
+            let said = (copy.version, copy.content.as_ref());
+            let until = era.retained_until(&holds, row.as_earlier(key), said);
             if until.is_none_or(|until| now >= until) {
-                *row = StoredRow::new(now, copy.version, copy.item.clone());
+                *row = StoredRow::new(now, copy.version, copy.content.clone());
                 self.digests[key.table() as usize].set(None);
                 ended.push(key.clone());
             } else {
@@ -348,51 +355,54 @@
 
     /// Rows of a table in which an earlier era holds on against what the store says, as
     /// they are in force.
-    pub fn held(&self, table: Table) -> Vec<Row> {
-        let rows = self.rows.iter().filter(|(key, row)| key.table() == table && row.copy.is_some());
+    pub fn retained(&self, table: Table) -> Vec<Row> {
+        let rows =
+            self.rows.iter().filter(|(key, row)| key.table() == table && row.store_copy.is_some());
         rows.map(|(key, row)| row.in_force(key)).collect()
     }
 
     /// Number of such rows in all tables, for metrics.
-    pub fn held_count(&self) -> usize {
-        self.rows.values().filter(|row| row.copy.is_some()).count()
+    pub fn retained_count(&self) -> usize {
+        self.rows.values().filter(|row| row.store_copy.is_some()).count()
     }
 
     /// Tells such rows of a table from others; 0 if there are none.
-    pub fn held_digest(&self, table: Table) -> u32 {
+    pub fn retained_digest(&self, table: Table) -> u32 {
         if !self.holding {
             return 0;
         }
-        let rows = self.rows.iter().filter(|(key, row)| key.table() == table && row.copy.is_some());
+        let rows =
+            self.rows.iter().filter(|(key, row)| key.table() == table && row.store_copy.is_some());
         let each = rows.map(|(key, row)| hash::combine(key.hash(), row.version.count));
         each.fold(0, |sum, hash| sum ^ hash as u32)
     }
 
     /// The first whole reading of a table, or of an era of it, was of this version: what went
     /// before it is not known here.
-    pub fn begin(&mut self, table: Table, version: StoreVersion) {
-        self.marks[table as usize].floor = version;
+    pub fn set_tombstone_floor(&mut self, table: Table, version: StoreVersion) {
+        self.watermarks[table as usize].tombstone_floor = version;
     }
 
     /// Nothing is missing of a table up to a version.
-    pub fn complete(&mut self, table: Table, version: StoreVersion) {
-        let mark = &mut self.marks[table as usize];
-        mark.complete = mark.complete.max(version);
+    pub fn mark_complete(&mut self, table: Table, version: StoreVersion) {
+        let mark = &mut self.watermarks[table as usize];
+        mark.complete_to = mark.complete_to.max(version);
     }
 
     /// Tells the keys that the store has in a table, as far as is known, from others.
     pub fn keys_digest(&self, table: Table) -> u32 {
         let digest = &self.digests[table as usize];
         let known = digest.get();
-        let all = || self.keys(table).into_iter().fold(0, |sum, key| sum ^ key);
+        let all = || self.key_hashes(table).into_iter().fold(0, |sum, key| sum ^ key);
         let sum = known.unwrap_or_else(all);
         digest.set(Some(sum));
         sum
     }
 
     /// Hashes of the keys that the store has in a table, as far as is known, sorted.
-    pub fn keys(&self, table: Table) -> Vec<u32> {
-        let there = self.rows.iter().filter(|(key, row)| key.table() == table && row.is_there());
+    pub fn key_hashes(&self, table: Table) -> Vec<u32> {
+        let there =
+            self.rows.iter().filter(|(key, row)| key.table() == table && row.exists_in_store());
         let mut keys: Vec<u32> = there.map(|(key, _)| key.hash() as u32).collect();
         keys.sort_unstable();
         keys
@@ -400,90 +410,103 @@
 
     /// Removals of what is not among the keys that the store had at a version, by their sorted
     /// hashes.
-    pub fn unlisted(&self, table: Table, keys: &[u32], version: StoreVersion) -> Vec<Row> {
-        let there = self.rows.iter().filter(|(key, row)| key.table() == table && row.is_there());
+    pub fn tombstones_for_unlisted(
+        &self,
+        table: Table,
+        keys: &[u32],
+        version: StoreVersion,
+    ) -> Vec<Row> {
+        let there =
+            self.rows.iter().filter(|(key, row)| key.table() == table && row.exists_in_store());
         let gone = there.filter(|(key, _)| keys.binary_search(&(key.hash() as u32)).is_err());
         gone.map(|(key, _)| Row::new(key.clone(), version, None)).collect()
     }
 
     /// Another host knows a table up to the same version. If it knows the same keys, nothing
     /// that it knows to be gone is missing here.
-    pub fn agree(&mut self, table: Table, known: &TableStatus) {
-        let mark = self.mark(table);
-        let above = known.floor.era == mark.version.era && known.floor > mark.complete();
-        if above && known.keys == self.keys_digest(table) {
-            self.complete(table, known.floor);
+    pub fn confirm_keys(&mut self, table: Table, known: &TableStatus) {
+        let mark = self.watermark(table);
+        let above = known.tombstone_floor.era == mark.version.era
+            && known.tombstone_floor > mark.complete_version();
+        if above && known.keys_digest == self.keys_digest(table) {
+            self.mark_complete(table, known.tombstone_floor);
         }
     }
 
     /// Whether another host knows a removal that is missing here, though it knows the table
     /// up to the same version.
-    pub fn lacks_removals(&self, table: Table, known: &TableStatus) -> bool {
-        let mark = self.mark(table);
-        let alike = known.version == mark.version && known.floor.era == mark.version.era;
-        alike && known.floor > mark.complete() && known.keys != self.keys_digest(table)
+    pub fn lacks_tombstones(&self, table: Table, known: &TableStatus) -> bool {
+        let mark = self.watermark(table);
+        let alike = known.version == mark.version && known.tombstone_floor.era == mark.version.era;
+        alike
+            && known.tombstone_floor > mark.complete_version()
+            && known.keys_digest != self.keys_digest(table)
     }
 
     /// Keys of a table that the store has, as far as is known, but not in `present`, which
     /// is sorted.
-    pub fn missing(&self, table: Table, present: &[RowKey]) -> Vec<RowKey> {
-        let there = self.rows.iter().filter(|(key, row)| key.table() == table && row.is_there());
+    pub fn unlisted_keys(&self, table: Table, present: &[RowKey]) -> Vec<RowKey> {
+        let there =
+            self.rows.iter().filter(|(key, row)| key.table() == table && row.exists_in_store());
         let gone = there.filter(|(key, _)| present.binary_search(key).is_err());
         gone.map(|(key, _)| key.clone()).collect()
     }
 
     /// Rows of a table that changed after a version, removals too, as the store has them.
-    pub fn since(&self, table: Table, version: StoreVersion) -> Vec<Row> {
-        let new = |row: &StoredRow| !row.known_by(version);
+    pub fn changed_since(&self, table: Table, version: StoreVersion) -> Vec<Row> {
+        let new = |row: &StoredRow| !row.is_known_at(version);
         let rows = self.rows.iter().filter(|(key, row)| key.table() == table && new(row));
-        let rows = rows.map(|(key, row)| row.said(key));
+        let rows = rows.map(|(key, row)| row.to_stored_row(key));
         rows.filter(|row| row.version > version).collect()
     }
 
-    /// Rows that [`View::since`] leaves out, as a host that knew the table up to a version of
-    /// an earlier era has them as the store has them: a hash of the key, and the counter of
-    /// the store's version in its era.
-    pub fn carried(&self, table: Table, version: StoreVersion) -> Vec<(u64, u64)> {
+    /// Rows that [`View::changed_since`] leaves out, as a host that knew the table up to a
+    /// version of an earlier era has them as the store has them: a hash of the key, and the
+    /// counter of the store's version in its era.
+    pub fn carried_over(&self, table: Table, version: StoreVersion) -> Vec<(u64, u64)> {
         let rows = self.rows.iter().filter(|(key, _)| key.table() == table);
-        let known = rows.filter(|(_, row)| row.known_by(version));
+        let known = rows.filter(|(_, row)| row.is_known_at(version));
         known.map(|(key, row)| (key.hash(), row.version.count)).collect()
     }
 
     /// Takes in that the store has some rows of a table in an era as they are known from an
     /// earlier one.
-    pub fn carry(&mut self, table: Table, era: u64, carried: &[(u64, u64)]) {
+    pub fn carry_over(&mut self, table: Table, era: u64, carried: &[(u64, u64)]) {
         let counts: HashMap<u64, u64> = carried.iter().copied().collect();
         let rows = self.rows.iter_mut().filter(|(key, _)| key.table() == table);
-        for (key, row) in rows.filter(|(_, row)| row.copy.is_none() && row.seen.era < era) {
+        for (key, row) in
+            rows.filter(|(_, row)| row.store_copy.is_none() && row.last_version.era < era)
+        {
             if let Some(count) = counts.get(&key.hash()) {
-                row.carried = Some(row.version);
+                row.carried_from = Some(row.version);
                 row.version = StoreVersion::new(era, *count);
-                row.seen = row.version;
+                row.last_version = row.version;
             }
         }
     }
 
-    /// Up to which version of an earlier era a host may know a table for [`View::since`] to
-    /// tell it all that the store's era has; none if that is not known here.
-    pub fn bridge(&self, table: Table) -> Option<StoreVersion> {
-        self.bridges[table as usize]
+    /// Up to which version of an earlier era a host may know a table for
+    /// [`View::changed_since`] to tell it all that the store's era has; none if that is not
+    /// known here.
+    pub fn era_bridge(&self, table: Table) -> Option<StoreVersion> {
+        self.era_bridges[table as usize]
     }
 
     /// All rows of a table as the store has them, with versions of its era.
-    pub fn whole(&self, table: Table) -> Vec<Row> {
-        let mark = self.marks[table as usize].version;
+    pub fn all_rows(&self, table: Table) -> Vec<Row> {
+        let mark = self.watermarks[table as usize].version;
         let rows = self.rows.iter().filter(|(key, _)| key.table() == table);
         let rows = rows.map(|(key, row)| {
-            let (version, item) = row.says(mark.era);
-            let counts = row.counts.filter(|_| row.copy.is_none());
-            Row { counts, ..Row::new(key.clone(), version.min(mark), item) }
+            let (version, item) = row.as_stored(mark.era);
+            let counts = row.removed_counters.filter(|_| row.store_copy.is_none());
+            Row { removed_counters: counts, ..Row::new(key.clone(), version.min(mark), item) }
         });
         rows.collect()
     }
 
     /// All rows that are there.
     pub fn items(&self) -> impl Iterator<Item = (&RowKey, &RowContent)> {
-        self.rows.iter().filter_map(|(key, row)| Some((key, row.item.as_ref()?)))
+        self.rows.iter().filter_map(|(key, row)| Some((key, row.content.as_ref()?)))
     }
 
     /// Version of a row's last change that matters; none if the row is not known.
@@ -493,18 +516,18 @@
 
     /// The store's counter for a row as it has it; 0 if it is not there.
     pub fn store_count(&self, key: &RowKey) -> u64 {
-        let there = self.rows.get(key).filter(|row| row.is_there());
-        there.map_or(0, |row| row.says(self.era.number).0.count)
+        let there = self.rows.get(key).filter(|row| row.exists_in_store());
+        there.map_or(0, |row| row.as_stored(self.era.number).0.count)
     }
 
     /// Whether a row holds on from an earlier era against what the store says.
-    pub fn is_held(&self, key: &RowKey) -> bool {
-        self.rows.get(key).is_some_and(|row| row.copy.is_some())
+    pub fn is_retained(&self, key: &RowKey) -> bool {
+        self.rows.get(key).is_some_and(|row| row.store_copy.is_some())
     }
 
     /// The content of a row, if it is there.
     pub fn get(&self, key: &RowKey) -> Option<&RowContent> {
-        self.rows.get(key)?.item.as_ref()
+        self.rows.get(key)?.content.as_ref()
     }
 
     /// The configuration, if one is known.
@@ -516,19 +539,21 @@
     }
 
     /// Forgets removals that are long past.
-    pub fn forget(&mut self, now: Time) {
-        for (seen, mark) in self.seen.iter_mut().zip(&self.marks) {
-            let reader = mark.reading.map(|reading| reading.reader);
+    pub fn expire_tombstones(&mut self, now: Time) {
+        for (seen, mark) in self.seen.iter_mut().zip(&self.watermarks) {
+            let reader = mark.last_read.map(|reading| reading.reader);
             if seen.len() > READERS_KEEP {
                 seen.retain(|known, _| Some(*known) == reader);
             }
         }
-        let marks = &mut self.marks;
+        let marks = &mut self.watermarks;
         self.rows.retain(|key, row| {
-            let keep = row.item.is_some() || row.copy.is_some() || now.since(row.at) < REMOVED_KEEP;
+            let keep = row.content.is_some()
+                || row.store_copy.is_some()
+                || now.since(row.changed_at) < REMOVED_KEEP;
             let mark = &mut marks[key.table() as usize];
             if !keep && row.version.era == mark.version.era {
-                mark.floor = mark.floor.max(row.version);
+                mark.tombstone_floor = mark.tombstone_floor.max(row.version);
             }
             keep
         });
--- a/elmstream_steer/src/warm_keys.rs
+++ b/elmstream_steer/src/warm_keys.rs
@@ -44,7 +44,7 @@
 
 impl WarmKeys {
     /// A server, by its place and the hash of its id, works on a request of a key.
-    pub fn learn(&mut self, now: Time, server: (ServerIndex, u32), key: u64) {
+    pub fn record(&mut self, now: Time, server: (ServerIndex, u32), key: u64) {
         let (index, hash) = server;
         let key = key as u32;
         let before = self.known.get(&index).and_then(|keys| keys.get(&key));
@@ -58,12 +58,12 @@
     }
 
     /// Another host sent a server a request of a key.
-    pub fn hear(&mut self, now: Time, server: ServerIndex, key: u32) {
+    pub fn merge(&mut self, now: Time, server: ServerIndex, key: u32) {
         self.keep(now, server, key);
     }
 
     /// What the next beat tells.
-    pub fn tell(&mut self) -> Vec<WarmKey> {
+    pub fn next_updates(&mut self) -> Vec<WarmKey> {
         let count = self.untold.len().min(LESSONS);
         let due: Vec<(WarmKey, u8)> = self.untold.drain(..count).collect();
         let again = due.iter().filter(|(_, left)| *left > 1);
@@ -82,13 +82,13 @@
     }
 
     /// Whether a server is taken to know a key.
-    pub fn knows(&self, now: Time, server: ServerIndex, key: u64) -> bool {
+    pub fn is_warm(&self, now: Time, server: ServerIndex, key: u64) -> bool {
         let at = self.known.get(&server).and_then(|keys| keys.get(&(key as u32)));
         at.is_some_and(|at| now.since(*at) < KNOWS)
     }
 
     /// A server is gone.
-    pub fn forget(&mut self, server: ServerIndex) {
+    pub fn remove_server(&mut self, server: ServerIndex) {
         self.known.remove(&server);
     }
 }
--- a/elmstream_steer/src/workspaces.rs
+++ b/elmstream_steer/src/workspaces.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PresentedKey {
     /// Nothing.
-    Nothing,
+    Absent,
     /// A key.
     Key(KeyDigest),
     /// Several, or what cannot be read as one.
-    Unclear,
+    Ambiguous,
 }
 
 /// Why a request is not let in.
@@ -27,9 +27,9 @@
     /// No workspace has the key.
     Unknown,
     /// It is not clear which key is meant.
-    Unclear,
+    Ambiguous,
     /// One of these, but a newer configuration may say otherwise.
-    Unsure,
+    Stale,
 }
 
 /// A workspace, and what it goes by in messages between hosts.
@@ -65,7 +65,7 @@
             member.workspace.keys.iter().map(move |digest| (*digest, place))
         });
         let mut keys: Vec<(KeyDigest, u32)> = keys.collect();
-        keys.sort_by_key(|(digest, place)| (digest.place(), *place));
+        keys.sort_by_key(|(digest, place)| (digest.sort_key(), *place));
         WorkspaceTable { all, keys }
     }
 
@@ -87,8 +87,9 @@
 
     /// The workspace that holds a key; none if several do.
     pub fn find(&self, digest: &KeyDigest) -> Option<&Rc<WorkspaceEntry>> {
-        let begin = self.keys.partition_point(|(known, _)| known.place() < digest.place());
-        let alike = self.keys[begin..].iter().take_while(|(k, _)| k.place() == digest.place());
+        let begin = self.keys.partition_point(|(known, _)| known.sort_key() < digest.sort_key());
+        let alike =
+            self.keys[begin..].iter().take_while(|(k, _)| k.sort_key() == digest.sort_key());
         let mut holders = alike.filter(|(known, _)| known == digest).map(|(_, place)| *place);
         let first = holders.next()?;
         match holders.all(|other| other == first) {
@@ -102,7 +103,7 @@
     /// # Errors
     ///
     /// The request is not let in; `sure` says whether nothing newer can be known.
-    pub fn admit(
+    pub fn authenticate(
         &self,
         route: &Route,
         shown: PresentedKey,
@@ -116,13 +117,13 @@
                 Some(member) => return Ok(Some(Rc::clone(member))),
                 None => Denial::Unknown,
             },
-            PresentedKey::Nothing => Denial::Missing,
-            PresentedKey::Unclear => Denial::Unclear,
+            PresentedKey::Absent => Denial::Missing,
+            PresentedKey::Ambiguous => Denial::Ambiguous,
         };
         match (route.open, sure) {
             (true, _) => Ok(None),
             (false, true) => Err(denial),
-            (false, false) => Err(Denial::Unsure),
+            (false, false) => Err(Denial::Stale),
         }
     }
 }
--- a/elmstream_steer/tests/access_cost.rs
+++ b/elmstream_steer/tests/access_cost.rs
@@ -52,12 +52,12 @@
             let scene = QuotaContext {
                 now: Time(n as u64 * MILLI),
                 bounds: &bounds,
-                heard: FleetView { known: 75, live: 75, near: 25 },
+                fleet: FleetView { possible: 75, live: 75, near: 25 },
                 hosts_known: true,
-                places: &[],
+                address_hashes: &[],
             };
             let member = table.find(&KeyDigest::of(key.as_bytes())).expect("it is held");
-            black_box(quotas.rule(&scene, member));
+            black_box(quotas.admit(&scene, member));
         }
         began.elapsed().as_nanos() / REQUESTS as u128
     };
--- a/elmstream_steer/tests/budget.rs
+++ b/elmstream_steer/tests/budget.rs
@@ -11,7 +11,7 @@
     for count in requests {
         let mut budgets = Budgets::default();
         let earn = |budgets: &mut Budgets| {
-            budgets.earn("s", bounds.retry_ratio, bounds.retry_slack, hosts_known);
+            budgets.deposit("s", bounds.retry_ratio, bounds.retry_slack, hosts_known);
         };
         for _ in 0..500 {
             earn(&mut budgets);
@@ -19,7 +19,7 @@
         for _ in 0..count % 3_000 {
             total += 1.0;
             earn(&mut budgets);
-            while budgets.spend("s") {
+            while budgets.withdraw("s") {
                 repeats += 1.0;
             }
         }
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_start_brings_no_repeats() {
-    assert!(!Budgets::default().spend("s"));
+    assert!(!Budgets::default().withdraw("s"));
 }
 
 #[test]
@@ -71,10 +71,10 @@
 fn to_ask_whether_a_repeat_is_left_does_not_spend_it() {
     let mut budgets = Budgets::default();
     for _ in 0..20 {
-        budgets.earn("s", 0.2, 60.0, 1);
+        budgets.deposit("s", 0.2, 60.0, 1);
     }
-    assert!((0..50).all(|_| budgets.affords("s")));
-    assert!(budgets.spend("s"));
+    assert!((0..50).all(|_| budgets.can_withdraw("s")));
+    assert!(budgets.withdraw("s"));
 }
 
 /// Repeats of hosts that have all saved up what they may, and then want `wishes` repeats
@@ -84,11 +84,11 @@
     for host in 0..hosts {
         let mut budgets = Budgets::new(hash::of(format!("host-{host}")));
         for _ in 0..500 {
-            budgets.earn("s", 0.2, slack, known);
+            budgets.deposit("s", 0.2, slack, known);
         }
         for _ in 0..wishes {
-            if budgets.affords("s") {
-                assert!(budgets.spend("s"), "what is afforded can be spent");
+            if budgets.can_withdraw("s") {
+                assert!(budgets.withdraw("s"), "what is afforded can be spent");
                 repeats += 1.0;
             }
         }
@@ -121,8 +121,8 @@
     for host in 0..hosts {
         let mut budgets = Budgets::new(hash::of(format!("host-{host}")));
         for _ in 0..requests {
-            budgets.earn("s", 0.2, 630.0, hosts);
-            repeats += f64::from(budgets.spend("s"));
+            budgets.deposit("s", 0.2, 630.0, hosts);
+            repeats += f64::from(budgets.withdraw("s"));
         }
     }
     let ratio = repeats / (hosts * requests) as f64;
@@ -136,11 +136,11 @@
     for host in 0..hosts {
         let mut budgets = Budgets::new(hash::of(format!("host-{host}")));
         for _ in 0..200 {
-            budgets.earn("s", 0.2, 630.0, hosts);
-            budgets.affords("s");
+            budgets.deposit("s", 0.2, 630.0, hosts);
+            budgets.can_withdraw("s");
         }
-        budgets.earn("s", 0.2, 630.0, hosts);
-        repeats += u32::from(budgets.spend("s"));
+        budgets.deposit("s", 0.2, 630.0, hosts);
+        repeats += u32::from(budgets.withdraw("s"));
     }
     assert!(repeats <= 630, "{repeats} at once");
 }
--- a/elmstream_steer/tests/choose.rs
+++ b/elmstream_steer/tests/choose.rs
@@ -21,8 +21,8 @@
 }
 
 fn answered(steer: &mut Steer, at: u64, index: ServerIndex, key: u64) {
-    let knew = steer.learn(ms(at), index, key);
-    steer.done(ms(at), index, Outcome::Answered { micros: 50_000, knew });
+    let knew = steer.record_warm_key(ms(at), index, key);
+    steer.record_outcome(ms(at), index, Outcome::Answered { micros: 50_000, was_warm: knew });
 }
 
 #[test]
@@ -51,7 +51,7 @@
     for key in 0..400 {
         let index = sent(&mut host, 10, key).expect("all are idle");
         kept += u32::from(id(&host, index) == "small");
-        host.done(ms(11), index, Outcome::Left);
+        host.record_outcome(ms(11), index, Outcome::CallerGone);
     }
     // One of ten servers, and the demand of the regions is taken to be alike.
     assert!((60..160).contains(&kept), "{kept} of 400 keys");
@@ -149,7 +149,7 @@
     let name = id(&fleet[0], second);
     let knows = |fleet: &[Steer], host: usize, at: u64| {
         let index = fleet[host].servers().find(&name).expect("it is known");
-        fleet[host].knows(ms(at), index, key)
+        fleet[host].is_warm(ms(at), index, key)
     };
     beats(ms(20), &mut fleet, |from, to| from == 0 && to == 1);
     assert!(knows(&fleet, 1, 30));
@@ -168,10 +168,10 @@
     let mut host = ready(0, ms(0), vec![server("one", "a1", 10)]);
     let key = RowKey::Evacuation("a1".into());
     let row = Row::new(key.clone(), at(20), Some(RowContent::Evacuation));
-    host.read(ms(2_000), Table::Rules, vec![row]);
+    host.on_changes(ms(2_000), Table::Rules, vec![row]);
     assert!(sent(&mut host, 2_010, 1).is_none());
     let back = Row::new(key, at(21), None);
-    host.read(ms(4_000), Table::Rules, vec![back]);
+    host.on_changes(ms(4_000), Table::Rules, vec![back]);
     let taken = (4_010..5_000).step_by(10).filter(|at| sent(&mut host, *at, 1).is_some()).count();
     assert_eq!(taken, 1, "a cold server gets one request of a host in a second");
 }
@@ -195,7 +195,11 @@
     for at in (1_800..4_800).step_by(10) {
         if let Pick::Send(index) = send(&mut host, ms(at), &once, key) {
             to_dark += usize::from(index == dark);
-            host.done(ms(at), index, Outcome::Answered { micros: 50_000, knew: true });
+            host.record_outcome(
+                ms(at),
+                index,
+                Outcome::Answered { micros: 50_000, was_warm: true },
+            );
         }
     }
     assert_eq!(to_dark, 0);
@@ -207,6 +211,6 @@
     let mut host = ready(0, ms(0), rows);
     let closed = host.servers().find("closed").expect("it is known");
     let key = (0..50).find(|key| sent(&mut host, 10, *key) == Some(closed)).expect("some key");
-    host.done(ms(11), closed, Outcome::NoConnection);
+    host.record_outcome(ms(11), closed, Outcome::NoConnection);
     assert_ne!(sent(&mut host, 12, key), Some(closed));
 }
--- a/elmstream_steer/tests/cold.rs
+++ b/elmstream_steer/tests/cold.rs
@@ -22,7 +22,11 @@
         }
         for (n, host) in fleet.iter_mut().enumerate() {
             if let Pick::Send(index) = send(host, ms(at), &route, (at + n as u64) % 7) {
-                host.done(ms(at), index, Outcome::Answered { micros: 1_000, knew: true });
+                host.record_outcome(
+                    ms(at),
+                    index,
+                    Outcome::Answered { micros: 1_000, was_warm: true },
+                );
                 sent.push(at);
             }
         }
--- a/elmstream_steer/tests/eras.rs
+++ b/elmstream_steer/tests/eras.rs
@@ -145,7 +145,7 @@
 fn knows(table: Table, count: u64, rows: Vec<Row>) -> Steer {
     let mut steer = host(0, ms(0));
     let rows = rows.into_iter().map(|row| of(1, count, row)).collect();
-    steer.read_all(ms(0), table, StoreVersion::new(1, count), rows);
+    steer.on_full_read(ms(0), table, StoreVersion::new(1, count), rows);
     steer
 }
 
@@ -157,7 +157,7 @@
     count: u64,
     rows: Vec<Row>,
 ) -> Vec<StateChange> {
-    steer.read_all(ms(at), table, StoreVersion::new(2, count), rows)
+    steer.on_full_read(ms(at), table, StoreVersion::new(2, count), rows)
 }
 
 fn evacuated(steer: &Steer) -> bool {
@@ -169,9 +169,9 @@
     let mut steer = knows(Table::Rules, 100, vec![configuration(7, 0), evacuation()]);
     let copy = vec![of(2, 60, configuration(5, 0))];
     let changes = returns(&mut steer, 1_000, Table::Rules, 70, copy);
-    let Some(StateChange::StoreReturned(returned)) = changes.last() else { panic!("{changes:?}") };
+    let Some(StateChange::StoreRestored(returned)) = changes.last() else { panic!("{changes:?}") };
     assert_eq!(returned.before, StoreVersion::new(1, 100));
-    assert_eq!(returned.held, [RowKey::Configuration, evacuation().key]);
+    assert_eq!(returned.retained, [RowKey::Configuration, evacuation().key]);
     assert_eq!((steer.version(), evacuated(&steer)), (Some(7), true));
 }
 
@@ -184,7 +184,7 @@
     assert!(evacuated(&steer));
     let changes = steer.tick(ms(1_000 + evacuation / MILLI));
     assert!(
-        changes.iter().any(|change| matches!(change, StateChange::HoldEnded(_))),
+        changes.iter().any(|change| matches!(change, StateChange::RetentionEnded(_))),
         "{changes:?}"
     );
     assert_eq!((steer.version(), evacuated(&steer)), (Some(7), false));
@@ -196,19 +196,19 @@
 fn what_was_written_since_the_return_is_taken_at_once() {
     let mut steer = knows(Table::Rules, 100, vec![evacuation()]);
     returns(&mut steer, 1_000, Table::Rules, 70, vec![of(2, 60, evacuation())]);
-    let lifted = Row { item: None, ..evacuation() };
-    steer.read(ms(1_100), Table::Rules, vec![of(2, 71, lifted)]);
+    let lifted = Row { content: None, ..evacuation() };
+    steer.on_changes(ms(1_100), Table::Rules, vec![of(2, 71, lifted)]);
     assert!(!evacuated(&steer));
     // The copy has it, and it had been taken back: that holds on.
     let mut steer = knows(Table::Rules, 90, vec![evacuation()]);
-    let lifted = Row { item: None, ..evacuation() };
-    steer.read(ms(10), Table::Rules, vec![of(1, 100, lifted)]);
+    let lifted = Row { content: None, ..evacuation() };
+    steer.on_changes(ms(10), Table::Rules, vec![of(1, 100, lifted)]);
     returns(&mut steer, 1_000, Table::Rules, 95, vec![of(2, 90, evacuation())]);
     assert!(!evacuated(&steer));
     // It was asked for again before this host first read the new era.
     let mut steer = knows(Table::Rules, 90, vec![evacuation()]);
-    let lifted = Row { item: None, ..evacuation() };
-    steer.read(ms(10), Table::Rules, vec![of(1, 100, lifted)]);
+    let lifted = Row { content: None, ..evacuation() };
+    steer.on_changes(ms(10), Table::Rules, vec![of(1, 100, lifted)]);
     returns(&mut steer, 1_000, Table::Rules, 96, vec![of(2, 94, evacuation())]);
     assert!(evacuated(&steer));
 }
@@ -219,10 +219,10 @@
 fn what_was_taken_back_stays_so_over_a_second_return_from_an_older_copy() {
     let mut steer = knows(Table::Rules, 50, vec![evacuation()]);
     returns(&mut steer, 1_000, Table::Rules, 34, vec![of(2, 32, evacuation())]);
-    let lifted = Row { item: None, ..evacuation() };
-    steer.read(ms(1_100), Table::Rules, vec![of(2, 48, lifted)]);
+    let lifted = Row { content: None, ..evacuation() };
+    steer.on_changes(ms(1_100), Table::Rules, vec![of(2, 48, lifted)]);
     let copy = vec![of(3, 27, evacuation())];
-    steer.read_all(ms(2_000), Table::Rules, StoreVersion::new(3, 28), copy);
+    steer.on_full_read(ms(2_000), Table::Rules, StoreVersion::new(3, 28), copy);
     assert!(!evacuated(&steer));
 }
 
@@ -231,7 +231,11 @@
     let mut steer = knows(Table::Rules, 100, vec![configuration(7, 0)]);
     returns(&mut steer, 1_000, Table::Rules, 70, vec![of(2, 60, configuration(4, 0))]);
     for (count, version) in [(71, 5), (72, 6), (73, 7), (74, 8)] {
-        steer.read(ms(1_000 + count), Table::Rules, vec![of(2, count, configuration(version, 0))]);
+        steer.on_changes(
+            ms(1_000 + count),
+            Table::Rules,
+            vec![of(2, count, configuration(version, 0))],
+        );
         assert_eq!(steer.version(), Some(version.max(7)));
     }
 }
@@ -243,7 +247,7 @@
     let mut steer = knows(Table::Rules, 100, vec![configuration(7, 0)]);
     let other = Configuration { version: 7, ..Configuration::default() };
     let item = Some(RowContent::Configuration(other));
-    let other = Row { item, ..configuration(7, 0) };
+    let other = Row { content: item, ..configuration(7, 0) };
     returns(&mut steer, 1_000, Table::Rules, 70, vec![of(2, 71, other)]);
     assert!(steer.route("shop.example", "/").is_none());
 }
@@ -257,9 +261,9 @@
         steer.servers().get(index).is_some_and(|entry| entry.server.draining)
     };
     assert!(leaves(&steer));
-    steer.read(ms(1_100), Table::Servers, vec![of(2, 71, draining(10, true))]);
+    steer.on_changes(ms(1_100), Table::Servers, vec![of(2, 71, draining(10, true))]);
     assert!(leaves(&steer));
-    steer.read(ms(1_200), Table::Servers, vec![of(2, 72, draining(11, false))]);
+    steer.on_changes(ms(1_200), Table::Servers, vec![of(2, 72, draining(11, false))]);
     assert!(!leaves(&steer), "it has written that it stays");
 }
 
@@ -270,15 +274,15 @@
     let mut late = knows(Table::Rules, 100, vec![configuration(7, 0), evacuation()]);
     let mut other = host(1, ms(0));
     let rows = vec![of(2, 300, configuration(9, 0))];
-    other.read_all(ms(HOUR), Table::Rules, StoreVersion::new(2, 300), rows);
-    let after = late.view().mark(Table::Rules).version;
-    let told = other.tell_rows(ms(HOUR), Table::Rules, after);
-    late.told(ms(HOUR), Table::Rules, told);
+    other.on_full_read(ms(HOUR), Table::Rules, StoreVersion::new(2, 300), rows);
+    let after = late.view().watermark(Table::Rules).version;
+    let told = other.rows_for(ms(HOUR), Table::Rules, after);
+    late.on_table_rows(ms(HOUR), Table::Rules, told);
     late.tick(ms(HOUR + 100));
     assert_eq!((late.version(), evacuated(&late)), (Some(9), false));
-    let after = other.view().mark(Table::Rules).version;
-    let told = late.tell_rows(ms(HOUR), Table::Rules, after);
-    other.told(ms(HOUR), Table::Rules, told);
+    let after = other.view().watermark(Table::Rules).version;
+    let told = late.rows_for(ms(HOUR), Table::Rules, after);
+    other.on_table_rows(ms(HOUR), Table::Rules, told);
     assert_eq!((other.version(), evacuated(&other)), (Some(9), false));
 }
 
@@ -288,8 +292,8 @@
     let mut new = knows(Table::Rules, 100, vec![configuration(7, 0)]);
     returns(&mut new, 1_000, Table::Rules, 70, vec![of(2, 60, configuration(7, 0))]);
     let old = knows(Table::Rules, 120, vec![configuration(7, 0), evacuation()]);
-    let told = old.tell_rows(ms(1_000), Table::Rules, StoreVersion::default());
-    assert!(new.told(ms(1_000), Table::Rules, told).is_empty());
+    let told = old.rows_for(ms(1_000), Table::Rules, StoreVersion::default());
+    assert!(new.on_table_rows(ms(1_000), Table::Rules, told).is_empty());
     assert!(!evacuated(&new));
 }
 
@@ -298,10 +302,10 @@
 fn a_store_without_eras_counts_on() {
     let mut steer = host(0, ms(0));
     let at = |count| StoreVersion::new(0, count);
-    steer.read_all(ms(0), Table::Rules, at(10), vec![configuration(1, 10)]);
-    steer.read(ms(100), Table::Rules, vec![configuration(2, 20)]);
-    steer.read_all(ms(200), Table::Rules, at(30), vec![configuration(3, 30)]);
-    assert_eq!((steer.version(), steer.view().held_count()), (Some(3), 0));
+    steer.on_full_read(ms(0), Table::Rules, at(10), vec![configuration(1, 10)]);
+    steer.on_changes(ms(100), Table::Rules, vec![configuration(2, 20)]);
+    steer.on_full_read(ms(200), Table::Rules, at(30), vec![configuration(3, 30)]);
+    assert_eq!((steer.version(), steer.view().retained_count()), (Some(3), 0));
 }
 
 /// A domain was emptied and taken back; that it is to be emptied again was acknowledged just
@@ -342,13 +346,13 @@
 /// Neither an older copy of the store nor older news take a verdict back.
 #[test]
 fn a_verdict_on_a_roll_out_is_never_taken_back() {
-    for copied in [Some(rolled(RolloutStage::Trial)), None] {
+    for copied in [Some(rolled(RolloutStage::Canary)), None] {
         let mut steer = knows(Table::Rules, 40, vec![ordered()]);
         let rows = vec![of(1, 60, rolled(RolloutStage::RolledBack))];
-        steer.read_all(ms(0), Table::Rollouts, StoreVersion::new(1, 60), rows);
+        steer.on_full_read(ms(0), Table::Rollouts, StoreVersion::new(1, 60), rows);
         assert_eq!(steer.rollout_stage("shop"), Some(RolloutStage::RolledBack));
-        let older = vec![of(1, 61, rolled(RolloutStage::Trial))];
-        steer.read(ms(10), Table::Rollouts, older);
+        let older = vec![of(1, 61, rolled(RolloutStage::Canary))];
+        steer.on_changes(ms(10), Table::Rollouts, older);
         assert_eq!(steer.rollout_stage("shop"), Some(RolloutStage::RolledBack));
         let rows = copied.into_iter().map(|row| of(2, 45, row)).collect();
         returns(&mut steer, 1_000, Table::Rollouts, 50, rows);
@@ -356,7 +360,7 @@
         steer.tick(ms(1_100));
         assert_eq!(steer.rollout_stage("shop"), Some(RolloutStage::RolledBack));
         // The operator writes again what the copy may have lost.
-        steer.read(ms(1_200), Table::Rules, vec![of(2, 55, ordered())]);
+        steer.on_changes(ms(1_200), Table::Rules, vec![of(2, 55, ordered())]);
         assert_eq!(steer.rollout_stage("shop"), Some(RolloutStage::RolledBack));
     }
 }
--- a/elmstream_steer/tests/harm.rs
+++ b/elmstream_steer/tests/harm.rs
@@ -22,11 +22,11 @@
 const UNIX_S: u64 = 1_000_000;
 
 fn ending(request: u64, server: u64, generation: u8) -> ServerCrash {
-    ServerCrash { digest: digest(request), server, generation, at_s: UNIX_S, void: false }
+    ServerCrash { digest: digest(request), server, generation, at_s: UNIX_S, voided: false }
 }
 
 fn refuses(host: &Steer, request: u64) -> bool {
-    host.harms().refuses(&digest(request)).is_some()
+    host.poison().refusal(&digest(request)).is_some()
 }
 
 /// Lets hosts meet.
@@ -45,8 +45,8 @@
         let (now, unix_s) = (fleet.now(), fleet.unix_s());
         // One host saw all three, as its request was sent again and its caller came back.
         for server in 0..3 {
-            let known = fleet.hosts[0].harms().generation(&digest(HARM));
-            fleet.hosts[0].ended(now, unix_s, digest(HARM), server, known);
+            let known = fleet.hosts[0].poison().generation(&digest(HARM));
+            fleet.hosts[0].on_server_crash(now, unix_s, digest(HARM), server, known);
         }
         let began = fleet.at;
         while fleet.hosts.iter().any(|host| !refuses(host, HARM)) {
@@ -194,9 +194,9 @@
 #[test]
 fn two_tellers_of_one_ending_count_once_and_a_server_that_ends_twice_counts_twice() {
     let mut one = host(0, ms(0));
-    one.hear_endings(ms(0), &[ending(HARM, 1, 1), ending(HARM, 1, 2), ending(HARM, 1, 3)]);
+    one.merge_crashes(ms(0), &[ending(HARM, 1, 1), ending(HARM, 1, 2), ending(HARM, 1, 3)]);
     assert!(!refuses(&one, HARM));
-    one.hear_endings(ms(1), &[ending(HARM, 2, 2), ending(HARM, 3, 3)]);
+    one.merge_crashes(ms(1), &[ending(HARM, 2, 2), ending(HARM, 3, 3)]);
     assert!(refuses(&one, HARM));
 }
 
@@ -204,15 +204,15 @@
 fn a_whole_answer_clears_a_request_at_all_hosts() {
     let (mut one, mut two) = (host(0, ms(0)), host(1, ms(0)));
     for server in 0..3 {
-        one.ended(ms(0), UNIX_S, digest(HARM), server, server as u8);
+        one.on_server_crash(ms(0), UNIX_S, digest(HARM), server, server as u8);
     }
-    two.hear(ms(10), &one.beat(ms(10)));
+    two.on_heartbeat(ms(10), &one.next_heartbeat(ms(10)));
     assert!(refuses(&one, HARM) && refuses(&two, HARM));
-    two.harms_mut().answered(ms(20), &digest(HARM));
-    one.hear(ms(30), &two.beat(ms(30)));
+    two.poison_mut().record_answer(ms(20), &digest(HARM));
+    one.on_heartbeat(ms(30), &two.next_heartbeat(ms(30)));
     assert!(!refuses(&one, HARM) && !refuses(&two, HARM));
     // Late news of the same endings brings nothing back.
-    two.hear(ms(40), &one.beat(ms(40)));
+    two.on_heartbeat(ms(40), &one.next_heartbeat(ms(40)));
     assert!(!refuses(&two, HARM));
 }
 
@@ -222,7 +222,7 @@
     fleet.apart[5] = true;
     let (now, unix_s) = (fleet.now(), fleet.unix_s());
     for server in 0..3 {
-        fleet.hosts[0].ended(now, unix_s, digest(HARM), server, server as u8);
+        fleet.hosts[0].on_server_crash(now, unix_s, digest(HARM), server, server as u8);
     }
     let began = fleet.at;
     while fleet.at < began + 8_000 {
@@ -240,13 +240,13 @@
 #[test]
 fn what_is_new_is_told_for_a_while_and_then_no_more() {
     let mut one = host(0, ms(0));
-    one.ended(ms(0), UNIX_S, digest(HARM), 1, 0);
-    assert_eq!(one.beat(ms(100)).endings.len(), 1);
-    assert_eq!(one.beat(ms(3_900)).endings.len(), 1);
-    assert!(one.beat(ms(4_100)).endings.is_empty());
+    one.on_server_crash(ms(0), UNIX_S, digest(HARM), 1, 0);
+    assert_eq!(one.next_heartbeat(ms(100)).crashes.len(), 1);
+    assert_eq!(one.next_heartbeat(ms(3_900)).crashes.len(), 1);
+    assert!(one.next_heartbeat(ms(4_100)).crashes.is_empty());
     // It is void now, which is new.
-    one.harms_mut().answered(ms(5_000), &digest(HARM));
-    assert!(one.beat(ms(5_100)).endings[0].void);
+    one.poison_mut().record_answer(ms(5_000), &digest(HARM));
+    assert!(one.next_heartbeat(ms(5_100)).crashes[0].voided);
 }
 
 /// A harmless request was beside many servers that ended; then a release makes it harmful.
@@ -254,13 +254,13 @@
 fn a_request_that_was_cleared_often_is_still_known_when_it_becomes_harmful() {
     let mut one = host(0, ms(0));
     for server in 0..40u64 {
-        one.ended(ms(server * 10_000), UNIX_S, digest(HARM), server, 0);
-        one.harms_mut().answered(ms(server * 10_000 + 100), &digest(HARM));
+        one.on_server_crash(ms(server * 10_000), UNIX_S, digest(HARM), server, 0);
+        one.poison_mut().record_answer(ms(server * 10_000 + 100), &digest(HARM));
     }
     assert!(!refuses(&one, HARM));
     for server in 40..43u64 {
-        let known = one.harms().generation(&digest(HARM));
-        one.ended(ms(500_000 + server), UNIX_S, digest(HARM), server, known);
+        let known = one.poison().generation(&digest(HARM));
+        one.on_server_crash(ms(500_000 + server), UNIX_S, digest(HARM), server, known);
     }
     assert!(refuses(&one, HARM));
 }
@@ -269,16 +269,16 @@
 fn memory_is_bounded_and_refused_requests_stay() {
     let mut one = host(0, ms(0));
     for server in 0..3 {
-        one.ended(ms(0), UNIX_S, digest(HARM), server, server as u8);
+        one.on_server_crash(ms(0), UNIX_S, digest(HARM), server, server as u8);
     }
     for other in 0..20_000u64 {
-        one.ended(ms(1), UNIX_S + other / 100, digest(100 + other), other, 0);
+        one.on_server_crash(ms(1), UNIX_S + other / 100, digest(100 + other), other, 0);
     }
     assert!(refuses(&one, HARM));
-    let known = (0..20_000).filter(|other| one.harms().generation(&digest(100 + other)) > 0);
+    let known = (0..20_000).filter(|other| one.poison().generation(&digest(100 + other)) > 0);
     assert!(known.count() <= 1_024);
-    let beat = one.beat(ms(2));
-    let size = postcard::to_allocvec(&beat.endings).expect("it can be written").len();
+    let beat = one.next_heartbeat(ms(2));
+    let size = postcard::to_allocvec(&beat.crashes).expect("it can be written").len();
     assert!(size <= 500, "{size} bytes of a beat");
 }
 
@@ -286,34 +286,34 @@
 fn what_is_past_is_forgotten_the_sooner_the_less_is_known() {
     let mut one = host(0, ms(0));
     for server in 0..3 {
-        one.ended(ms(0), UNIX_S, digest(HARM), server, server as u8);
+        one.on_server_crash(ms(0), UNIX_S, digest(HARM), server, server as u8);
     }
-    one.ended(ms(0), UNIX_S, digest(2), 9, 0);
-    one.harms_mut().forget(ms(0), UNIX_S + 3_600);
+    one.on_server_crash(ms(0), UNIX_S, digest(2), 9, 0);
+    one.poison_mut().expire(ms(0), UNIX_S + 3_600);
     assert!(refuses(&one, HARM), "callers come back for an hour");
-    assert_eq!(one.harms().generation(&digest(2)), 0);
-    one.harms_mut().forget(ms(0), UNIX_S + 25 * 3_600);
-    assert!(one.harms().is_empty());
+    assert_eq!(one.poison().generation(&digest(2)), 0);
+    one.poison_mut().expire(ms(0), UNIX_S + 25 * 3_600);
+    assert!(one.poison().is_empty());
 }
 
 #[test]
 fn a_request_that_an_operator_lets_in_again_is_so_everywhere() {
     let (mut one, mut two) = (host(0, ms(0)), host(1, ms(0)));
     for server in 0..3 {
-        one.ended(ms(0), UNIX_S, digest(HARM), server, server as u8);
+        one.on_server_crash(ms(0), UNIX_S, digest(HARM), server, server as u8);
     }
-    assert!(one.harms().to_list(ms(0))[0].first);
-    one.harms_mut().listed(&digest(HARM));
-    assert!(one.harms().to_list(ms(0)).is_empty());
-    two.hear(ms(10), &one.beat(ms(10)));
-    assert!(two.harms().to_list(ms(9_000)).is_empty(), "only who saw an ending lists it");
+    assert!(one.poison().pending_listings(ms(0))[0].first);
+    one.poison_mut().mark_listed(&digest(HARM));
+    assert!(one.poison().pending_listings(ms(0)).is_empty());
+    two.on_heartbeat(ms(10), &one.next_heartbeat(ms(10)));
+    assert!(two.poison().pending_listings(ms(9_000)).is_empty(), "only who saw an ending lists it");
     // One that saw another one looks later whether it is listed.
-    two.ended(ms(10), UNIX_S, digest(HARM), 9, 2);
-    assert!(two.harms().to_list(ms(1_000)).is_empty());
-    assert!(two.harms().to_list(ms(2_100)).iter().all(|due| !due.first));
-    assert!(!one.harms_mut().lift(ms(20), &digest(2)), "it is not refused");
-    assert!(one.harms_mut().lift(ms(20), &digest(HARM)));
-    two.hear(ms(30), &one.beat(ms(30)));
+    two.on_server_crash(ms(10), UNIX_S, digest(HARM), 9, 2);
+    assert!(two.poison().pending_listings(ms(1_000)).is_empty());
+    assert!(two.poison().pending_listings(ms(2_100)).iter().all(|due| !due.first));
+    assert!(!one.poison_mut().readmit(ms(20), &digest(2)), "it is not refused");
+    assert!(one.poison_mut().readmit(ms(20), &digest(HARM)));
+    two.on_heartbeat(ms(30), &one.next_heartbeat(ms(30)));
     assert!(!refuses(&one, HARM) && !refuses(&two, HARM));
 }
 
@@ -331,7 +331,7 @@
         let endings: Vec<ServerCrash> = news
             .iter()
             .map(|(request, server, generation, void)| ServerCrash {
-                void: *void,
+                voided: *void,
                 ..ending(u64::from(request % 3), u64::from(server % 8), 1 + generation % 3)
             })
             .collect();
@@ -341,11 +341,11 @@
             elmstream_steer::hash::combine(seed, known.server << 8 | u64::from(known.generation))
         });
         let (mut one, mut two) = (host(0, ms(0)), host(1, ms(0)));
-        one.hear_endings(ms(0), &endings);
-        two.hear_endings(ms(0), &shuffled);
+        one.merge_crashes(ms(0), &endings);
+        two.merge_crashes(ms(0), &shuffled);
         let agree = (0..3).all(|request| {
             refuses(&one, request) == refuses(&two, request)
-                && one.harms().generation(&digest(request)) == two.harms().generation(&digest(request))
+                && one.poison().generation(&digest(request)) == two.poison().generation(&digest(request))
         });
         TestResult::from_bool(agree)
     }
@@ -354,12 +354,15 @@
 #[test]
 fn what_matters_is_told_at_once() {
     let mut one = host(0, ms(0));
-    one.beat(ms(0));
-    assert_eq!(one.ended(ms(0), UNIX_S, digest(HARM), 1, 0), PoisonChange::None);
+    one.next_heartbeat(ms(0));
+    assert_eq!(one.on_server_crash(ms(0), UNIX_S, digest(HARM), 1, 0), PoisonChange::None);
     assert!(!one.urgent());
-    assert_eq!(one.ended(ms(0), UNIX_S, digest(HARM), 2, 1), PoisonChange::Grown);
+    assert_eq!(one.on_server_crash(ms(0), UNIX_S, digest(HARM), 2, 1), PoisonChange::Grown);
     assert!(one.urgent());
-    assert!(matches!(one.ended(ms(0), UNIX_S, digest(HARM), 3, 2), PoisonChange::Refused(_)));
+    assert!(matches!(
+        one.on_server_crash(ms(0), UNIX_S, digest(HARM), 3, 2),
+        PoisonChange::Refused(_)
+    ));
 }
 
 /// An end is no failure of the server, and all leave it at once.
@@ -368,19 +371,19 @@
     let mut hosts: Vec<Steer> = (0..2).map(|n| ready(n, ms(0), servers(1))).collect();
     let route = route(Repeatability::Safe, &[]);
     let Pick::Send(index) = send(&mut hosts[0], ms(0), &route, 7) else { panic!("a server") };
-    let start = hosts[0].servers().get(index).expect("it was chosen").start();
-    hosts[0].done(ms(10), index, Outcome::Ended);
-    hosts[0].ended(ms(10), UNIX_S, digest(HARM), start, 0);
-    let told = hosts[0].beat(ms(10));
-    hosts[1].hear(ms(20), &told);
+    let start = hosts[0].servers().get(index).expect("it was chosen").start_hash();
+    hosts[0].record_outcome(ms(10), index, Outcome::ServerCrashed);
+    hosts[0].on_server_crash(ms(10), UNIX_S, digest(HARM), start, 0);
+    let told = hosts[0].next_heartbeat(ms(10));
+    hosts[1].on_heartbeat(ms(20), &told);
     for host in &mut hosts {
         let chosen = send(host, ms(30), &route, 7);
         let Pick::Send(other) = chosen else { panic!("another server") };
-        assert_ne!(host.servers().get(other).expect("it was chosen").start(), start);
-        let ended = host.servers().all().find(|(_, entry)| entry.start() == start);
+        assert_ne!(host.servers().get(other).expect("it was chosen").start_hash(), start);
+        let ended = host.servers().all().find(|(_, entry)| entry.start_hash() == start);
         let (_, ended) = ended.expect("it is still listed");
-        assert_eq!(ended.failing(ms(30)), 0.0);
-        assert!(!ended.silent(ms(30), host.servers().pace("shop")));
+        assert_eq!(ended.failure_rate(ms(30)), 0.0);
+        assert!(!ended.is_silent(ms(30), host.servers().answer_times("shop")));
     }
 }
 
@@ -394,26 +397,26 @@
         server,
         generation: server as u8,
         at_s: UNIX_S,
-        void: false,
+        voided: false,
     };
     for behind in 0..=3 {
         let (mut reads, mut other) = (PoisonTracker::default(), PoisonTracker::default());
         for server in 1..=3 {
-            other.hear(ms(0), &ending(server));
+            other.merge(ms(0), &ending(server));
         }
         for server in 1..=behind {
-            reads.hear(ms(0), &ending(server));
+            reads.merge(ms(0), &ending(server));
         }
-        reads.lift(ms(10), &digest);
-        reads.forget(ms(15), UNIX_S);
-        for told in other.tell(ms(20)) {
-            reads.hear(ms(20), &told);
+        reads.readmit(ms(10), &digest);
+        reads.expire(ms(15), UNIX_S);
+        for told in other.next_reports(ms(20)) {
+            reads.merge(ms(20), &told);
         }
-        for told in reads.tell(ms(30)) {
-            other.hear(ms(30), &told);
+        for told in reads.next_reports(ms(30)) {
+            other.merge(ms(30), &told);
         }
         for host in [&reads, &other] {
-            assert!(host.cleared(&digest), "{behind} endings known: {host:?}");
+            assert!(host.is_cleared(&digest), "{behind} endings known: {host:?}");
         }
     }
 }
--- a/elmstream_steer/tests/large.rs
+++ b/elmstream_steer/tests/large.rs
@@ -40,7 +40,7 @@
         let mut hosts: Vec<Steer> = (0..HOSTS).map(|n| ready(n, ms(0), servers(1))).collect();
         for host in &mut hosts {
             for other in 0..HOSTS {
-                host.suppose(ms(0), address(2_000 + other));
+                host.add_peer_address(ms(0), address(2_000 + other));
             }
         }
         Fleet { hosts, at: 0, round: 0 }
@@ -67,10 +67,10 @@
             (0..HOSTS).map(|n| (address(2_000 + n), n)).collect();
         let senders: Vec<usize> = (0..HOSTS).filter(|n| sends(&self.hosts[*n], *n)).collect();
         for from in senders {
-            let beat = self.hosts[from].beat(now);
+            let beat = self.hosts[from].next_heartbeat(now);
             let mut far = beat.clone();
-            far.words.clear();
-            far.lessons.clear();
+            far.liveness.clear();
+            far.warm_keys.clear();
             let targets = self.hosts[from].targets(now, self.round);
             assert!(targets.near.len() + targets.far.len() <= DATAGRAMS);
             let size = postcard::to_allocvec(&beat).expect("it can be written").len();
@@ -90,10 +90,10 @@
 
     fn hear(&mut self, from: usize, to: usize, beat: &elmstream_steer::heartbeat::Heartbeat) {
         let now = ms(self.at);
-        let Some(news) = self.hosts[to].hear(now, beat) else { return };
-        for (table, version) in news.wanted {
-            let rows = self.hosts[from].tell_rows(now, table, version);
-            self.hosts[to].told(now, table, rows);
+        let Some(news) = self.hosts[to].on_heartbeat(now, beat) else { return };
+        for (table, version) in news.outdated_tables {
+            let rows = self.hosts[from].rows_for(now, table, version);
+            self.hosts[to].on_table_rows(now, table, rows);
         }
     }
 
@@ -145,7 +145,7 @@
         fleet.round(|_| true);
     }
     let now = ms(fleet.at);
-    fleet.hosts[17].read(now, Table::Rules, vec![configuration(2, 30)]);
+    fleet.hosts[17].on_changes(now, Table::Rules, vec![configuration(2, 30)]);
     let begun = fleet.at;
     let behind = |fleet: &Fleet| {
         let hosts = fleet.hosts.iter();
@@ -166,7 +166,7 @@
         let now = ms(fleet.at);
         for host in &mut fleet.hosts {
             for table in REQUIRED_TABLES {
-                if let Some(why) = host.must_read(now, table) {
+                if let Some(why) = host.due_read(now, table) {
                     calls += usize::from(fleet.at > 6_000);
                     store::answered(host, now, (table, why), Vec::new());
                 }
@@ -195,12 +195,12 @@
     /// A host under these terms that knows a cold server and nothing else.
     fn host(self, number: usize, row: &Row) -> Steer {
         let mut steer = ready(number, ms(0), vec![row.clone()]);
-        steer.change(domains(), self.bounds);
+        steer.reconfigure(domains(), self.bounds);
         let mut rules = configuration(2, 20);
-        if let Some(RowContent::Configuration(configuration)) = &mut rules.item {
+        if let Some(RowContent::Configuration(configuration)) = &mut rules.content {
             configuration.services[0].cold_per_s = self.per_s;
         }
-        steer.read(ms(0), Table::Rules, vec![rules]);
+        steer.on_changes(ms(0), Table::Rules, vec![rules]);
         steer
     }
 }
@@ -217,7 +217,7 @@
     let places: BTreeMap<SocketAddr, usize> = (0..hosts).map(|n| (address(2_000 + n), n)).collect();
     for (n, host) in fleet.iter_mut().enumerate() {
         for other in (0..hosts).filter(|other| listed(n, *other)) {
-            host.suppose(ms(0), address(2_000 + other));
+            host.add_peer_address(ms(0), address(2_000 + other));
         }
     }
     let mut due = vec![0; hosts];
@@ -230,12 +230,13 @@
                 continue;
             }
             rounds[from] += 1;
-            let beat = fleet[from].beat(now);
+            let beat = fleet[from].next_heartbeat(now);
             let targets = fleet[from].targets(now, rounds[from]);
             for to in targets.near.iter().chain(&targets.far) {
-                fleet[places[to]].hear(now, &beat);
+                fleet[places[to]].on_heartbeat(now, &beat);
             }
-            due[from] = at + members::heartbeat_interval(fleet[from].members().count()) / MILLI;
+            due[from] =
+                at + members::heartbeat_interval(fleet[from].members().target_count()) / MILLI;
         }
         for (n, host) in fleet.iter_mut().enumerate() {
             if at % 100 == 0 {
@@ -243,7 +244,11 @@
             }
             let choice = send(host, now, &route(Repeatability::Safe, &[]), (at + n as u64) % 7);
             if let Pick::Send(index) = choice {
-                host.done(now, index, Outcome::Answered { micros: 1_000, knew: true });
+                host.record_outcome(
+                    now,
+                    index,
+                    Outcome::Answered { micros: 1_000, was_warm: true },
+                );
                 sent.push(at);
             }
         }
--- a/elmstream_steer/tests/leaving.rs
+++ b/elmstream_steer/tests/leaving.rs
@@ -20,7 +20,7 @@
 
 fn leaves(host: &mut Steer, now: u64, id: &str) {
     let index = host.servers().find(id).expect("it is known");
-    host.says_leaving(ms(now), index);
+    host.on_server_leaving(ms(now), index);
 }
 
 fn two() -> Vec<elmstream_steer::view::Row> {
@@ -34,11 +34,11 @@
     leaves(&mut host, 1_000, "s");
     assert!(!used(&mut host, 1_000, "s"));
     let again = with(server("s", "a1", 20), 20, |server| server.entries = 7);
-    host.read(ms(1_100), Table::Servers, vec![again]);
+    host.on_changes(ms(1_100), Table::Servers, vec![again]);
     assert!(!used(&mut host, 1_100, "s"), "a newer entry that says ready");
-    host.read_all(ms(1_200), Table::Servers, at(30), vec![server("t", "a1", 10)]);
-    host.read_all(ms(1_300), Table::Servers, at(40), two());
-    host.read(ms(1_400), Table::Servers, vec![server("s", "a1", 50)]);
+    host.on_full_read(ms(1_200), Table::Servers, at(30), vec![server("t", "a1", 10)]);
+    host.on_full_read(ms(1_300), Table::Servers, at(40), two());
+    host.on_changes(ms(1_400), Table::Servers, vec![server("s", "a1", 50)]);
     assert!(!used(&mut host, 1_400, "s"), "an entry that went and came back");
 }
 
@@ -49,12 +49,12 @@
     };
     let mut host = ready(0, ms(0), vec![born(1, 10), server("t", "a1", 10)]);
     leaves(&mut host, 1_000, "s");
-    host.read(ms(2_000), Table::Servers, vec![born(2, 20)]);
+    host.on_changes(ms(2_000), Table::Servers, vec![born(2, 20)]);
     assert!(used(&mut host, 2_000, "s"));
     // Of a server whose entry names no start, another address tells.
     leaves(&mut host, 2_000, "t");
     let moved = with(server("t", "a1", 30), 30, |server| server.address = support::address(77));
-    host.read(ms(3_000), Table::Servers, vec![moved]);
+    host.on_changes(ms(3_000), Table::Servers, vec![moved]);
     assert!(used(&mut host, 3_000, "t"));
 }
 
@@ -67,8 +67,8 @@
     assert!((0..3).all(|n| !used(&mut fleet[n], 1_060, "s")));
     // Whoever was answered is gone; those that were told tell on.
     fleet[0] = support::started(0, ms(60_000), 2);
-    fleet[0].read_all(ms(60_000), Table::Rules, at(10), vec![support::configuration(1, 10)]);
-    fleet[0].read_all(ms(60_000), Table::Servers, at(10), two());
+    fleet[0].on_full_read(ms(60_000), Table::Rules, at(10), vec![support::configuration(1, 10)]);
+    fleet[0].on_full_read(ms(60_000), Table::Servers, at(10), two());
     beats(ms(60_050), &mut fleet, |_, _| true);
     assert!(!used(&mut fleet[0], 60_060, "s"));
 }
@@ -78,7 +78,7 @@
     let mut host = ready(0, ms(0), two());
     leaves(&mut host, 1_000, "s");
     // The store was away for long, so entries that went are kept for a while.
-    host.read(ms(9_000), Table::Servers, vec![gone(RowKey::Server("s".into()), 20)]);
+    host.on_changes(ms(9_000), Table::Servers, vec![gone(RowKey::Server("s".into()), 20)]);
     assert!(host.servers().find("s").is_none());
 }
 
--- a/elmstream_steer/tests/limits.rs
+++ b/elmstream_steer/tests/limits.rs
@@ -303,23 +303,26 @@
     let scene = QuotaContext {
         now: Time(1_000 * SECOND),
         bounds: &bounds,
-        heard: FleetView { known: 2, live: 2, near: 2 },
+        fleet: FleetView { possible: 2, live: 2, near: 2 },
         hosts_known: true,
-        places: &[1, 2],
+        address_hashes: &[1, 2],
     };
     let mut host = Quotas::new(1, Time(0));
     for member in table.all() {
         for _ in 0..20 {
-            host.rule(&scene, member);
+            host.admit(&scene, member);
         }
     }
-    let reports = host.reports(&scene, &table);
+    let reports = host.due_reports(&scene, &table);
     let told: usize = reports.iter().map(|addressed| addressed.report.uses.len()).sum();
     assert_eq!(told, 10_000);
     let later = QuotaContext { now: scene.now + SECOND, ..scene };
     let size = |message: Message| postcard::to_allocvec(&message).expect("it is small").len();
-    let sizes = reports.into_iter().map(|addressed| size(Message::Report(addressed.report)));
-    let spread = host.tell(&later).into_iter().map(|told| size(Message::Spread(told.spread)));
+    let sizes = reports.into_iter().map(|addressed| size(Message::UsageReport(addressed.report)));
+    let spread = host
+        .due_broadcasts(&later)
+        .into_iter()
+        .map(|told| size(Message::FractionBroadcast(told.broadcast)));
     let largest = sizes.chain(spread).max().unwrap_or_default();
     assert!((1_000..4_096).contains(&largest), "{largest} bytes");
 }
--- a/elmstream_steer/tests/members.rs
+++ b/elmstream_steer/tests/members.rs
@@ -44,7 +44,7 @@
 #[test]
 fn a_host_that_leaves_is_named_no_more_after_its_next_beat() {
     let mut fleet = fleet();
-    fleet[4].leave();
+    fleet[4].start_leaving();
     beats(ms(100), &mut fleet, |_, _| true);
     for host in &fleet {
         assert!(!host.lookup(ms(110), "shop.example", "a1", "a").contains(&address(1_004)));
@@ -66,32 +66,32 @@
 #[test]
 fn a_beat_that_comes_late_does_not_bring_back_what_was() {
     let mut fleet = fleet();
-    let late = fleet[4].beat(ms(60));
-    fleet[4].leave();
-    let last = fleet[4].beat(ms(70));
-    fleet[0].hear(ms(80), &last);
-    fleet[0].hear(ms(90), &late);
+    let late = fleet[4].next_heartbeat(ms(60));
+    fleet[4].start_leaving();
+    let last = fleet[4].next_heartbeat(ms(70));
+    fleet[0].on_heartbeat(ms(80), &last);
+    fleet[0].on_heartbeat(ms(90), &late);
     assert!(!fleet[0].lookup(ms(100), "shop.example", "a1", "a").contains(&address(1_004)));
 }
 
 #[test]
 fn a_late_beat_does_not_undo_what_others_said_of_newer_ones() {
     let mut fleet = fleet();
-    let late = fleet[4].beat(ms(60));
-    fleet[4].leave();
-    let last = fleet[4].beat(ms(70));
-    let mut told = fleet[1].beat(ms(75));
-    told.words.push(LivenessUpdate {
+    let late = fleet[4].next_heartbeat(ms(60));
+    fleet[4].start_leaving();
+    let last = fleet[4].next_heartbeat(ms(70));
+    let mut told = fleet[1].next_heartbeat(ms(75));
+    told.liveness.push(LivenessUpdate {
         host: hash::of(&last.host.name) as u32,
-        start: last.incarnation as u32,
+        incarnation: last.incarnation as u32,
         number: last.number,
         ready: last.ready,
         leaving: last.leaving,
     });
-    fleet[0].hear(ms(80), &told);
+    fleet[0].on_heartbeat(ms(80), &told);
     let named = |host: &Steer| host.lookup(ms(100), "shop.example", "a1", "a");
     assert!(!named(&fleet[0]).contains(&address(1_004)));
-    fleet[0].hear(ms(90), &late);
+    fleet[0].on_heartbeat(ms(90), &late);
     assert!(!named(&fleet[0]).contains(&address(1_004)));
 }
 
@@ -101,13 +101,13 @@
     // Forty hosts of the region came and went in the last hours.
     for number in 100..140 {
         let mut gone = host(number * 4, ms(0));
-        let beat = gone.beat(ms(100));
-        fleet[0].hear(ms(100), &beat);
+        let beat = gone.next_heartbeat(ms(100));
+        fleet[0].on_heartbeat(ms(100), &beat);
     }
     for at in (100..60_000).step_by(500) {
         beats(ms(at), &mut fleet, |_, _| true);
     }
-    assert_eq!(fleet[0].members().count(), 7);
+    assert_eq!(fleet[0].members().target_count(), 7);
     for at in (60_000..61_600).step_by(50) {
         beats(ms(at), &mut fleet, |from, _| from != 4);
     }
--- a/elmstream_steer/tests/outage.rs
+++ b/elmstream_steer/tests/outage.rs
@@ -90,7 +90,7 @@
     fn of(mut fleet: Vec<Steer>) -> Fleet {
         let hosts = fleet.len();
         for host in &mut fleet {
-            (0..hosts).for_each(|other| host.suppose(ms(0), address(2_000 + other)));
+            (0..hosts).for_each(|other| host.add_peer_address(ms(0), address(2_000 + other)));
         }
         Fleet {
             hosts: fleet,
@@ -112,7 +112,7 @@
             self.take(at, from, to, message);
         }
         for n in (0..self.hosts.len()).filter(|n| !self.dead.contains(n)).collect::<Vec<_>>() {
-            let pause = members::heartbeat_interval(self.hosts[n].members().count()) / MILLI;
+            let pause = members::heartbeat_interval(self.hosts[n].members().target_count()) / MILLI;
             let pause = if self.hosts[n].urgent() { pause.min(URGENT) } else { pause };
             if self.due[n].0 + pause <= at {
                 self.beat(at, n);
@@ -135,8 +135,8 @@
             let others = (0..self.hosts.len()).filter(|other| *other != n).filter_map(member);
             let reader = |member: &'_ Member| RankedReader {
                 host: member.hash,
-                millis: member.store_ms.unwrap_or(reader_rank::FAR_MS),
-                place: DOMAINS
+                read_ms: member.store_ms.unwrap_or(reader_rank::FAR_MS),
+                location: DOMAINS
                     [DOMAINS.iter().position(|(name, _)| *name == member.host.domain).unwrap_or(0)],
             };
             let served = others.filter(|other| other.store_ms.is_some());
@@ -151,7 +151,7 @@
 
     fn beat(&mut self, at: u64, n: usize) {
         let (_, round) = self.due[n];
-        let beat = Box::new(self.hosts[n].beat(ms(at)));
+        let beat = Box::new(self.hosts[n].next_heartbeat(ms(at)));
         let targets = self.hosts[n].targets(ms(at), round);
         let arrives = self.on_the_way.entry(at + WAY).or_default();
         for to in targets.near.iter().chain(&targets.far) {
@@ -163,16 +163,16 @@
     fn take(&mut self, at: u64, from: usize, to: usize, message: Message) {
         match message {
             Message::Heartbeat(beat) => {
-                let Some(news) = self.hosts[to].hear(ms(at), &beat) else { return };
+                let Some(news) = self.hosts[to].on_heartbeat(ms(at), &beat) else { return };
                 let fetches = !self.without_fetches.contains(&to) && !self.dead.contains(&from);
-                for (table, version) in news.wanted.into_iter().filter(|_| fetches) {
-                    let rows = self.hosts[from].tell_rows(ms(at), table, version);
+                for (table, version) in news.outdated_tables.into_iter().filter(|_| fetches) {
+                    let rows = self.hosts[from].rows_for(ms(at), table, version);
                     let message = Message::Rows(table, Box::new(rows));
                     self.on_the_way.entry(at + FETCH).or_default().push((from, to, message));
                 }
             }
             Message::Rows(table, rows) => {
-                self.hosts[to].told(ms(at), table, *rows);
+                self.hosts[to].on_table_rows(ms(at), table, *rows);
             }
         }
     }
@@ -194,7 +194,7 @@
                 false => store::failed(&mut self.hosts[n], ms(at), table),
             }
         }
-        if let Some(why) = self.hosts[n].must_read(ms(at), table) {
+        if let Some(why) = self.hosts[n].due_read(ms(at), table) {
             self.begun.push(at);
             let well = well && self.mute != Some(table);
             let ends = at + if well { ANSWER } else { LOST };
@@ -316,7 +316,7 @@
         let near: Vec<usize> = (0..hosts).filter(near).collect();
         let mut fleet = Fleet::new(hosts);
         for n in 0..hosts {
-            fleet.hosts[n].store_read_in(if near.contains(&n) { 4 } else { 75 });
+            fleet.hosts[n].record_read_time(if near.contains(&n) { 4 } else { 75 });
         }
         (fleet, near)
     };
@@ -344,7 +344,7 @@
     for at in (0..12_000).step_by(STEP as usize) {
         if at == SILENT {
             let reader = fleet.first_ranks(at, 1)[0];
-            fleet.hosts[reader].leave();
+            fleet.hosts[reader].start_leaving();
             // Its last beats.
             (0..2).for_each(|_| fleet.beat(at, reader));
             fleet.dead = vec![reader];
--- a/elmstream_steer/tests/patience.rs
+++ b/elmstream_steer/tests/patience.rs
@@ -14,7 +14,7 @@
     let found = (0..1_000).find(|key| {
         let Pick::Send(index) = send(steer, ms(at), &once(), *key) else { return false };
         let meant = id(steer, index) == name;
-        steer.done(ms(at), index, Outcome::Left);
+        steer.record_outcome(ms(at), index, Outcome::CallerGone);
         meant
     });
     found.expect("each server has some keys")
@@ -27,7 +27,7 @@
 /// Where a request of the key goes that is answered at once.
 fn answered_by(steer: &mut Steer, at: u64, key: u64) -> Option<String> {
     let Pick::Send(index) = send(steer, ms(at), &once(), key) else { return None };
-    steer.done(ms(at), index, Outcome::Answered { micros: 150_000, knew: true });
+    steer.record_outcome(ms(at), index, Outcome::Answered { micros: 150_000, was_warm: true });
     Some(id(steer, index))
 }
 
@@ -82,7 +82,7 @@
     let mut host = ready(0, ms(0), rows);
     let unknown = key_of(&mut host, 5, "cold");
     let row = with(server("cold", "a1", 10), 20, |server| server.cold_ms = 5_000);
-    host.read(ms(100), Table::Servers, vec![row]);
+    host.on_changes(ms(100), Table::Servers, vec![row]);
     host.tick(ms(1_200));
     // 450 ms of work for a key that it does not know, twice that while it is cold; the
     // route's time-out is 800 ms.
@@ -95,9 +95,9 @@
     let mut host = ready(0, ms(0), rows);
     let known = key_of(&mut host, 5, "cold");
     let cold = host.servers().find("cold").expect("it is known");
-    host.learn(ms(50), cold, known);
+    host.record_warm_key(ms(50), cold, known);
     let row = with(server("cold", "a1", 10), 20, |server| server.cold_ms = 5_000);
-    host.read(ms(100), Table::Servers, vec![row]);
+    host.on_changes(ms(100), Table::Servers, vec![row]);
     host.tick(ms(1_200));
     assert_eq!(to(&mut host, 1_300, known).as_deref(), Some("cold"));
 }
@@ -105,14 +105,14 @@
 fn answers(host: &mut Steer, from: u64, index: ServerIndex, outcome: Outcome) {
     for at in (from..from + 400).step_by(10) {
         let Pick::Send(sent) = send(host, ms(at), &once(), at) else { continue };
-        let usual = Outcome::Answered { micros: 150_000, knew: false };
-        host.done(ms(at), sent, if sent == index { outcome } else { usual });
+        let usual = Outcome::Answered { micros: 150_000, was_warm: false };
+        host.record_outcome(ms(at), sent, if sent == index { outcome } else { usual });
     }
 }
 
 #[test]
 fn a_server_that_was_slow_or_failed_is_used_again_after_a_while() {
-    let slow = Outcome::Answered { micros: 4_000_000, knew: false };
+    let slow = Outcome::Answered { micros: 4_000_000, was_warm: false };
     for outcome in [slow, Outcome::Failed] {
         let rows = vec![server("judged", "a1", 10), server("well", "a1", 10)];
         let mut host = ready(0, ms(0), rows);
