--- a/elmstream_steer/tests/readers.rs
+++ b/elmstream_steer/tests/readers.rs
@@ -25,7 +25,7 @@
         for (n, host) in fleet.iter_mut().enumerate() {
             let tables = [Table::Rules, Table::Servers];
             for table in tables {
-                let Some(why) = host.must_read(ms(at), table) else { continue };
+                let Some(why) = host.due_read(ms(at), table) else { continue };
                 calls += 1;
                 if served(n, at) {
                     store::answered(host, ms(at), (table, why), Vec::new());
@@ -78,10 +78,10 @@
     for near in 0..HOSTS {
         let mut fleet: Vec<Steer> = (0..HOSTS).map(|n| ready(n, ms(0), servers(2))).collect();
         for (n, host) in fleet.iter_mut().enumerate() {
-            host.store_read_in(if n == near { 4 } else { 75 });
+            host.record_read_time(if n == near { 4 } else { 75 });
         }
         beats(ms(50), &mut fleet, |_, _| true);
-        let reads = |n: &usize| fleet[*n].must_read(ms(700), Table::Servers).is_some();
+        let reads = |n: &usize| fleet[*n].due_read(ms(700), Table::Servers).is_some();
         assert_eq!((0..HOSTS).filter(reads).collect::<Vec<_>>(), [near]);
     }
 }
@@ -94,13 +94,13 @@
     for at in (0..until).step_by(5) {
         for (n, host) in fleet.iter_mut().enumerate() {
             if (at + 5 * n as u64).is_multiple_of(50) {
-                on_the_way.push((at + delay, n, host.beat(ms(at))));
+                on_the_way.push((at + delay, n, host.next_heartbeat(ms(at))));
             }
         }
         for (_, from, beat) in on_the_way.iter().filter(|(arrives, _, _)| *arrives == at) {
             for (to, host) in fleet.iter_mut().enumerate().filter(|(to, _)| to != from) {
                 let _ = to;
-                host.hear(ms(at), beat);
+                host.on_heartbeat(ms(at), beat);
             }
         }
         on_the_way.retain(|(arrives, _, _)| *arrives > at);
@@ -121,14 +121,14 @@
 fn a_host_that_claims_news_which_the_store_does_not_have_is_believed_once() {
     let mut host = ready(0, ms(0), servers(2));
     let mut other = ready(1, ms(0), servers(2));
-    other.store_read_in(4);
-    other.read_all(ms(0), Table::Rules, at(900), vec![configuration(7, 900)]);
+    other.record_read_time(4);
+    other.on_full_read(ms(0), Table::Rules, at(900), vec![configuration(7, 900)]);
     let mut calls = 0;
     for at in (20..20_000).step_by(20) {
         if at % 60 == 0 {
-            host.hear(ms(at), &other.beat(ms(at)));
+            host.on_heartbeat(ms(at), &other.next_heartbeat(ms(at)));
         }
-        let Some(why) = host.must_read(ms(at), Table::Rules) else { continue };
+        let Some(why) = host.due_read(ms(at), Table::Rules) else { continue };
         calls += usize::from(why == ReadReason::Behind);
         store::answered(&mut host, ms(at), (Table::Rules, why), Vec::new());
     }
@@ -142,17 +142,17 @@
 fn what_goes_between_the_first_readings_of_two_hosts_goes_at_both() {
     let (mut early, mut late) = (host(0, ms(0)), host(1, ms(0)));
     let there = vec![server("s", "a1", 62), server("t", "a2", 49)];
-    early.read_all(ms(0), Table::Servers, at(64), there);
-    late.read_all(ms(100), Table::Servers, at(66), vec![server("s", "a1", 62)]);
+    early.on_full_read(ms(0), Table::Servers, at(64), there);
+    late.on_full_read(ms(100), Table::Servers, at(66), vec![server("s", "a1", 62)]);
     let mut fleet = [early, late];
     for now in (200..10_000).step_by(100) {
         beats(ms(now), &mut fleet, |_, _| true);
         for (to, from) in [(0, 1), (1, 0)] {
-            let beat = fleet[from].beat(ms(now));
-            let Some(news) = fleet[to].hear(ms(now), &beat) else { continue };
-            for (table, version) in news.wanted {
-                let told = fleet[from].tell_rows(ms(now), table, version);
-                fleet[to].told(ms(now), table, told);
+            let beat = fleet[from].next_heartbeat(ms(now));
+            let Some(news) = fleet[to].on_heartbeat(ms(now), &beat) else { continue };
+            for (table, version) in news.outdated_tables {
+                let told = fleet[from].rows_for(ms(now), table, version);
+                fleet[to].on_table_rows(ms(now), table, told);
             }
         }
     }
--- a/elmstream_steer/tests/registry.rs
+++ b/elmstream_steer/tests/registry.rs
@@ -36,31 +36,31 @@
     let first = FIRST_UPDATE_AFTER / MILLI;
     rest(&mut fleet, 100, first + 100, |_| true);
     let now = ms(first);
-    let keepers: Vec<usize> = (0..HOSTS).filter(|n| fleet[*n].must_list(now)).collect();
+    let keepers: Vec<usize> = (0..HOSTS).filter(|n| fleet[*n].host_list_due(now)).collect();
     assert_eq!(keepers.len(), 1, "{keepers:?}");
     let keeper = keepers[0];
-    let edit = fleet[keeper].listed(now, &[listed(3)]);
+    let edit = fleet[keeper].on_registered_hosts(now, &[listed(3)]);
     let mut put = edit.put;
     put.sort();
     let mut all: Vec<RegisteredHost> = (0..HOSTS).filter(|n| *n != 3).map(listed).collect();
     all.sort();
     assert_eq!((put, edit.remove), (all, Vec::new()));
-    assert!((0..HOSTS).all(|n| !fleet[n].must_list(now)), "it was just looked at");
+    assert!((0..HOSTS).all(|n| !fleet[n].host_list_due(now)), "it was just looked at");
     let next = first + UPDATE_INTERVAL / MILLI;
     rest(&mut fleet, first + 100, next + 100, |_| true);
-    assert!(fleet[keeper].must_list(ms(next)));
+    assert!(fleet[keeper].host_list_due(ms(next)));
     let all: Vec<RegisteredHost> = (0..HOSTS).map(listed).collect();
-    assert_eq!(fleet[keeper].listed(ms(next), &all), RegistryEdit::default());
+    assert_eq!(fleet[keeper].on_registered_hosts(ms(next), &all), RegistryEdit::default());
 }
 
 #[test]
 fn another_host_keeps_the_list_if_the_keeper_is_gone() {
     let mut fleet = fleet();
     rest(&mut fleet, 100, 2_000, |_| true);
-    let keeper = (0..HOSTS).find(|n| fleet[*n].must_list(ms(2_000))).expect("there is one");
+    let keeper = (0..HOSTS).find(|n| fleet[*n].host_list_due(ms(2_000))).expect("there is one");
     rest(&mut fleet, 2_000, 5_000, |n| n != keeper);
     let next: Vec<usize> =
-        (0..HOSTS).filter(|n| *n != keeper && fleet[*n].must_list(ms(5_000))).collect();
+        (0..HOSTS).filter(|n| *n != keeper && fleet[*n].host_list_due(ms(5_000))).collect();
     assert_eq!(next.len(), 1, "{next:?}");
 }
 
@@ -68,10 +68,10 @@
 fn only_hosts_that_have_been_gone_for_long_are_taken_off() {
     let mut fleet = fleet();
     rest(&mut fleet, 100, 2_000, |_| true);
-    let keeper = (0..HOSTS).find(|n| fleet[*n].must_list(ms(2_000))).expect("there is one");
+    let keeper = (0..HOSTS).find(|n| fleet[*n].host_list_due(ms(2_000))).expect("there is one");
     let gone = (keeper + 1) % HOSTS;
     let all: Vec<RegisteredHost> = (0..HOSTS).map(listed).collect();
-    let kept = fleet[keeper].listed(ms(2_000), &all);
+    let kept = fleet[keeper].on_registered_hosts(ms(2_000), &all);
     assert_eq!(kept, RegistryEdit::default());
     // It keeps the list all the time, as it reads for all.
     for hour in 1..=3 {
@@ -79,11 +79,11 @@
         rest(&mut fleet, at - 200, at + 100, |n| n != gone);
         let read = |host: &mut Steer| {
             for table in elmstream_steer::view::TABLES {
-                host.read(ms(at), table, Vec::new());
+                host.on_changes(ms(at), table, Vec::new());
             }
         };
         fleet.iter_mut().for_each(read);
-        let edit = fleet[keeper].listed(ms(at), &all);
+        let edit = fleet[keeper].on_registered_hosts(ms(at), &all);
         let expected =
             if at * MILLI > REMOVE_AFTER { vec![format!("host-{gone}")] } else { Vec::new() };
         assert_eq!(edit.remove, expected, "after {hour} hours");
@@ -96,18 +96,18 @@
     let at = 2 * REMOVE_AFTER / MILLI;
     alone.tick(ms(at));
     let all: Vec<RegisteredHost> = (0..HOSTS).map(listed).collect();
-    assert!(alone.must_list(ms(at)));
-    assert_eq!(alone.listed(ms(at), &all).remove, Vec::<String>::new());
+    assert!(alone.host_list_due(ms(at)));
+    assert_eq!(alone.on_registered_hosts(ms(at), &all).remove, Vec::<String>::new());
 }
 
 #[test]
 fn a_host_that_starts_learns_from_the_list_where_the_others_are() {
     let mut new = host(0, ms(0));
-    new.want_hosts();
-    assert!(!new.knows_hosts());
-    assert!(new.must_list(ms(60)), "it knows nobody, so it does not wait for others");
+    new.request_host_list();
+    assert!(!new.has_host_list());
+    assert!(new.host_list_due(ms(60)), "it knows nobody, so it does not wait for others");
     let all: Vec<RegisteredHost> = (0..HOSTS).map(listed).collect();
-    assert_eq!(new.listed(ms(60), &all), RegistryEdit::default());
-    assert!(new.knows_hosts());
+    assert_eq!(new.on_registered_hosts(ms(60), &all), RegistryEdit::default());
+    assert!(new.has_host_list());
     assert_eq!(new.targets(ms(100), 1,).near.len(), HOSTS - 1);
 }
--- a/elmstream_steer/tests/rest.rs
+++ b/elmstream_steer/tests/rest.rs
@@ -17,7 +17,11 @@
     let route = route(Repeatability::Safe, &[]);
     (0..200u64).any(|key| match send(host, ms(now), &route, key * 7_919) {
         Pick::Send(index) => {
-            host.done(ms(now), index, Outcome::Answered { micros: 1_000, knew: true });
+            host.record_outcome(
+                ms(now),
+                index,
+                Outcome::Answered { micros: 1_000, was_warm: true },
+            );
             support::id(host, index) == id
         }
         Pick::Refuse(_) => false,
@@ -34,8 +38,8 @@
 #[test]
 fn a_rest_is_for_one_host_and_its_end_moves_only_later() {
     let (mut host, index, _) = two();
-    assert!(host.asks_for_rest(ms(1_000), index, Duration::from_secs(3)));
-    assert!(!host.asks_for_rest(ms(1_100), index, Duration::from_millis(100)), "not new");
+    assert!(host.on_server_backoff(ms(1_000), index, Duration::from_secs(3)));
+    assert!(!host.on_server_backoff(ms(1_100), index, Duration::from_millis(100)), "not new");
     assert!(!used(&mut host, 1_050, "s"));
     assert!(!used(&mut host, 3_900, "s"), "a shorter rest ends nothing early");
     assert!(used(&mut host, 4_400, "s"));
@@ -47,8 +51,8 @@
 #[test]
 fn if_all_servers_rest_a_request_is_refused_at_once_until_the_first_is_back() {
     let (mut host, s, t) = two();
-    host.asks_for_rest(ms(1_000), s, Duration::from_secs(3));
-    host.asks_for_rest(ms(1_000), t, Duration::from_secs(2));
+    host.on_server_backoff(ms(1_000), s, Duration::from_secs(3));
+    host.on_server_backoff(ms(1_000), t, Duration::from_secs(2));
     let route = route(Repeatability::Once, &[]);
     let Pick::Refuse(refusal) = send(&mut host, ms(1_500), &route, 1) else {
         panic!("both rest");
@@ -60,10 +64,10 @@
 #[test]
 fn a_server_that_is_only_full_is_tried_again_soon() {
     let (mut host, s, t) = two();
-    host.asks_for_rest(ms(1_000), t, Duration::from_secs(9));
+    host.on_server_backoff(ms(1_000), t, Duration::from_secs(9));
     let route = route(Repeatability::Safe, &[]);
     assert_eq!(send(&mut host, ms(1_000), &route, 1), Pick::Send(s));
-    host.done(ms(1_010), s, Outcome::Full);
+    host.record_outcome(ms(1_010), s, Outcome::Full);
     assert!(!used(&mut host, 1_020, "s"));
     assert!(used(&mut host, 1_100, "s"));
 }
@@ -71,7 +75,7 @@
 #[test]
 fn a_rest_without_measure_ends() {
     let (mut host, s, _) = two();
-    host.asks_for_rest(ms(1_000), s, Duration::MAX);
+    host.on_server_backoff(ms(1_000), s, Duration::MAX);
     assert!(!used(&mut host, 500_000, "s"));
     assert!(used(&mut host, 700_000, "s"));
 }
--- a/elmstream_steer/tests/returns.rs
+++ b/elmstream_steer/tests/returns.rs
@@ -10,21 +10,21 @@
 #[test]
 fn a_caller_with_clearly_less_time_than_usual_comes_back() {
     let mut returns = ReturningCallers::default();
-    assert!(!returns.returns(ms(0), "r", 2_000));
-    assert!(!returns.returns(ms(10), "r", 2_000));
-    assert!(!returns.returns(ms(20), "r", 1_950), "the way here takes a little");
-    assert!(returns.returns(ms(30), "r", 1_700));
-    assert!(!returns.returns(ms(40), "other", 1_700), "routes differ");
+    assert!(!returns.is_returning(ms(0), "r", 2_000));
+    assert!(!returns.is_returning(ms(10), "r", 2_000));
+    assert!(!returns.is_returning(ms(20), "r", 1_950), "the way here takes a little");
+    assert!(returns.is_returning(ms(30), "r", 1_700));
+    assert!(!returns.is_returning(ms(40), "other", 1_700), "routes differ");
 }
 
 #[test]
 fn what_is_usual_is_learned_anew_once_it_is_no_longer_seen() {
     let mut returns = ReturningCallers::default();
-    assert!(!returns.returns(ms(0), "r", 2_000));
-    assert!(returns.returns(ms(9_000), "r", 1_000));
-    assert!(!returns.returns(ms(11_000), "r", 1_000));
-    assert!(!returns.returns(ms(12_000), "r", 1_000));
-    assert!(returns.returns(ms(12_010), "r", 700));
+    assert!(!returns.is_returning(ms(0), "r", 2_000));
+    assert!(returns.is_returning(ms(9_000), "r", 1_000));
+    assert!(!returns.is_returning(ms(11_000), "r", 1_000));
+    assert!(!returns.is_returning(ms(12_000), "r", 1_000));
+    assert!(returns.is_returning(ms(12_010), "r", 700));
 }
 
 fn taken(returning: bool) -> usize {
@@ -39,7 +39,7 @@
             returning,
             homes: &[],
         };
-        matches!(host.send(ms(10), &ask), Pick::Send(_))
+        matches!(host.pick_server(ms(10), &ask), Pick::Send(_))
     };
     (0..60).take_while(|key| sent(key)).count()
 }
--- a/elmstream_steer/tests/rollouts.rs
+++ b/elmstream_steer/tests/rollouts.rs
@@ -235,19 +235,19 @@
     };
     for (stage, shut) in [
         (RolloutStage::RolledBack, true),
-        (RolloutStage::Trial, true),
+        (RolloutStage::Canary, true),
         (RolloutStage::Completed, false),
     ] {
         let mut steer = ready(0, ms(0), vec![of("old", "v1"), of("new", "v2")]);
         let order = RowContent::Rollout(RolloutOrder { target: "v2".into(), duration_ms: 12_000 });
         let key = RowKey::Rollout(support::SERVICE.into());
-        steer.read(ms(10), Table::Rules, vec![Row::new(key.clone(), at(20), Some(order))]);
+        steer.on_changes(ms(10), Table::Rules, vec![Row::new(key.clone(), at(20), Some(order))]);
         let progress =
             RolloutProgress { order: at(20), target: "v2".into(), stage, began_unix_ms: 0 };
         let row = RowKey::Progress(support::SERVICE.into());
         let row = Row::new(row, at(30), Some(RowContent::Progress(progress)));
-        steer.read_all(ms(20), Table::Rollouts, at(30), vec![row]);
-        steer.read(ms(30), Table::Rules, vec![gone(key, 40)]);
+        steer.on_full_read(ms(20), Table::Rollouts, at(30), vec![row]);
+        steer.on_changes(ms(30), Table::Rules, vec![gone(key, 40)]);
         steer.tick(ms(100));
         let mut reached = 0;
         for key in 0..200 {
@@ -258,8 +258,8 @@
             };
             reached += usize::from(id(&steer, index) == "new");
             let outcome =
-                elmstream_steer::servers::Outcome::Answered { micros: 1_000, knew: false };
-            steer.done(ms(20_000), index, outcome);
+                elmstream_steer::servers::Outcome::Answered { micros: 1_000, was_warm: false };
+            steer.record_outcome(ms(20_000), index, outcome);
         }
         assert_eq!(reached == 0, shut, "{stage:?}: {reached} requests");
     }
--- a/elmstream_steer/tests/server_limits.rs
+++ b/elmstream_steer/tests/server_limits.rs
@@ -158,16 +158,16 @@
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
     let index = host.servers().find("s").expect("it is known");
     let limit = RequestRate::parse("2.5");
-    assert!(host.names_limit(ms(1_000), index, limit));
-    assert!(!host.names_limit(ms(1_100), index, None));
-    assert!(host.names_limit(ms(1_500), index, None), "it is over");
+    assert!(host.on_server_limit(ms(1_000), index, limit));
+    assert!(!host.on_server_limit(ms(1_100), index, None));
+    assert!(host.on_server_limit(ms(1_500), index, None), "it is over");
 }
 
 #[test]
 fn a_limit_that_nobody_hears_again_is_tried_without() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
     let index = host.servers().find("s").expect("it is known");
-    host.names_limit(ms(1_000), index, RequestRate::parse("2"));
+    host.on_server_limit(ms(1_000), index, RequestRate::parse("2"));
     host.tick(ms(200_000));
     assert_eq!(host.limited_servers(), 1);
     host.tick(ms(302_000));
@@ -179,10 +179,10 @@
     let rows = vec![server("s", "a1", 10), server("t", "a1", 10)];
     let mut fleet: Vec<_> = (0..3).map(|n| ready(n, ms(0), rows.clone())).collect();
     let index = fleet[0].servers().find("s").expect("it is known");
-    fleet[0].names_limit(ms(1_000), index, RequestRate::parse("2"));
+    fleet[0].on_server_limit(ms(1_000), index, RequestRate::parse("2"));
     beats(ms(1_050), &mut fleet, |_, _| true);
     assert!(fleet.iter().all(|host| host.limited_servers() == 1));
-    fleet[0].names_limit(ms(2_000), index, None);
+    fleet[0].on_server_limit(ms(2_000), index, None);
     beats(ms(2_050), &mut fleet, |_, _| true);
     assert!(fleet.iter().all(|host| host.limited_servers() == 0));
 }
@@ -191,13 +191,17 @@
 fn a_refusal_for_limits_says_when_there_is_room_again() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
     let index = host.servers().find("s").expect("it is known");
-    host.names_limit(ms(5_000), index, RequestRate::parse("2"));
+    host.on_server_limit(ms(5_000), index, RequestRate::parse("2"));
     let route = route(Repeatability::Safe, &[]);
     let mut refused = 0;
     for at in (5_000..9_000).step_by(50) {
         match send(&mut host, ms(at), &route, 1) {
             Pick::Send(index) => {
-                host.done(ms(at), index, Outcome::Answered { micros: 1_000, knew: true });
+                host.record_outcome(
+                    ms(at),
+                    index,
+                    Outcome::Answered { micros: 1_000, was_warm: true },
+                );
             }
             Pick::Refuse(refusal) => {
                 refused += 1;
@@ -217,14 +221,14 @@
         .iter()
         .enumerate()
         .map(|(n, asked)| SenderCandidate {
-            place: hash::combine(11, n as u64),
+            address_hash: hash::combine(11, n as u64),
             weight: sender_weight(*asked, highest, n % 3 == 0),
         })
         .collect();
     let sent = among.iter().filter_map(|host| {
         let mut limited = ServerLimit::default();
-        limited.hear(ms(0), RequestRate::parse(&limit.to_string()));
-        limited.pick(ms(0), host.place, &among, 99, 1.0);
+        limited.on_answer(ms(0), RequestRate::parse(&limit.to_string()));
+        limited.elect(ms(0), host.address_hash, &among, 99, 1.0);
         limited.spacing().map(|spacing| 1.0 + WINDOW as f64 * MILLI as f64 / spacing as f64)
     });
     sent.sum()
--- a/elmstream_steer/tests/silence.rs
+++ b/elmstream_steer/tests/silence.rs
@@ -32,7 +32,7 @@
             return false;
         };
         let meant = id(steer, index) == name;
-        steer.done(ms(at), index, Outcome::Left);
+        steer.record_outcome(ms(at), index, Outcome::CallerGone);
         meant
     });
     found.expect("each server has some keys")
@@ -48,13 +48,13 @@
 /// Sends a request of the key, which gets no answer for 800 ms.
 fn unanswered(steer: &mut Steer, at: u64, key: u64) {
     if let Some(index) = to(steer, at, key) {
-        steer.done(ms(at + 800), index, Outcome::Silent);
+        steer.record_outcome(ms(at + 800), index, Outcome::Silent);
     }
 }
 
 fn goes_to(steer: &mut Steer, at: u64, key: u64, name: &str) -> bool {
     let Some(index) = to(steer, at, key) else { return false };
-    steer.done(ms(at), index, Outcome::Left);
+    steer.record_outcome(ms(at), index, Outcome::CallerGone);
     id(steer, index) == name
 }
 
@@ -92,7 +92,7 @@
     }
     beats(ms(820), &mut fleet, |_, _| true);
     assert!(!goes_to(&mut fleet[8], 830, key, "mute"));
-    fleet[5].done(ms(840), late, Outcome::Answered { micros: 240_000, knew: true });
+    fleet[5].record_outcome(ms(840), late, Outcome::Answered { micros: 240_000, was_warm: true });
     beats(ms(870), &mut fleet, |_, _| true);
     for (number, host) in fleet.iter_mut().enumerate() {
         assert!(goes_to(host, 930, key, "mute"), "host {number} still leaves it");
@@ -108,8 +108,8 @@
     let first = to(&mut host, 2_500, key).expect("others are idle");
     assert_eq!(id(&host, first), "mute", "a service without repeatable requests tries, too");
     assert!(!goes_to(&mut host, 2_510, key, "mute"), "one request at a time tries");
-    let knew = host.learn(ms(2_520), first, key);
-    host.done(ms(2_600), first, Outcome::Answered { micros: 100_000, knew });
+    let knew = host.record_warm_key(ms(2_520), first, key);
+    host.record_outcome(ms(2_600), first, Outcome::Answered { micros: 100_000, was_warm: knew });
     let second = to(&mut host, 2_610, key).expect("others are idle");
     assert_eq!(id(&host, second), "mute");
     assert!(goes_to(&mut host, 2_620, key, "mute"), "more than one request at a time again");
@@ -125,10 +125,14 @@
         let index = to(&mut host, at, key).expect("others are idle");
         if id(&host, index) == "mute" {
             tries.push(at);
-            host.done(ms(at + 800), index, Outcome::Silent);
+            host.record_outcome(ms(at + 800), index, Outcome::Silent);
             at += 800;
         } else {
-            host.done(ms(at), index, Outcome::Answered { micros: 50_000, knew: true });
+            host.record_outcome(
+                ms(at),
+                index,
+                Outcome::Answered { micros: 50_000, was_warm: true },
+            );
         }
         at += 20;
     }
@@ -140,7 +144,7 @@
     let mut host = ready(0, ms(0), rows());
     let key = key_of(&mut host, 5, "mute");
     let index = to(&mut host, 10, key).expect("all are idle");
-    host.done(ms(310), index, Outcome::Left);
+    host.record_outcome(ms(310), index, Outcome::CallerGone);
     assert!(goes_to(&mut host, 320, key, "mute"));
     assert!(goes_to(&mut host, 5_000, key, "mute"));
 }
@@ -158,7 +162,7 @@
     for host in &mut fleet[..3] {
         let open: Vec<ServerIndex> = keys.iter().filter_map(|key| to(host, 10, *key)).collect();
         for index in open {
-            host.done(ms(810), index, Outcome::Silent);
+            host.record_outcome(ms(810), index, Outcome::Silent);
         }
     }
     beats(ms(820), &mut fleet, |_, _| true);
--- a/elmstream_steer/tests/starts.rs
+++ b/elmstream_steer/tests/starts.rs
@@ -25,30 +25,30 @@
         send(&mut host, ms(1), &route, KEY);
     }
     let old = host.servers().find("s").expect("it is there");
-    host.learn(ms(1), old, KEY);
-    host.tell(ms(1), old, 5);
-    host.done(ms(700), old, Outcome::Left);
-    assert!(host.knows(ms(701), old, KEY));
-    assert!(host.servers().get(old).expect("it is there").on_trial());
-    let changes = host.read(ms(702), Table::Servers, vec![reborn(server("s", "a1", 10), 11)]);
+    host.record_warm_key(ms(1), old, KEY);
+    host.record_server_load(ms(1), old, 5);
+    host.record_outcome(ms(700), old, Outcome::CallerGone);
+    assert!(host.is_warm(ms(701), old, KEY));
+    assert!(host.servers().get(old).expect("it is there").is_probing());
+    let changes = host.on_changes(ms(702), Table::Servers, vec![reborn(server("s", "a1", 10), 11)]);
     assert!(changes.contains(&StateChange::Server("s".into(), ServerState::Restarted)));
     let new = host.servers().find("s").expect("it is there");
     let entry = host.servers().get(new).expect("it is there");
     assert_ne!(old, new);
-    assert_eq!((entry.own, entry.occupied(ms(702)), entry.on_trial()), (0, 0, false));
-    assert!(!host.knows(ms(702), new, KEY));
+    assert_eq!((entry.own_in_flight, entry.in_flight(ms(702)), entry.is_probing()), (0, 0, false));
+    assert!(!host.is_warm(ms(702), new, KEY));
     // What was in flight at the start before ends, and says nothing of this one.
-    host.done(ms(703), old, Outcome::Silent);
-    assert_eq!(host.servers().get(new).expect("it is there").own, 0);
+    host.record_outcome(ms(703), old, Outcome::Silent);
+    assert_eq!(host.servers().get(new).expect("it is there").own_in_flight, 0);
     assert!(matches!(send(&mut host, ms(704), &route, KEY), elmstream_steer::Pick::Send(_)));
 }
 
 #[test]
 fn an_older_entry_that_comes_late_changes_nothing() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
-    host.read(ms(1), Table::Servers, vec![reborn(server("s", "a1", 10), 12)]);
+    host.on_changes(ms(1), Table::Servers, vec![reborn(server("s", "a1", 10), 12)]);
     let index = host.servers().find("s").expect("it is there");
-    assert!(host.read(ms(2), Table::Servers, vec![server("s", "a1", 11)]).is_empty());
+    assert!(host.on_changes(ms(2), Table::Servers, vec![server("s", "a1", 11)]).is_empty());
     assert_eq!(host.servers().find("s"), Some(index));
     assert_eq!(host.servers().get(index).expect("it is there").server.born, 1);
 }
@@ -56,19 +56,19 @@
 #[test]
 fn a_server_of_another_service_or_address_is_another_one() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
-    host.read(
+    host.on_changes(
         ms(1),
         Table::Servers,
         vec![with(server("s", "a1", 10), 11, |server| server.service = "other".into())],
     );
-    assert_eq!(host.servers().of("shop").count(), 0, "the old service does not get it");
-    assert_eq!(host.servers().of("other").count(), 1);
+    assert_eq!(host.servers().of_service("shop").count(), 0, "the old service does not get it");
+    assert_eq!(host.servers().of_service("other").count(), 1);
     let first = host.servers().find("s");
     let moved = with(server("s", "a1", 10), 12, |server| {
         server.service = "other".into();
         server.address = address(9);
     });
-    host.read(ms(2), Table::Servers, vec![moved]);
+    host.on_changes(ms(2), Table::Servers, vec![moved]);
     assert_ne!(host.servers().find("s"), first);
 }
 
@@ -78,7 +78,7 @@
     let all = host.servers().all().count();
     let key = RowKey::Server("s-a1-0".into());
     let unreadable = Row::new(key.clone(), at(11), Some(RowContent::Unreadable));
-    let changes = host.read(ms(1), Table::Servers, vec![unreadable]);
+    let changes = host.on_changes(ms(1), Table::Servers, vec![unreadable]);
     assert_eq!(changes, [StateChange::Server("s-a1-0".into(), ServerState::Unreadable)]);
     assert_eq!(host.servers().all().count(), all - 1);
     let route = route(Repeatability::Safe, &[]);
@@ -88,8 +88,8 @@
         }
     }
     // Once it can be read again it is used again, and its end is told as ever.
-    host.read(ms(3), Table::Servers, vec![server("s-a1-0", "a1", 12)]);
+    host.on_changes(ms(3), Table::Servers, vec![server("s-a1-0", "a1", 12)]);
     assert_eq!(host.servers().all().count(), all);
-    host.read(ms(4), Table::Servers, vec![gone(key, 13)]);
+    host.on_changes(ms(4), Table::Servers, vec![gone(key, 13)]);
     assert_eq!(host.servers().all().count(), all - 1);
 }
--- a/elmstream_steer/tests/steps.rs
+++ b/elmstream_steer/tests/steps.rs
@@ -9,16 +9,16 @@
 
 /// A version that is on trial, and trusted.
 const TRIED: StepContext = StepContext {
-    stage: Some(RolloutStage::Trial),
+    stage: Some(RolloutStage::Canary),
     since_order_ms: 8_000,
     since_stage_ms: 7_000,
     duration_ms: 12_000,
-    longest_ms: 2_000,
-    news_ms: 3_000,
-    bad: false,
+    longest_request_ms: 2_000,
+    propagation_ms: 3_000,
+    is_bad: false,
     trusted: true,
     routes_trusted: true,
-    left: false,
+    old_drained: false,
     slots: (40, 40),
 };
 
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_trusted_version_is_shifted_to_late_and_in_two_parts() {
-    assert_eq!(late(StepContext { stage: None, ..TRIED }), Some(RolloutStage::Trial));
+    assert_eq!(late(StepContext { stage: None, ..TRIED }), Some(RolloutStage::Canary));
     assert_eq!(late(StepContext { since_order_ms: 5_000, ..TRIED }), None);
     assert_eq!(late(TRIED), Some(RolloutStage::Shift(25)));
     let first = StepContext { stage: Some(RolloutStage::Shift(25)), since_stage_ms: 500, ..TRIED };
@@ -45,7 +45,7 @@
 fn the_others_are_stopped_once_nobody_sends_there() {
     let all = StepContext { stage: Some(RolloutStage::Shift(100)), since_stage_ms: 1_000, ..TRIED };
     assert_eq!(late(all), None);
-    assert_eq!(late(StepContext { left: true, ..all }), Some(RolloutStage::Completed));
+    assert_eq!(late(StepContext { old_drained: true, ..all }), Some(RolloutStage::Completed));
     // News have reached whoever cannot be heard, and the longest request is over.
     assert_eq!(late(StepContext { since_stage_ms: 5_000, ..all }), Some(RolloutStage::Completed));
 }
@@ -64,12 +64,12 @@
 
 quickcheck! {
     fn a_bad_version_is_turned_away_at_any_stage_but_the_last(percent: u8, at: u16) -> bool {
-        let stages = [RolloutStage::Trial, RolloutStage::Shift(percent)];
+        let stages = [RolloutStage::Canary, RolloutStage::Shift(percent)];
         let bad = |stage| StepContext {
             stage: Some(stage),
             since_order_ms: u64::from(at),
-            bad: true,
-            left: true,
+            is_bad: true,
+            old_drained: true,
             ..TRIED
         };
         let ends = [RolloutStage::Completed, RolloutStage::RolledBack];
@@ -89,9 +89,9 @@
         stage: RolloutStage::RolledBack,
         began_unix_ms: 0,
     };
-    assert!(progress.is_of(&order, StoreVersion::new(1, 7)));
-    assert!(!progress.is_of(&order, StoreVersion::new(1, 9)));
-    assert!(progress.is_of(&order, StoreVersion::new(2, 3)));
+    assert!(progress.belongs_to(&order, StoreVersion::new(1, 7)));
+    assert!(!progress.belongs_to(&order, StoreVersion::new(1, 9)));
+    assert!(progress.belongs_to(&order, StoreVersion::new(2, 3)));
     let other = RolloutOrder { target: "v3".into(), ..order };
-    assert!(!progress.is_of(&other, StoreVersion::new(2, 3)));
+    assert!(!progress.belongs_to(&other, StoreVersion::new(2, 3)));
 }
--- a/elmstream_steer/tests/support/eras.rs
+++ b/elmstream_steer/tests/support/eras.rs
@@ -132,9 +132,9 @@
 impl Store {
     fn put(&mut self, row: Row) {
         let there = self.rows.get(&row.key).is_some_and(|(item, _)| item.is_some());
-        if row.item.is_some() || there {
+        if row.content.is_some() || there {
             self.count += 1;
-            self.rows.insert(row.key, (row.item, self.count));
+            self.rows.insert(row.key, (row.content, self.count));
         }
     }
 
@@ -324,7 +324,7 @@
             }
             let silent = at >= self.back + SILENCE && self.truth.servers[n] == 2;
             if silent && self.store.rows.contains_key(&RowKey::Server(id(n))) {
-                self.store.put(Row { item: None, ..server(&id(n), "a1", 0) });
+                self.store.put(Row { content: None, ..server(&id(n), "a1", 0) });
             }
         }
         if self.drill.news.is_some_and(|news| self.back > 0 && at == self.back + news) {
@@ -388,7 +388,7 @@
                         self.beats[n].0 += 1;
                         self.entry(n);
                     }
-                    _ => self.store.put(Row { item: None, ..server(&id(n), "a1", 0) }),
+                    _ => self.store.put(Row { content: None, ..server(&id(n), "a1", 0) }),
                 }
                 1 + DOMAINS.len() + n
             }
@@ -424,14 +424,14 @@
 
     fn beat(&mut self, at: u64, n: usize) {
         let node = &mut self.nodes[n];
-        let pause = members::heartbeat_interval(node.steer.members().count()) / MILLI;
+        let pause = members::heartbeat_interval(node.steer.members().target_count()) / MILLI;
         let pause = if node.steer.urgent() { pause.min(URGENT) } else { pause };
         if node.beat.0 + pause > at {
             return;
         }
-        let mut beat = Box::new(node.steer.beat(ms(at)));
+        let mut beat = Box::new(node.steer.next_heartbeat(ms(at)));
         if self.without == Without::Telling {
-            beat.known.iter_mut().for_each(|known| known.held = 0);
+            beat.tables.iter_mut().for_each(|known| known.retained_digest = 0);
         }
         let targets = node.steer.targets(ms(at), node.beat.1);
         node.beat = (at, node.beat.1 + 1);
@@ -449,18 +449,18 @@
             // What was asked for by the start before does not come to this one.
             Message::Rows(..) if at < self.nodes[to].started + FETCH => {}
             Message::Heartbeat(beat) => {
-                let Some(news) = self.nodes[to].steer.hear(ms(at), &beat) else { return };
-                for (table, version) in news.wanted {
-                    let mut rows = self.nodes[from].steer.tell_rows(ms(at), table, version);
+                let Some(news) = self.nodes[to].steer.on_heartbeat(ms(at), &beat) else { return };
+                for (table, version) in news.outdated_tables {
+                    let mut rows = self.nodes[from].steer.rows_for(ms(at), table, version);
                     if self.without == Without::Telling {
-                        rows.held.clear();
+                        rows.retained.clear();
                     }
                     let message = Message::Rows(table, Box::new(rows));
                     self.on_the_way.entry(at + FETCH).or_default().push((from, to, message));
                 }
             }
             Message::Rows(table, rows) => {
-                self.nodes[to].steer.told(ms(at), table, *rows);
+                self.nodes[to].steer.on_table_rows(ms(at), table, *rows);
             }
         }
     }
@@ -478,7 +478,7 @@
             }
             self.ended(at, n, table);
         }
-        let Some(why) = self.nodes[n].steer.must_read(ms(at), table) else { return };
+        let Some(why) = self.nodes[n].steer.due_read(ms(at), table) else { return };
         self.seen.calls += usize::from(self.back > 0 && at < self.back + CONTACT);
         let well = !self.away(at) && !self.turned_away(at, n);
         let late = well && self.random.random_range(0..100) < self.drill.late;
@@ -524,21 +524,21 @@
         let Some(answer) = answer else {
             *cursor = None;
             if !well {
-                node.steer.store_failed(now, table);
+                node.steer.record_store_failure(now, table);
             }
             return;
         };
         if answer.version.era < node.steer.era() {
-            node.steer.store_failed(now, table);
+            node.steer.record_store_failure(now, table);
             return;
         }
         let (moment, version) = (ms(call.began), answer.version);
         match answer.all {
-            true => node.steer.read_all_of(now, moment, table, version, answer.rows),
-            false => node.steer.read_of(now, moment, table, answer.rows),
+            true => node.steer.on_full_read_at(now, moment, table, version, answer.rows),
+            false => node.steer.on_changes_at(now, moment, table, answer.rows),
         };
         *cursor = Some((version, at));
-        node.steer.store_answered(table, call.why, moment, version);
+        node.steer.record_store_answer(table, call.why, moment, version);
     }
 
     /// Whether a host goes by what was acknowledged.
@@ -567,7 +567,7 @@
                 let agrees = self.agrees(n, fact);
                 let node = &mut self.nodes[n];
                 let table = if fact <= DOMAINS.len() { Table::Rules } else { Table::Servers };
-                let knows = node.steer.view().mark(table).fresh.is_some();
+                let knows = node.steer.view().watermark(table).confirmed_at.is_some();
                 if agrees {
                     let learned = node.started < BACK || at > node.started + CONTACT;
                     if knows && learned && node.agreed.insert(fact) && self.back > 0 {
@@ -646,11 +646,11 @@
     let mut steer = started(n, ms(at), at);
     // Some read the store themselves before others can tell them anything.
     if n.is_multiple_of(2) {
-        steer.asked_first();
+        steer.mark_as_seed();
     }
-    (0..hosts).for_each(|other| steer.suppose(ms(at), address(2_000 + other)));
+    (0..hosts).for_each(|other| steer.add_peer_address(ms(at), address(2_000 + other)));
     if without == Without::Holds {
-        steer.set_holds(Retention::NONE);
+        steer.set_retention(Retention::NONE);
     }
     Node {
         steer,
--- a/elmstream_steer/tests/support/harm.rs
+++ b/elmstream_steer/tests/support/harm.rs
@@ -112,7 +112,7 @@
     pub fn new(hosts: usize, servers_each: usize, way: Way, seed: u64) -> Fleet {
         let mut all: Vec<Steer> = (0..hosts).map(|n| ready(n, ms(0), servers(1))).collect();
         for host in &mut all {
-            (0..hosts).for_each(|other| host.suppose(ms(0), address(2_000 + other)));
+            (0..hosts).for_each(|other| host.add_peer_address(ms(0), address(2_000 + other)));
         }
         let mut fleet = Fleet {
             hosts: all,
@@ -165,13 +165,13 @@
 
     fn send(&mut self, mut copy: Copy) {
         let steer = &self.hosts[copy.host];
-        if steer.harms().refuses(&copy.digest).is_some() {
+        if steer.poison().refusal(&copy.digest).is_some() {
             if !copy.harmful {
                 self.figures.refused += 1;
             }
             return;
         }
-        copy.known = steer.harms().generation(&copy.digest);
+        copy.known = steer.poison().generation(&copy.digest);
         if copy.known > 0 && self.busy(&copy) {
             self.figures.waited += if copy.harmful { 0 } else { STEP };
             self.later(STEP, copy.host, Event::Again(copy));
@@ -251,11 +251,13 @@
     fn take(&mut self, host: usize, event: Event) {
         let (now, unix_s) = (self.now(), self.unix_s());
         match event {
-            Event::Beat(beat) if !self.apart[host] => drop(self.hosts[host].hear(now, &beat)),
+            Event::Beat(beat) if !self.apart[host] => {
+                drop(self.hosts[host].on_heartbeat(now, &beat))
+            }
             Event::Beat(_) => {}
             Event::Again(copy) => self.send(copy),
             Event::Over(copy, true) => {
-                self.hosts[host].harms_mut().answered(now, &copy.digest);
+                self.hosts[host].poison_mut().record_answer(now, &copy.digest);
                 self.figures.answered += 1;
             }
             Event::Over(copy, false) => {
@@ -264,9 +266,9 @@
                 let known = match self.way {
                     Way::Generations => copy.known,
                     // As if it was sent in the knowledge of all that have ended.
-                    Way::Servers => steer.harms().servers(&copy.digest) as u8,
+                    Way::Servers => steer.poison().crashed_servers(&copy.digest) as u8,
                 };
-                steer.ended(now, unix_s, copy.digest, server, known);
+                steer.on_server_crash(now, unix_s, copy.digest, server, known);
                 self.send(copy);
             }
         }
@@ -314,7 +316,7 @@
             }
             self.rounds[from] = (round + 1, self.at);
             let now = self.now();
-            let beat = self.hosts[from].beat(now);
+            let beat = self.hosts[from].next_heartbeat(now);
             let targets = self.hosts[from].targets(now, round + 1);
             for to in targets.near.iter().chain(&targets.far) {
                 let to = place(*to);
--- a/elmstream_steer/tests/support/limits.rs
+++ b/elmstream_steer/tests/support/limits.rs
@@ -157,7 +157,7 @@
             limit: None,
             started: 0,
             places: Vec::new(),
-            heard: FleetView { known: count, live: count, near: count / REGIONS },
+            heard: FleetView { possible: count, live: count, near: count / REGIONS },
         };
         Play {
             load,
@@ -224,7 +224,7 @@
                     ..Configuration::default()
                 };
                 let table = WorkspaceTable::new(&configuration);
-                host.quotas.configured(&self.bounds, &table, &host.table);
+                host.quotas.on_configuration(&self.bounds, &table, &host.table);
                 (host.table, host.limit) = (table, Some(configured));
             }
         }
@@ -259,7 +259,7 @@
             let places: Vec<u64> = heard.into_iter().map(Self::place).collect();
             let host = &mut self.hosts[n];
             let known = if self.way == Way::SilentAreDead { live } else { count };
-            host.heard = FleetView { known, live, near };
+            host.heard = FleetView { possible: known, live, near };
             host.places = places;
         }
     }
@@ -283,9 +283,9 @@
         let scene = QuotaContext {
             now: Self::now(at),
             bounds: &self.bounds,
-            heard: host.heard,
+            fleet: host.heard,
             hosts_known: true,
-            places: &host.places,
+            address_hashes: &host.places,
         };
         act(&mut host.quotas, &scene, &host.table)
     }
@@ -299,18 +299,18 @@
                 match message {
                     Message::Report(from, report) => {
                         let (verdict, due) = self.with(to, at, |quotas, scene, table| {
-                            (quotas.sum_up(scene, table, &report), quotas.tell(scene))
+                            (quotas.on_report(scene, table, &report), quotas.due_broadcasts(scene))
                         });
                         self.seen.datagrams += 1;
                         self.send(at, to, from, Message::Verdict(verdict));
                         self.spread(at, to, due);
                     }
                     Message::Verdict(verdict) => {
-                        self.hosts[to].quotas.judged(Self::now(at), &verdict);
+                        self.hosts[to].quotas.on_reply(Self::now(at), &verdict);
                     }
                     Message::Spread(spread) => {
-                        let due =
-                            self.with(to, at, |quotas, scene, _| quotas.pass_on(scene, &spread));
+                        let due = self
+                            .with(to, at, |quotas, scene, _| quotas.on_broadcast(scene, &spread));
                         self.spread(at, to, due);
                     }
                 }
@@ -322,10 +322,10 @@
         if self.way == Way::NobodyTold {
             return;
         }
-        for AddressedBroadcast { place, spread } in due {
-            let to = self.by_place[&place];
+        for AddressedBroadcast { address_hash, broadcast } in due {
+            let to = self.by_place[&address_hash];
             self.seen.datagrams += 1;
-            self.send(at, from, to, Message::Spread(spread));
+            self.send(at, from, to, Message::Spread(broadcast));
         }
     }
 
@@ -357,7 +357,7 @@
         if matches!(self.way, Way::OwnParts | Way::OneEach) {
             return self.ask_own_part(n, at, member);
         }
-        match self.with(n, at, |quotas, scene, _| quotas.rule(scene, member)) {
+        match self.with(n, at, |quotas, scene, _| quotas.admit(scene, member)) {
             QuotaDecision::Within => self.seen.within.push(at),
             QuotaDecision::Over { retry_ms } => {
                 self.seen.retry_most = self.seen.retry_most.max(retry_ms)
@@ -387,13 +387,13 @@
             if !self.load.runs(n, at) {
                 continue;
             }
-            let due = self.with(n, at, |quotas, scene, table| quotas.reports(scene, table));
+            let due = self.with(n, at, |quotas, scene, table| quotas.due_reports(scene, table));
             for addressed in due {
-                let to = self.by_place[&addressed.place];
+                let to = self.by_place[&addressed.address_hash];
                 self.seen.datagrams += 1;
                 self.send(at, n, to, Message::Report(n, addressed.report));
             }
-            let due = self.with(n, at, |quotas, scene, _| quotas.tell(scene));
+            let due = self.with(n, at, |quotas, scene, _| quotas.due_broadcasts(scene));
             self.spread(at, n, due);
         }
     }
--- a/elmstream_steer/tests/support/mod.rs
+++ b/elmstream_steer/tests/support/mod.rs
@@ -118,7 +118,7 @@
 
 /// The same row, changed.
 pub fn with(mut row: Row, stored: u64, change: impl Fn(&mut Server)) -> Row {
-    if let Some(RowContent::Server(server)) = &mut row.item {
+    if let Some(RowContent::Server(server)) = &mut row.content {
         change(server);
     }
     row.version = at(stored);
@@ -139,19 +139,19 @@
 /// A host that knows a configuration and servers.
 pub fn ready(number: usize, now: Time, rows: Vec<Row>) -> Steer {
     let mut steer = host(number, now);
-    steer.read_all(now, Table::Rules, at(10), vec![configuration(1, 10)]);
-    steer.read_all(now, Table::Servers, at(10), rows);
+    steer.on_full_read(now, Table::Rules, at(10), vec![configuration(1, 10)]);
+    steer.on_full_read(now, Table::Servers, at(10), rows);
     steer.tick(now);
     steer
 }
 
 /// Lets hosts hear each other if `heard` says so.
 pub fn beats(now: Time, hosts: &mut [Steer], heard: impl Fn(usize, usize) -> bool) {
-    let all: Vec<_> = hosts.iter_mut().map(|host| host.beat(now)).collect();
+    let all: Vec<_> = hosts.iter_mut().map(|host| host.next_heartbeat(now)).collect();
     for (to, host) in hosts.iter_mut().enumerate() {
         for (from, beat) in all.iter().enumerate() {
             if from != to && heard(from, to) {
-                host.hear(now, beat);
+                host.on_heartbeat(now, beat);
             }
         }
         host.tick(now);
@@ -160,7 +160,7 @@
 
 /// Sends a request of a key.
 pub fn send(steer: &mut Steer, now: Time, route: &Route, key: u64) -> Pick {
-    steer.send(
+    steer.pick_server(
         now,
         &PickRequest { route, service: SERVICE, key, tried: &[], returning: false, homes: &[] },
     )
@@ -193,12 +193,12 @@
         rows: Vec<Row>,
     ) {
         let version = rows.iter().map(|row| row.version).max().unwrap_or_default();
-        host.read(now, table, rows);
-        host.store_answered(table, why, now, version);
+        host.on_changes(now, table, rows);
+        host.record_store_answer(table, why, now, version);
     }
 
     /// A call failed.
     pub fn failed(host: &mut Steer, now: Time, table: Table) {
-        host.store_failed(now, table);
+        host.record_store_failure(now, table);
     }
 }
--- a/elmstream_steer/tests/support/needy.rs
+++ b/elmstream_steer/tests/support/needy.rs
@@ -122,8 +122,8 @@
         let now = ms(self.at);
         let rows = self.rows.clone();
         let mut steer = started(host, now, 1 + self.at);
-        steer.read_all(now, Table::Rules, support::at(10), vec![configuration(1, 10)]);
-        steer.read_all(now, Table::Servers, support::at(10), rows);
+        steer.on_full_read(now, Table::Rules, support::at(10), vec![configuration(1, 10)]);
+        steer.on_full_read(now, Table::Servers, support::at(10), rows);
         self.hosts[host] = steer;
         meet(&mut self.hosts[host], self.started.len(), self.at);
         self.started[host] = self.at;
@@ -159,7 +159,7 @@
         let host = self.callers[drawn];
         let key = hash::combine(7, self.draw(400) as u64);
         let now = ms(self.at);
-        self.hosts[host].earn(now, support::SERVICE);
+        self.hosts[host].deposit_retry(now, support::SERVICE);
         match support::send(&mut self.hosts[host], now, &self.route, key) {
             Pick::Send(index) => {
                 self.sent += 1;
@@ -194,12 +194,12 @@
         let now = ms(self.at);
         let steer = &mut self.hosts[host];
         match event {
-            Event::Beat(beat) => drop(steer.hear(now, &beat)),
+            Event::Beat(beat) => drop(steer.on_heartbeat(now, &beat)),
             Event::Answer(index, limit) => {
                 let micros = (2 * WAY + WORK) * MILLI;
-                steer.done(now, index, Outcome::Answered { micros, knew: true });
+                steer.record_outcome(now, index, Outcome::Answered { micros, was_warm: true });
                 let limit = limit.and_then(|limit| RequestRate::parse(&limit.to_string()));
-                steer.names_limit(now, index, limit);
+                steer.on_server_limit(now, index, limit);
             }
         }
     }
@@ -214,7 +214,7 @@
             }
             self.rounds[from] = (round + 1, self.at);
             let now = ms(self.at);
-            let beat = self.hosts[from].beat(now);
+            let beat = self.hosts[from].next_heartbeat(now);
             let targets = self.hosts[from].targets(now, round + 1);
             for to in targets.near.iter().chain(&targets.far) {
                 let to = place(*to);
@@ -258,5 +258,5 @@
 }
 
 fn meet(host: &mut Steer, hosts: usize, at: u64) {
-    (0..hosts).for_each(|other| host.suppose(ms(at), address(2_000 + other)));
+    (0..hosts).for_each(|other| host.add_peer_address(ms(at), address(2_000 + other)));
 }
--- a/elmstream_steer/tests/support/rollouts.rs
+++ b/elmstream_steer/tests/support/rollouts.rs
@@ -241,7 +241,7 @@
             let mut node = world.node(n, 0);
             for table in [Table::Rules, Table::Servers] {
                 let rows = world.rows_of(table);
-                node.steer.read_all(ms(0), table, StoreVersion::new(0, world.count), rows);
+                node.steer.on_full_read(ms(0), table, StoreVersion::new(0, world.count), rows);
             }
             world.nodes.push(node);
         }
@@ -250,10 +250,11 @@
 
     fn node(&self, n: usize, at: u64) -> Node {
         let mut steer = started(n, ms(at), 1 + at);
-        (0..self.play.hosts).for_each(|other| steer.suppose(ms(at), address(2_000 + other)));
+        (0..self.play.hosts)
+            .for_each(|other| steer.add_peer_address(ms(at), address(2_000 + other)));
         let unjudged = self.play.without == Without::Verdict;
         let stepping = if unjudged { StepPolicy::Fixed } else { self.play.stepping };
-        steer.set_rollout_ways(self.play.judging, stepping);
+        steer.set_rollout_policies(self.play.judging, stepping);
         let mut bounds = steer.settings().bounds;
         if self.play.without == Without::Youth {
             bounds.rollback_ms = 1_000_000;
@@ -263,7 +264,7 @@
             bounds.exposure_slack = 1e6;
         }
         let domains = steer.settings().domains.clone();
-        steer.change(domains, bounds);
+        steer.reconfigure(domains, bounds);
         let beat = (at + (n as u64 * 37) % 240, 0);
         Node { steer, beat, reading: [false; 3], writing: false, started: at }
     }
@@ -276,7 +277,7 @@
                         (server.version, server.cold_ms) = (version.to_owned(), cold_ms);
                         server.slots = 8;
                     });
-                self.put(row.key, row.item);
+                self.put(row.key, row.content);
             }
         }
     }
@@ -367,13 +368,13 @@
         self.beat(n);
         if self.at.is_multiple_of(100) {
             self.nodes[n].steer.tick(now);
-            for (to, message) in self.nodes[n].steer.reports(now) {
+            for (to, message) in self.nodes[n].steer.due_messages(now) {
                 let to = place(to);
                 if !self.apart(n, to) {
                     self.later(WAY, to, Event::Report(message));
                 }
             }
-            let due = self.nodes[n].steer.rollout_due(now, 1_000_000 + self.at);
+            let due = self.nodes[n].steer.due_rollout_write(now, 1_000_000 + self.at);
             if let Some(write) = due.filter(|_| !self.nodes[n].writing) {
                 self.write(n, write);
             }
@@ -383,7 +384,7 @@
             if self.nodes[n].reading[table as usize] {
                 continue;
             }
-            if let Some(why) = self.nodes[n].steer.must_read(now, table) {
+            if let Some(why) = self.nodes[n].steer.due_read(now, table) {
                 self.nodes[n].reading[table as usize] = true;
                 self.later(if well { ANSWER } else { LOST }, n, Event::Read(table, why, well));
             }
@@ -401,7 +402,7 @@
             (count(RowKey::Progress(SERVICE.into())), count(RowKey::Rollout(SERVICE.into())));
         let taken = !self.play.away(self.at) && there == write.expected;
         if taken {
-            if self.seen.stage.is_some_and(RolloutStage::ends)
+            if self.seen.stage.is_some_and(RolloutStage::is_final)
                 && self.seen.stage != Some(write.progress.stage)
             {
                 self.seen.undone += 1;
@@ -418,7 +419,7 @@
 
     fn decided(&mut self, progress: &RolloutProgress) {
         self.seen.stage = Some(progress.stage);
-        if progress.stage.ends() {
+        if progress.stage.is_final() {
             self.seen.decided.get_or_insert(self.at);
         }
         if progress.stage == RolloutStage::Completed {
@@ -430,12 +431,12 @@
 
     fn beat(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        let pause = members::heartbeat_interval(node.steer.members().count()) / MILLI;
+        let pause = members::heartbeat_interval(node.steer.members().target_count()) / MILLI;
         let pause = if node.steer.urgent() { pause.min(URGENT) } else { pause };
         if node.beat.0 + pause > self.at {
             return;
         }
-        let beat = node.steer.beat(ms(self.at));
+        let beat = node.steer.next_heartbeat(ms(self.at));
         let targets = node.steer.targets(ms(self.at), node.beat.1);
         node.beat = (self.at, node.beat.1 + 1);
         for to in targets.near.iter().chain(&targets.far) {
@@ -451,32 +452,32 @@
         match event {
             Event::Beat(beat) => {
                 let from = place(beat.host.peers);
-                let Some(news) = self.nodes[n].steer.hear(now, &beat) else { return };
-                for (table, asked) in news.wanted {
+                let Some(news) = self.nodes[n].steer.on_heartbeat(now, &beat) else { return };
+                for (table, asked) in news.outdated_tables {
                     if !self.apart(n, from) {
-                        let rows = self.nodes[from].steer.tell_rows(now, table, asked);
+                        let rows = self.nodes[from].steer.rows_for(now, table, asked);
                         self.later(FETCH, n, Event::Rows(table, Box::new(rows)));
                     }
                 }
             }
-            Event::Report(Message::Rollout(_)) if self.play.without == Without::Verdict => {}
-            Event::Report(Message::Rollout(report)) => {
-                self.nodes[n].steer.take_report(now, *report)
+            Event::Report(Message::RolloutReport(_)) if self.play.without == Without::Verdict => {}
+            Event::Report(Message::RolloutReport(report)) => {
+                self.nodes[n].steer.on_rollout_report(now, *report)
             }
             Event::Report(_) => {}
-            Event::Rows(table, rows) => drop(self.nodes[n].steer.told(now, table, *rows)),
+            Event::Rows(table, rows) => drop(self.nodes[n].steer.on_table_rows(now, table, *rows)),
             Event::Read(table, why, well) => {
                 self.nodes[n].reading[table as usize] = false;
                 if !well || self.play.away(self.at) {
-                    self.nodes[n].steer.store_failed(now, table);
+                    self.nodes[n].steer.record_store_failure(now, table);
                     return;
                 }
                 let version = StoreVersion::new(0, self.count);
-                let there = |row: &Row| row.item.is_some();
+                let there = |row: &Row| row.content.is_some();
                 let rows = self.rows_of(table).into_iter().filter(there).collect();
                 let steer = &mut self.nodes[n].steer;
-                steer.read_all(now, table, version, rows);
-                steer.store_answered(table, why, now, version);
+                steer.on_full_read(now, table, version, rows);
+                steer.record_store_answer(table, why, now, version);
             }
             Event::Written(write, taken) => {
                 self.nodes[n].writing = false;
@@ -484,14 +485,14 @@
                     let key = RowKey::Progress(SERVICE.into());
                     let count = self.rows.get(&key).map_or(0, |(_, count)| *count);
                     let version = StoreVersion::new(0, count);
-                    self.nodes[n].steer.rollout_written(now, &write, version);
+                    self.nodes[n].steer.on_rollout_written(now, &write, version);
                 }
             }
             Event::Answer(index, route_number, outcome, server) => {
                 self.ended(&server);
                 let steer = &mut self.nodes[n].steer;
-                steer.count_outcome(now, index, &route(route_number).name, outcome);
-                steer.done(now, index, outcome);
+                steer.count_rollout_outcome(now, index, &route(route_number).name, outcome);
+                steer.record_outcome(now, index, outcome);
             }
         }
     }
@@ -518,13 +519,13 @@
             homes: &[],
         };
         let steer = &mut self.nodes[n].steer;
-        steer.earn(now, SERVICE);
-        let Pick::Send(index) = steer.send(now, &ask) else {
+        steer.deposit_retry(now, SERVICE);
+        let Pick::Send(index) = steer.pick_server(now, &ask) else {
             self.seen.refused += 1;
             return;
         };
         let server = steer.servers().get(index).expect("it was chosen").id.clone();
-        let knew = steer.learn(now, index, key);
+        let knew = steer.record_warm_key(now, index, key);
         self.sent(n, index, &server, (key, knew, number));
     }
 
@@ -576,7 +577,7 @@
         let micros = (2 * WAY + work as u64) * MILLI;
         let outcome = match fails {
             true => Outcome::Failed,
-            false => Outcome::Answered { micros, knew },
+            false => Outcome::Answered { micros, was_warm: knew },
         };
         self.later(micros / MILLI, n, Event::Answer(index, number, outcome, server.to_owned()));
     }
--- a/elmstream_steer/tests/view.rs
+++ b/elmstream_steer/tests/view.rs
@@ -53,20 +53,20 @@
 #[test]
 fn a_configuration_never_goes_back_nor_away() {
     let mut steer = host(0, ms(0));
-    steer.read(ms(0), Table::Rules, vec![configuration(5, 20)]);
-    steer.read(ms(1), Table::Rules, vec![configuration(4, 30)]);
+    steer.on_changes(ms(0), Table::Rules, vec![configuration(5, 20)]);
+    steer.on_changes(ms(1), Table::Rules, vec![configuration(4, 30)]);
     assert_eq!(steer.version(), Some(5));
-    steer.read(ms(2), Table::Rules, vec![gone(RowKey::Configuration, 40)]);
+    steer.on_changes(ms(2), Table::Rules, vec![gone(RowKey::Configuration, 40)]);
     assert_eq!(steer.version(), Some(5));
-    steer.read(ms(3), Table::Rules, vec![configuration(6, 50)]);
+    steer.on_changes(ms(3), Table::Rules, vec![configuration(6, 50)]);
     assert_eq!(steer.version(), Some(6));
 }
 
 #[test]
 fn an_old_reading_of_all_rows_changes_nothing() {
     let mut steer = ready(0, ms(0), servers(1));
-    steer.read(ms(1), Table::Servers, vec![server("new", "a1", 40)]);
-    steer.read_all(ms(2), Table::Servers, at(30), servers(1));
+    steer.on_changes(ms(1), Table::Servers, vec![server("new", "a1", 40)]);
+    steer.on_full_read(ms(2), Table::Servers, at(30), servers(1));
     assert!(steer.servers().find("new").is_some());
 }
 
@@ -76,11 +76,11 @@
     let route = route(Repeatability::Safe, &[]);
     assert!(matches!(send(&mut steer, ms(1), &route, 1), Pick::Send(_)));
     let draining = with(server("one", "a1", 11), 11, |server| server.draining = true);
-    steer.read(ms(2), Table::Servers, vec![draining]);
+    steer.on_changes(ms(2), Table::Servers, vec![draining]);
     assert!(matches!(send(&mut steer, ms(3), &route, 1), Pick::Refuse(_)));
-    steer.read(ms(4), Table::Servers, vec![server("one", "a1", 12)]);
+    steer.on_changes(ms(4), Table::Servers, vec![server("one", "a1", 12)]);
     assert!(matches!(send(&mut steer, ms(5), &route, 1), Pick::Send(_)));
-    steer.read(ms(6), Table::Servers, vec![gone(RowKey::Server("one".into()), 13)]);
+    steer.on_changes(ms(6), Table::Servers, vec![gone(RowKey::Server("one".into()), 13)]);
     assert!(matches!(send(&mut steer, ms(7), &route, 1), Pick::Refuse(_)));
 }
 
@@ -88,9 +88,9 @@
 fn a_server_that_lapsed_while_the_store_was_away_is_used_till_it_may_be_back() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
     let route = route(Repeatability::Safe, &[]);
-    steer.read_all(ms(6_000), Table::Servers, at(30), Vec::new());
+    steer.on_full_read(ms(6_000), Table::Servers, at(30), Vec::new());
     assert!(matches!(send(&mut steer, ms(6_100), &route, 1), Pick::Send(_)));
-    steer.read(ms(7_900), Table::Servers, vec![server("one", "a1", 31)]);
+    steer.on_changes(ms(7_900), Table::Servers, vec![server("one", "a1", 31)]);
     steer.tick(ms(9_000));
     assert!(matches!(send(&mut steer, ms(9_000), &route, 1), Pick::Send(_)));
 }
@@ -98,7 +98,7 @@
 #[test]
 fn a_server_that_lapsed_and_stays_away_is_gone() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
-    steer.read_all(ms(6_000), Table::Servers, at(30), Vec::new());
+    steer.on_full_read(ms(6_000), Table::Servers, at(30), Vec::new());
     steer.tick(ms(8_300));
     assert!(steer.servers().find("one").is_none());
 }
@@ -106,7 +106,7 @@
 #[test]
 fn a_server_that_leaves_on_a_calm_day_is_gone_at_once() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
-    steer.read(ms(1_000), Table::Servers, Vec::new());
-    steer.read(ms(1_500), Table::Servers, vec![gone(RowKey::Server("one".into()), 12)]);
+    steer.on_changes(ms(1_000), Table::Servers, Vec::new());
+    steer.on_changes(ms(1_500), Table::Servers, vec![gone(RowKey::Server("one".into()), 12)]);
     assert!(steer.servers().find("one").is_none());
 }
--- a/elmstream_steer/tests/workspaces.rs
+++ b/elmstream_steer/tests/workspaces.rs
@@ -63,19 +63,19 @@
         let mut route = route(Repeatability::Safe, &[]);
         route.open = open;
         let name = |shown| {
-            let let_in = table.admit(&route, shown, sure);
+            let let_in = table.authenticate(&route, shown, sure);
             let_in.map(|member| member.map(|member| member.workspace.name.clone()))
         };
         let held = holder(&keys, key);
         let without = |denial| match (keys.is_empty() || open, sure) {
             (true, _) => Ok(None),
             (false, true) => Err(denial),
-            (false, false) => Err(Denial::Unsure),
+            (false, false) => Err(Denial::Stale),
         };
         let with = if held.is_some() { Ok(held) } else { without(Denial::Unknown) };
         name(PresentedKey::Key(digest(key))) == with
-            && name(PresentedKey::Nothing) == without(Denial::Missing)
-            && name(PresentedKey::Unclear) == without(Denial::Unclear)
+            && name(PresentedKey::Absent) == without(Denial::Missing)
+            && name(PresentedKey::Ambiguous) == without(Denial::Ambiguous)
     }
 
     fn the_newest_configuration_decides_in_whatever_order_they_come(
@@ -92,7 +92,7 @@
                 Configuration { version, workspaces: workspaces(keys), ..Configuration::default() };
             let item = Some(RowContent::Configuration(configuration));
             let row = Row::new(RowKey::Configuration, at(10 + version), item);
-            host.read(ms(1), Table::Rules, vec![row]);
+            host.on_changes(ms(1), Table::Rules, vec![row]);
         }
         let found = host.workspaces().find(&digest(key));
         found.map(|member| member.workspace.name.clone()) == holder(newest.1, key)
@@ -114,7 +114,7 @@
         let among = |homes: &[String], region: &String| homes.is_empty() || homes.contains(region);
         let may = ["a".to_owned(), "b".to_owned()];
         let may = may.iter().any(|region| among(&homes, region) && among(&own, region));
-        match host.send(ms(1), &ask) {
+        match host.pick_server(ms(1), &ask) {
             Pick::Send(index) => {
                 let region = &host.servers().get(index).expect("it was chosen").region;
                 among(&homes, region) && among(&own, region)
