--- a/elmstream_edge/src/access.rs
+++ b/elmstream_edge/src/access.rs
@@ -7,8 +7,8 @@
 use elmstream_steer::{
     key::KeyDigest,
     model::Route,
-    quota::Ruling,
-    workspaces::{Denial, Member, Shown},
+    quota::QuotaDecision,
+    workspaces::{Denial, PresentedKey, WorkspaceEntry},
 };
 use elmstreamd::clock;
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header, request};
@@ -22,42 +22,42 @@
 
 /// The workspace of a request that counts against its limit; given back when this is
 /// dropped unless a server may have run the request.
-pub struct Counted {
+pub struct AdmittedRequest {
     edge: Rc<Edge>,
     /// The workspace.
-    pub member: Rc<Member>,
+    pub entry: Rc<WorkspaceEntry>,
     /// Whether a server may have run it.
     pub may_have_run: Cell<bool>,
 }
 
-impl fmt::Debug for Counted {
+impl fmt::Debug for AdmittedRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_tuple("Counted").field(&self.member.workspace.name).finish()
+        f.debug_tuple("AdmittedRequest").field(&self.entry.workspace.name).finish()
     }
 }
 
-impl Counted {
+impl AdmittedRequest {
     /// The request is sent to a server; it counts once more if an earlier one may have
     /// run it.
-    pub fn sent(&self) {
+    pub fn record_sent(&self) {
         if self.may_have_run.replace(true) {
-            self.edge.steer.borrow_mut().sent_again(clock::now(), &self.member);
+            self.edge.steer.borrow_mut().record_workspace_retry(clock::now(), &self.entry);
         }
     }
 
     /// The server did not run it; `had_run` says whether an earlier one may have.
-    pub fn not_run(&self, had_run: bool) {
+    pub fn refund(&self, had_run: bool) {
         self.may_have_run.set(had_run);
         if had_run {
-            self.edge.steer.borrow_mut().not_run(clock::now(), &self.member);
+            self.edge.steer.borrow_mut().refund_workspace(clock::now(), &self.entry);
         }
     }
 }
 
-impl Drop for Counted {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         if !self.may_have_run.get() {
-            self.edge.steer.borrow_mut().not_run(clock::now(), &self.member);
+            self.edge.steer.borrow_mut().refund_workspace(clock::now(), &self.entry);
         }
     }
 }
@@ -67,30 +67,30 @@
 /// # Errors
 ///
 /// The answer to a request that is not let in.
-pub fn check(
+pub fn authorize(
     edge: &Rc<Edge>,
     head: &request::Parts,
     route: &Route,
-) -> Result<Option<Counted>, Box<Response<LocalBody>>> {
+) -> Result<Option<AdmittedRequest>, Box<Response<LocalBody>>> {
     let now = clock::now();
     let shown = shown(&edge.settings.headers, &head.headers);
-    let let_in = edge.steer.borrow().let_in(now, route, shown);
+    let let_in = edge.steer.borrow().authenticate(now, route, shown);
     let member = match let_in {
         Ok(Some(member)) => member,
         Ok(None) => return Ok(None),
         Err(denial) => return Err(Box::new(denied(edge, head, route, denial))),
     };
-    let ruling = edge.steer.borrow_mut().rule(now, &member);
+    let ruling = edge.steer.borrow_mut().admit(now, &member);
     match ruling {
-        Ruling::Within => {
+        QuotaDecision::Within => {
             let edge = Rc::clone(edge);
-            Ok(Some(Counted { edge, member, may_have_run: Cell::new(false) }))
+            Ok(Some(AdmittedRequest { edge, entry: member, may_have_run: Cell::new(false) }))
         }
-        Ruling::Over { retry_ms } => {
+        QuotaDecision::Over { retry_ms } => {
             let code = Code::WorkspaceLimit;
             Err(Box::new(held_back(edge, head, (route, &member), code, retry_ms)))
         }
-        Ruling::Unready => {
+        QuotaDecision::Unready => {
             let code = Code::NotReady;
             Err(Box::new(held_back(edge, head, (route, &member), code, UNREADY_RETRY_MS)))
         }
@@ -98,12 +98,12 @@
 }
 
 /// What a request shows of a key.
-fn shown(names: &HeaderNames, headers: &HeaderMap) -> Shown {
+fn shown(names: &HeaderNames, headers: &HeaderMap) -> PresentedKey {
     let mut values = headers.get_all(&names.key).iter();
     match (values.next(), values.next()) {
-        (None, _) => Shown::Nothing,
-        (Some(value), None) => key(names, value).map_or(Shown::Unclear, Shown::Key),
-        (Some(_), Some(_)) => Shown::Unclear,
+        (None, _) => PresentedKey::Absent,
+        (Some(value), None) => key(names, value).map_or(PresentedKey::Ambiguous, PresentedKey::Key),
+        (Some(_), Some(_)) => PresentedKey::Ambiguous,
     }
 }
 
@@ -124,8 +124,8 @@
     let code = match denial {
         Denial::Missing => Code::KeyMissing,
         Denial::Unknown => Code::KeyUnknown,
-        Denial::Unclear => Code::KeyUnclear,
-        Denial::Unsure => Code::KeysStale,
+        Denial::Ambiguous => Code::KeyUnclear,
+        Denial::Stale => Code::KeysStale,
     };
     metrics::counter!("elmstream_requests", "outcome" => "denied").increment(1);
     let steer = edge.steer.borrow();
@@ -134,8 +134,8 @@
         "id": id, "route": route.name, "code": code.number(), "status": code.http_status(),
         "version": steer.version(), "stale_ms": steer.staleness(clock::now()) / MILLI,
     });
-    edge.journal.request("denied", fields);
-    if denial == Denial::Unsure {
+    edge.event_log.request("denied", fields);
+    if denial == Denial::Stale {
         return callers::refuse(code, UNREADY_RETRY_MS);
     }
     let mut response = callers::plain(code, StatusCode::UNAUTHORIZED);
@@ -148,7 +148,7 @@
 fn held_back(
     edge: &Edge,
     head: &request::Parts,
-    (route, member): (&Route, &Member),
+    (route, member): (&Route, &WorkspaceEntry),
     code: Code,
     retry_ms: u64,
 ) -> Response<LocalBody> {
@@ -160,6 +160,6 @@
         "rate_per_s": member.workspace.rate_per_s, "burst": member.workspace.burst,
         "version": edge.steer.borrow().version(),
     });
-    edge.journal.request("limited", fields);
+    edge.event_log.request("limited", fields);
     callers::refuse(code, retry_ms)
 }
--- a/elmstream_edge/src/callers.rs
+++ b/elmstream_edge/src/callers.rs
@@ -13,7 +13,7 @@
     code::Code,
     time::{MILLI, Time},
 };
-use elmstream_http::{LocalBody, Stop, body, server::Cut};
+use elmstream_http::{LocalBody, Stop, body, server::Aborted};
 use elmstream_steer::{hash, model::Route, routes};
 use elmstreamd::clock;
 use futures_util::future::{Either, select};
@@ -23,10 +23,10 @@
 use serde_json::json;
 
 use crate::{
-    access::{self, Counted},
-    content::Contents,
+    access::{self, AdmittedRequest},
     edge::Edge,
     forward, headers,
+    request_digest::RequestDigests,
 };
 
 /// When to come back to a host that knows no configuration yet, or an old one.
@@ -36,7 +36,7 @@
 
 /// How far a request has come, for the answer that it gets if its host ends.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct RequestProgress {
     /// Whether a server may have run it.
     pub may_have_run: Cell<bool>,
     /// Whether the host has ended it.
@@ -45,7 +45,7 @@
 
 /// A caller's request that may be sent on.
 #[derive(Debug)]
-pub struct Call {
+pub struct CallerRequest {
     /// Its id; empty if the caller gave none.
     pub id: String,
     /// Where it came from.
@@ -57,7 +57,7 @@
     /// Hash of its affinity key, or of its id.
     pub key: u64,
     /// Whether it has an affinity key that counts.
-    pub keyed: bool,
+    pub has_key: bool,
     /// Method.
     pub method: Method,
     /// Path and query as they came.
@@ -67,40 +67,40 @@
     /// The whole body.
     pub body: Bytes,
     /// When it came.
-    pub came: Time,
+    pub received: Time,
     /// When it must have its final answer.
-    pub until: Time,
+    pub deadline: Time,
     /// Whether its caller has most likely been refused before.
     pub returning: bool,
     /// Its workspace; none if its route asks for no key.
-    pub workspace: Option<Counted>,
+    pub workspace: Option<AdmittedRequest>,
     /// How far it has come.
-    pub progress: Rc<Progress>,
+    pub progress: Rc<RequestProgress>,
     /// Its digests, once they were asked for.
-    pub contents: OnceCell<Contents>,
+    pub digests: OnceCell<RequestDigests>,
 }
 
-impl Call {
+impl CallerRequest {
     /// Digests of what makes it the same as another one; made only if they are asked for,
     /// as they take all of the body.
-    pub fn contents(&self, edge: &Edge) -> &Contents {
-        self.contents.get_or_init(|| Contents::of(&edge.settings.content.secret, self))
+    pub fn digests(&self, edge: &Edge) -> &RequestDigests {
+        self.digests.get_or_init(|| RequestDigests::of(&edge.settings.content.secret, self))
     }
 
     /// Name of its workspace; empty for none.
     pub fn workspace_name(&self) -> &str {
-        self.workspace.as_ref().map_or("", |counted| &counted.member.workspace.name)
+        self.workspace.as_ref().map_or("", |counted| &counted.entry.workspace.name)
     }
 
     /// Rank of it; 0 is the most urgent. A workspace's goes before its route's.
     pub fn priority(&self) -> u32 {
-        let own = self.workspace.as_ref().and_then(|counted| counted.member.workspace.priority);
+        let own = self.workspace.as_ref().and_then(|counted| counted.entry.workspace.priority);
         own.unwrap_or(self.route.priority)
     }
 
     /// Time that is left for it.
     pub fn left(&self) -> Duration {
-        Duration::from_micros(self.until.since(clock::now()))
+        Duration::from_micros(self.deadline.since(clock::now()))
     }
 }
 
@@ -113,10 +113,10 @@
     ending: Stop,
     caller: IpAddr,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let came = clock::now();
     let id = request.headers().get(&edge.settings.headers.request_id).cloned();
-    let progress = Rc::new(Progress::default());
+    let progress = Rc::new(RequestProgress::default());
     let answering = {
         let serving = pin!(answer(&edge, (caller, request), came, progress.clone()));
         // The end is looked at first, so that nothing is sent to a server after it.
@@ -136,7 +136,7 @@
     edge: &Edge,
     id: Option<&HeaderValue>,
     came: Time,
-    progress: &Progress,
+    progress: &RequestProgress,
 ) -> Response<LocalBody> {
     let code = match progress.may_have_run.get() {
         true => Code::StoppedRunning,
@@ -148,7 +148,7 @@
     let fields = json!({
         "id": id, "code": code.number(), "status": code.http_status(), "took_ms": took,
     });
-    edge.journal.request("ended", fields);
+    edge.event_log.request("ended", fields);
     match progress.may_have_run.get() {
         true => plain(code, StatusCode::GATEWAY_TIMEOUT),
         false => refuse(code, STOPPING_RETRY_MS),
@@ -160,16 +160,16 @@
     edge: &Rc<Edge>,
     (caller, request): (IpAddr, Request<Incoming>),
     came: Time,
-    progress: Rc<Progress>,
-) -> Result<Response<LocalBody>, Cut> {
+    progress: Rc<RequestProgress>,
+) -> Result<Response<LocalBody>, Aborted> {
     let (head, incoming) = request.into_parts();
     let route = match find(edge, &head) {
         Ok(route) => route,
-        Err(Missing::Configuration) => return Ok(refuse(Code::NotReady, UNREADY_RETRY_MS)),
-        Err(Missing::Unsure) => return Ok(refuse(Code::RoutesStale, UNREADY_RETRY_MS)),
-        Err(Missing::Route) => return Ok(plain(Code::UnknownService, StatusCode::NOT_FOUND)),
+        Err(RouteError::Configuration) => return Ok(refuse(Code::NotReady, UNREADY_RETRY_MS)),
+        Err(RouteError::Unsure) => return Ok(refuse(Code::RoutesStale, UNREADY_RETRY_MS)),
+        Err(RouteError::Route) => return Ok(plain(Code::UnknownService, StatusCode::NOT_FOUND)),
     };
-    let workspace = match access::check(edge, &head, &route) {
+    let workspace = match access::authorize(edge, &head, &route) {
         Ok(workspace) => workspace,
         Err(answer) => return Ok(*answer),
     };
@@ -180,14 +180,14 @@
             return Ok(plain(Code::BadRequest, StatusCode::PAYLOAD_TOO_LARGE));
         }
         // The caller broke off, so nobody reads an answer.
-        Err(_) => return Err(Cut),
+        Err(_) => return Err(Aborted),
     };
     let call = call(edge, (caller, head), (route, workspace), body, came, progress);
     Ok(forward::run(edge, &call).await)
 }
 
 /// Why a request has no route.
-enum Missing {
+enum RouteError {
     /// No configuration is known yet.
     Configuration,
     /// No route of the configuration fits.
@@ -197,10 +197,10 @@
 }
 
 /// The route of a request, or why there is none.
-fn find(edge: &Edge, head: &request::Parts) -> Result<Rc<Route>, Missing> {
+fn find(edge: &Edge, head: &request::Parts) -> Result<Rc<Route>, RouteError> {
     let steer = edge.steer.borrow();
     if steer.version().is_none() {
-        return Err(Missing::Configuration);
+        return Err(RouteError::Configuration);
     }
     let host = head.uri.host().or_else(|| headers::text(&head.headers, &header::HOST));
     let host = host.unwrap_or_default();
@@ -208,33 +208,33 @@
         return Ok(route);
     }
     let now = clock::now();
-    let (missing, code) = match steer.vouches(now) {
-        true => (Missing::Route, Code::UnknownService),
-        false => (Missing::Unsure, Code::RoutesStale),
+    let (missing, code) = match steer.can_deny_routes(now) {
+        true => (RouteError::Route, Code::UnknownService),
+        false => (RouteError::Unsure, Code::RoutesStale),
     };
     let id = headers::text(&head.headers, &edge.settings.headers.request_id);
     let fields = json!({
         "id": id, "host": host, "path": head.uri.path(), "version": steer.version(),
         "stale_ms": steer.staleness(now) / MILLI, "code": code.number(), "status": code.http_status(),
     });
-    edge.journal.request("no_route", fields);
+    edge.event_log.request("no_route", fields);
     Err(missing)
 }
 
 fn call(
     edge: &Edge,
     (caller, head): (IpAddr, request::Parts),
-    (route, workspace): (Rc<Route>, Option<Counted>),
+    (route, workspace): (Rc<Route>, Option<AdmittedRequest>),
     body: Bytes,
-    came: Time,
-    progress: Rc<Progress>,
-) -> Call {
+    received: Time,
+    progress: Rc<RequestProgress>,
+) -> CallerRequest {
     let names = &edge.settings.headers;
     let mut kept = head.headers;
     let id = headers::text(&kept, &names.request_id).unwrap_or_default().to_owned();
     let draw = hash::of(&id);
     let affinity = kept.get(&names.affinity).filter(|_| route.affinity);
-    let keyed = affinity.is_some();
+    let has_key = affinity.is_some();
     let key = affinity.map_or(draw, |key| hash::of(key.as_bytes()));
     let waits = headers::number(&kept, &names.deadline).unwrap_or(route.timeout_ms);
     headers::strip(&mut kept);
@@ -242,37 +242,37 @@
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let uri = path.parse().unwrap_or(head.uri);
     let service = routes::service(&route, draw).to_owned();
-    let until = came + waits.min(route.timeout_ms) * MILLI;
-    let returning = edge.steer.borrow_mut().returns(came, &route.name, waits);
+    let deadline = received + waits.min(route.timeout_ms) * MILLI;
+    let returning = edge.steer.borrow_mut().is_returning(received, &route.name, waits);
     let (method, headers) = (head.method, kept);
-    Call {
+    CallerRequest {
         id,
         caller,
         route,
         service,
         key,
-        keyed,
+        has_key,
         method,
         uri,
         headers,
         body,
-        came,
-        until,
+        received,
+        deadline,
         returning,
         workspace,
         progress,
-        contents: OnceCell::new(),
+        digests: OnceCell::new(),
     }
 }
 
 /// Takes the key out of what servers get, and sets the workspace's name.
-fn set_workspace(edge: &Edge, headers: &mut HeaderMap, workspace: Option<&Counted>) {
+fn set_workspace(edge: &Edge, headers: &mut HeaderMap, workspace: Option<&AdmittedRequest>) {
     let names = &edge.settings.headers;
     headers.remove(&names.workspace);
     if !edge.steer.borrow().workspaces().is_empty() {
         headers.remove(&names.key);
     }
-    let name = workspace.map(|counted| HeaderValue::from_str(&counted.member.workspace.name));
+    let name = workspace.map(|counted| HeaderValue::from_str(&counted.entry.workspace.name));
     if let Some(Ok(name)) = name {
         headers.insert(&names.workspace, name);
     }
--- a/elmstream_edge/src/edge.rs
+++ b/elmstream_edge/src/edge.rs
@@ -9,13 +9,13 @@
 
 use elmstream_steer::{
     Steer, settings,
-    steer::{Change, Returned, State},
-    view::Key,
+    steer::{ServerState, StateChange, StoreRestored},
+    view::RowKey,
 };
 use elmstreamd::clock;
 use serde_json::{Value, json};
 
-use crate::{backend::Pool, journal::Journal, rollout, settings::Settings};
+use crate::{backend::Pool, event_log::EventLog, rollout, settings::Settings};
 
 /// More servers than these that change at once are written in one line.
 const SERVERS_EACH: usize = 12;
@@ -32,20 +32,20 @@
     /// Connections to backend servers.
     pub pool: Pool,
     /// What it writes.
-    pub journal: Journal,
+    pub event_log: EventLog,
     /// The list of refused requests is to be read again.
-    pub(crate) relist: Cell<bool>,
+    pub(crate) reread_refused: Cell<bool>,
 }
 
 impl Edge {
     /// A host that has just started.
     pub fn new(settings: Settings) -> Rc<Edge> {
-        let journal = Journal::start(&settings.logging);
-        Edge::writing(settings, journal)
+        let journal = EventLog::start(&settings.logging);
+        Edge::with_event_log(settings, journal)
     }
 
     /// The same with a journal of its own.
-    pub fn writing(settings: Settings, journal: Journal) -> Rc<Edge> {
+    pub fn with_event_log(settings: Settings, journal: EventLog) -> Rc<Edge> {
         let steer = Steer::new(
             settings::Settings {
                 host: settings.host.clone(),
@@ -59,17 +59,17 @@
             settings,
             steer: RefCell::new(steer),
             pool: Pool::default(),
-            journal,
-            relist: Cell::new(false),
+            event_log: journal,
+            reread_refused: Cell::new(false),
         })
     }
 
     /// Takes changed settings in; addresses and names stay as they were.
     pub fn reload(&self, settings: &Settings) {
         let kept = settings.host == self.settings.host;
-        self.steer.borrow_mut().change(settings.domains.clone(), settings.bounds);
-        self.relist.set(true);
-        self.journal.write("reload", json!({"host": settings.host.name, "same_host": kept}));
+        self.steer.borrow_mut().reconfigure(settings.domains.clone(), settings.bounds);
+        self.reread_refused.set(true);
+        self.event_log.write("reload", json!({"host": settings.host.name, "same_host": kept}));
     }
 
     /// Whether callers can be served.
@@ -90,61 +90,64 @@
         metrics::counter!("elmstream_rows_unreadable").increment(keys.len() as u64);
         let named: Vec<&String> = keys.iter().take(SERVERS_NAMED).collect();
         let fields = json!({"table": table, "count": keys.len(), "keys": named});
-        self.journal.belief("rows_unreadable", fields);
+        self.event_log.state_change("rows_unreadable", fields);
     }
 
     /// Writes down that the store has come back from a copy, and what holds on against it.
-    fn store_returned(&self, from: &str, returned: &Returned) {
-        let Returned { table, before, version, changed, held } = returned;
-        let rows: Vec<String> = held.iter().take(SERVERS_NAMED).map(Key::to_string).collect();
+    fn store_returned(&self, from: &str, returned: &StoreRestored) {
+        let StoreRestored { table, before, version, changed, retained: held } = returned;
+        let rows: Vec<String> = held.iter().take(SERVERS_NAMED).map(RowKey::to_string).collect();
         let fields = json!({
             "table": table, "era": version.era, "era_before": before.era,
             "version": version.count, "version_before": before.count,
             "changed": changed, "held": held.len(), "rows": rows, "from": from,
         });
-        self.journal.write("store_returned", fields);
+        self.event_log.write("store_returned", fields);
     }
 
     /// Writes down what the host has come to believe, and from whom, and leaves the
     /// connections to servers that are another start now.
-    pub fn note(&self, from: &str, changes: &[Change]) {
+    pub fn log_changes(&self, from: &str, changes: &[StateChange]) {
         for change in changes {
-            if let Change::Server(id, State::Restarted | State::Unreadable) = change {
-                self.pool.distrust(id);
+            if let StateChange::Server(id, ServerState::Restarted | ServerState::Unreadable) =
+                change
+            {
+                self.pool.discard_connections(id);
             }
         }
-        let servers = changes.iter().filter(|change| matches!(change, Change::Server(..)));
+        let servers = changes.iter().filter(|change| matches!(change, StateChange::Server(..)));
         let many = servers.count() > SERVERS_EACH;
         if many {
-            self.journal.write("servers", servers_at_once(from, changes));
+            self.event_log.write("servers", servers_at_once(from, changes));
         }
         for change in changes {
             match change {
-                Change::Configuration(version) => {
-                    self.journal.write("configuration", json!({"version": version, "from": from}));
+                StateChange::Configuration(version) => {
+                    self.event_log
+                        .write("configuration", json!({"version": version, "from": from}));
                 }
-                Change::Evacuation(domain, begins) => {
+                StateChange::Evacuation(domain, begins) => {
                     let fields = json!({"domain": domain, "begins": begins, "from": from});
-                    self.journal.write("evacuation", fields);
+                    self.event_log.write("evacuation", fields);
                 }
-                Change::Server(..) if many => {}
-                Change::Server(id, state) => {
+                StateChange::Server(..) if many => {}
+                StateChange::Server(id, state) => {
                     let fields = json!({"server": id, "state": state.name(), "from": from});
-                    self.journal.belief("server", fields);
+                    self.event_log.state_change("server", fields);
                 }
-                Change::HostLost(host) => {
-                    self.journal.belief("host_lost", json!({"host": host}));
+                StateChange::HostLost(host) => {
+                    self.event_log.state_change("host_lost", json!({"host": host}));
                 }
-                Change::StoreReturned(returned) => self.store_returned(from, returned),
-                Change::Rollout { service, target, stage } => {
-                    let stage = stage.map(rollout::told);
+                StateChange::StoreRestored(returned) => self.store_returned(from, returned),
+                StateChange::Rollout { service, target, stage } => {
+                    let stage = stage.map(rollout::stage_text);
                     let fields = json!({
                         "service": service, "target": target, "stage": stage, "from": from,
                     });
-                    self.journal.write("rollout", fields);
+                    self.event_log.write("rollout", fields);
                 }
-                Change::HoldEnded(key) => {
-                    self.journal.write("hold_ended", json!({"row": key.to_string()}));
+                StateChange::RetentionEnded(key) => {
+                    self.event_log.write("hold_ended", json!({"row": key.to_string()}));
                 }
             }
         }
@@ -153,13 +156,13 @@
 
 /// Many servers that changed at once in one line: how many by state, and which of
 /// them may no longer be used.
-fn servers_at_once(from: &str, changes: &[Change]) -> Value {
+fn servers_at_once(from: &str, changes: &[StateChange]) -> Value {
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     let mut lost: Vec<&str> = Vec::new();
     for change in changes {
-        let Change::Server(id, state) = change else { continue };
+        let StateChange::Server(id, state) = change else { continue };
         *counts.entry(state.name()).or_default() += 1;
-        if !matches!(state, State::Ready | State::Answers | State::Restarted)
+        if !matches!(state, ServerState::Ready | ServerState::Answers | ServerState::Restarted)
             && lost.len() < SERVERS_NAMED
         {
             lost.push(id);
--- a/elmstream_edge/src/forward.rs
+++ b/elmstream_edge/src/forward.rs
@@ -6,10 +6,10 @@
 use elmstream::{code::Code, time::MILLI};
 use elmstream_http::{LocalBody, body};
 use elmstream_steer::{
-    Ask, Choice, Refusal,
-    choose::Reason,
-    model::Repeat,
-    servers::{Index, Outcome},
+    Pick, PickRequest, Refusal,
+    model::Repeatability,
+    pick::RefusalReason,
+    servers::{Outcome, ServerIndex},
 };
 use elmstreamd::{clock, waits};
 use http::{HeaderValue, Request, Response, StatusCode, header, response};
@@ -17,11 +17,11 @@
 
 use crate::{
     backend::{self, Exchange},
-    callers::{self, Call},
+    callers::{self, CallerRequest},
     edge::Edge,
-    harm::{self, Suspected},
     headers,
-    hints::Hints,
+    poison::{self, SuspectedServer},
+    server_hints::Hints,
 };
 
 /// Time that must be left for a request to be sent at all.
@@ -33,7 +33,7 @@
 /// Servers that a request was sent to, and what became of it there.
 #[derive(Debug, Default)]
 struct Tried {
-    servers: Vec<Index>,
+    servers: Vec<ServerIndex>,
     /// Their ids, what they came to, and after how many microseconds.
     notes: Vec<(String, Outcome, u64)>,
 }
@@ -53,8 +53,8 @@
 /// A request that counts as sent, until this is dropped.
 struct InFlight<'a> {
     edge: &'a Rc<Edge>,
-    call: &'a Call,
-    index: Index,
+    call: &'a CallerRequest,
+    index: ServerIndex,
     outcome: Outcome,
 }
 
@@ -62,39 +62,38 @@
     fn drop(&mut self) {
         let now = clock::now();
         let mut steer = self.edge.steer.borrow_mut();
-        steer.count_outcome(now, self.index, &self.call.route.name, self.outcome);
-        steer.done(now, self.index, self.outcome);
-        if self.outcome == Outcome::Left && !self.call.progress.ended.get() {
+        steer.count_rollout_outcome(now, self.index, &self.call.route.name, self.outcome);
+        steer.record_outcome(now, self.index, self.outcome);
+        if self.outcome == Outcome::CallerGone && !self.call.progress.ended.get() {
             metrics::counter!("elmstream_requests", "outcome" => "left").increment(1);
             let server = steer.servers().get(self.index).map(|entry| entry.id.as_str());
-            let took = now.since(self.call.came) / MILLI;
+            let took = now.since(self.call.received) / MILLI;
             let fields = json!({"id": self.call.id, "server": server, "took_ms": took});
-            self.edge.journal.request("left", fields);
+            self.edge.event_log.request("left", fields);
         }
     }
 }
 
 /// Sends a request on, and gives its final answer.
-pub async fn run(edge: &Rc<Edge>, call: &Call) -> Response<LocalBody> {
-    edge.steer.borrow_mut().earn(clock::now(), &call.service);
+pub async fn run(edge: &Rc<Edge>, call: &CallerRequest) -> Response<LocalBody> {
+    edge.steer.borrow_mut().deposit_retry(clock::now(), &call.service);
     let mut tried = Tried::default();
     let mut unknown = false;
     let mut failed = None;
     while tried.servers.len() < call.route.attempts.max(1) as usize && call.left() > LEAST {
         let again = !tried.servers.is_empty();
-        if let Some(known) = harm::known(edge, call) {
+        if let Some(known) = poison::known(edge, call) {
             if !unknown && failed.is_none() {
-                return harm::refuse(edge, call, &known);
+                return poison::refuse(edge, call, &known);
             }
             // It was sent before that was known, so it may have run.
             break;
         }
         let (route, service) = (&call.route, &call.service);
         let (key, returning) = (call.key, call.returning);
-        let homes =
-            call.workspace.as_ref().map(|counted| counted.member.workspace.homes.as_slice());
+        let homes = call.workspace.as_ref().map(|counted| counted.entry.workspace.homes.as_slice());
         let homes = homes.unwrap_or_default();
-        let ask = Ask { route, service, key, tried: &tried.servers, returning, homes };
+        let ask = PickRequest { route, service, key, tried: &tried.servers, returning, homes };
         let index = match choose(edge, &ask, again) {
             Ok(index) => index,
             Err(refusal) if again => {
@@ -104,62 +103,67 @@
         };
         match attempt(edge, call, index, &mut tried).await {
             Try::Answer(parts, body) => return answer(edge, call, &tried, parts, body),
-            Try::Failed(parts, body) if call.route.repeat == Repeat::Safe => {
+            Try::Failed(parts, body) if call.route.repeat == Repeatability::Safe => {
                 failed = Some((parts, body));
             }
             Try::Failed(parts, body) => return answer(edge, call, &tried, parts, body),
             Try::NotRun => {}
             Try::Unknown => unknown = true,
         }
-        if unknown && call.route.repeat == Repeat::Once {
+        if unknown && call.route.repeat == Repeatability::Once {
             break;
         }
     }
-    let refusal = Refusal::of(Reason::Tries, AGAIN_MS);
+    let refusal = Refusal::new(RefusalReason::Tries, AGAIN_MS);
     give_up(edge, call, &tried, unknown, failed, refusal)
 }
 
 /// The next server; a further one must be within the retry budget.
-fn choose(edge: &Rc<Edge>, ask: &Ask<'_>, again: bool) -> Result<Index, Refusal> {
+fn choose(edge: &Rc<Edge>, ask: &PickRequest<'_>, again: bool) -> Result<ServerIndex, Refusal> {
     let mut steer = edge.steer.borrow_mut();
-    if again && !steer.affords(ask.service) {
+    if again && !steer.can_retry(ask.service) {
         metrics::counter!("elmstream_retries_denied").increment(1);
-        return Err(Refusal::of(Reason::Budget, AGAIN_MS));
+        return Err(Refusal::new(RefusalReason::Budget, AGAIN_MS));
     }
-    match steer.send(clock::now(), ask) {
-        Choice::Send(index) => {
+    match steer.pick_server(clock::now(), ask) {
+        Pick::Send(index) => {
             // Only what is sent is spent.
             if again {
-                steer.repeat(ask.service);
+                steer.withdraw_retry(ask.service);
             }
             Ok(index)
         }
-        Choice::Refuse(refusal) => Err(refusal),
+        Pick::Refuse(refusal) => Err(refusal),
     }
 }
 
 /// Sends a request to one server.
-async fn attempt(edge: &Rc<Edge>, call: &Call, index: Index, tried: &mut Tried) -> Try {
-    let mut flight = InFlight { edge, call, index, outcome: Outcome::Left };
+async fn attempt(
+    edge: &Rc<Edge>,
+    call: &CallerRequest,
+    index: ServerIndex,
+    tried: &mut Tried,
+) -> Try {
+    let mut flight = InFlight { edge, call, index, outcome: Outcome::CallerGone };
     tried.servers.push(index);
     let target = {
         let steer = edge.steer.borrow();
         let entry = steer.servers().get(index);
-        entry.map(|entry| (entry.id.clone(), entry.server.address, entry.start()))
+        entry.map(|entry| (entry.id.clone(), entry.server.address, entry.start_hash()))
     };
     let Some((id, address, start)) = target else {
         flight.outcome = Outcome::NoConnection;
         return Try::NotRun;
     };
     let sent = clock::now();
-    let generations = harm::generations(edge, call);
-    let knew = call.keyed && edge.steer.borrow_mut().learn(sent, index, call.key);
+    let generations = poison::generations(edge, call);
+    let knew = call.has_key && edge.steer.borrow_mut().record_warm_key(sent, index, call.key);
     let had_run = call.progress.may_have_run.replace(true);
     if let Some(counted) = &call.workspace {
-        counted.sent();
+        counted.record_sent();
     }
     let exchange = edge.pool.exchange(&id, address, || request(edge, call, index, &id));
-    let exchange = waits::within(call.until, exchange).await;
+    let exchange = waits::within(call.deadline, exchange).await;
     let micros = clock::now().since(sent);
     let (outcome, result) = match exchange {
         None => (Outcome::Silent, Try::Unknown),
@@ -169,9 +173,9 @@
             if let Some(head) = head.filter(|head| echoes(edge, call, head)) {
                 Hints::read(&edge.settings.headers, &head).take(edge, index);
             }
-            let server = Suspected { id: id.clone(), address, start };
-            match harm::ended(edge, call, server, generations).await {
-                true => (Outcome::Ended, Try::Unknown),
+            let server = SuspectedServer { id: id.clone(), address, start };
+            match poison::ended(edge, call, server, generations).await {
+                true => (Outcome::ServerCrashed, Try::Unknown),
                 false => (Outcome::Unknown, Try::Unknown),
             }
         }
@@ -179,16 +183,16 @@
             let hints = Hints::read(&edge.settings.headers, &parts);
             let (outcome, result) = judge(edge, call, &id, parts, body);
             // What is not this server's answer says nothing of it.
-            if !matches!(outcome, Some(Outcome::Unknown | Outcome::Elsewhere)) {
+            if !matches!(outcome, Some(Outcome::Unknown | Outcome::WrongServer)) {
                 hints.take(edge, index);
             }
-            (outcome.unwrap_or(Outcome::Answered { micros, knew }), result)
+            (outcome.unwrap_or(Outcome::Answered { micros, was_warm: knew }), result)
         }
     };
     if matches!(result, Try::NotRun) {
         call.progress.may_have_run.set(had_run);
         if let Some(counted) = &call.workspace {
-            counted.not_run(had_run);
+            counted.refund(had_run);
         }
     }
     tried.notes.push((id, outcome, micros));
@@ -198,8 +202,13 @@
 
 /// The request as the server gets it; none if no time is left for it, or the server has
 /// said meanwhile that it wants none.
-fn request(edge: &Edge, call: &Call, index: Index, id: &str) -> Option<Request<LocalBody>> {
-    if call.left() <= LEAST || !edge.steer.borrow().lets_go(clock::now(), index) {
+fn request(
+    edge: &Edge,
+    call: &CallerRequest,
+    index: ServerIndex,
+    id: &str,
+) -> Option<Request<LocalBody>> {
+    if call.left() <= LEAST || !edge.steer.borrow().still_accepts(clock::now(), index) {
         return None;
     }
     let names = &edge.settings.headers;
@@ -214,7 +223,7 @@
 }
 
 /// Whether an answer names the request that it is for, and that is this one.
-fn echoes(edge: &Edge, call: &Call, head: &response::Parts) -> bool {
+fn echoes(edge: &Edge, call: &CallerRequest, head: &response::Parts) -> bool {
     headers::text(&head.headers, &edge.settings.headers.request_id) == Some(call.id.as_str())
 }
 
@@ -223,7 +232,7 @@
 /// No outcome is told if the request was answered.
 fn judge(
     edge: &Edge,
-    call: &Call,
+    call: &CallerRequest,
     id: &str,
     parts: response::Parts,
     body: Bytes,
@@ -232,11 +241,11 @@
     let echoed = headers::text(&parts.headers, &names.request_id);
     if echoed.is_some_and(|echoed| echoed != call.id) {
         // Even a refusal is believed only if it is this request's.
-        edge.pool.distrust(id);
+        edge.pool.discard_connections(id);
         return (Some(Outcome::Unknown), Try::Unknown);
     }
     if parts.status == StatusCode::MISDIRECTED_REQUEST {
-        return (Some(Outcome::Elsewhere), Try::NotRun);
+        return (Some(Outcome::WrongServer), Try::NotRun);
     }
     if parts.headers.contains_key(&names.not_run) {
         return (Some(Outcome::Full), Try::NotRun);
@@ -245,10 +254,10 @@
     let signed = parts.headers.contains_key(&names.signature);
     let own = echoed.unwrap_or_default() == call.id;
     if !own || encoded || (parts.status.is_success() && !signed) {
-        edge.pool.distrust(id);
+        edge.pool.discard_connections(id);
         return (Some(Outcome::Unknown), Try::Unknown);
     }
-    harm::answered(edge, call);
+    poison::answered(edge, call);
     if parts.status.is_server_error() {
         return (Some(Outcome::Failed), Try::Failed(parts, body));
     }
@@ -258,15 +267,15 @@
 /// The server's answer, for the caller.
 fn answer(
     edge: &Edge,
-    call: &Call,
+    call: &CallerRequest,
     tried: &Tried,
     mut parts: response::Parts,
     bytes: Bytes,
 ) -> Response<LocalBody> {
-    let took = clock::now().since(call.came);
+    let took = clock::now().since(call.received);
     metrics::counter!("elmstream_requests", "outcome" => "answered").increment(1);
     metrics::histogram!("elmstream_request_seconds").record(took as f64 / 1e6);
-    if !parts.status.is_success() || edge.journal.sampled() {
+    if !parts.status.is_success() || edge.event_log.sampled() {
         log(edge, call, tried, "answered", (Code::Ok, parts.status), took);
     }
     headers::strip(&mut parts.headers);
@@ -274,8 +283,8 @@
 }
 
 /// The request is refused before it was sent.
-fn refused(edge: &Edge, call: &Call, refusal: Refusal) -> Response<LocalBody> {
-    let took = clock::now().since(call.came);
+fn refused(edge: &Edge, call: &CallerRequest, refusal: Refusal) -> Response<LocalBody> {
+    let took = clock::now().since(call.received);
     metrics::counter!("elmstream_requests", "outcome" => "refused").increment(1);
     let code = code(refusal.reason, &Tried::default());
     let fields = json!({
@@ -289,25 +298,25 @@
         "version": edge.steer.borrow().version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
     });
-    edge.journal.request("refused", fields);
+    edge.event_log.request("refused", fields);
     callers::refuse(code, refusal.retry_ms)
 }
 
 /// The result code of a request that no server ran.
-fn code(reason: Reason, tried: &Tried) -> Code {
+fn code(reason: RefusalReason, tried: &Tried) -> Code {
     let last = tried.notes.last().map(|(_, outcome, _)| *outcome);
     match reason {
-        Reason::NoServer | Reason::Spared | Reason::Full => Code::NoCapacity,
-        Reason::Budget => Code::RetryBudget,
-        Reason::Tries if last == Some(Outcome::NoConnection) => Code::BackendConnect,
-        Reason::Tries => Code::BackendShed,
+        RefusalReason::NoServer | RefusalReason::Spared | RefusalReason::Full => Code::NoCapacity,
+        RefusalReason::Budget => Code::RetryBudget,
+        RefusalReason::Tries if last == Some(Outcome::NoConnection) => Code::BackendConnect,
+        RefusalReason::Tries => Code::BackendShed,
     }
 }
 
 /// No further server is asked.
 fn give_up(
     edge: &Edge,
-    call: &Call,
+    call: &CallerRequest,
     tried: &Tried,
     unknown: bool,
     failed: Option<(response::Parts, Bytes)>,
@@ -316,7 +325,7 @@
     if let Some((parts, body)) = failed {
         return answer(edge, call, tried, parts, body);
     }
-    let took = clock::now().since(call.came);
+    let took = clock::now().since(call.received);
     if !unknown {
         metrics::counter!("elmstream_requests", "outcome" => "not_run").increment(1);
         let code = code(refusal.reason, tried);
@@ -336,7 +345,7 @@
 
 fn log(
     edge: &Edge,
-    call: &Call,
+    call: &CallerRequest,
     tried: &Tried,
     event: &str,
     answer: (Code, StatusCode),
@@ -347,20 +356,20 @@
     let now = clock::now();
     let tries = tried.notes.iter().map(|(id, outcome, micros)| {
         let entry = steer.servers().find(id).and_then(|index| steer.servers().get(index));
-        let occupied = entry.map(|entry| entry.occupied(now));
+        let occupied = entry.map(|entry| entry.in_flight(now));
         json!({
             "server": id, "outcome": outcome.name(), "ms": micros / MILLI,
-            "occupied": occupied, "knew": outcome.knew(),
+            "occupied": occupied, "knew": outcome.was_warm(),
         })
     });
     let tries: Vec<_> = tries.collect();
     let fields = json!({
         "id": call.id, "code": code.number(), "key": call.key % 10_000,
-        "content": call.contents(edge).any.hex(),
+        "content": call.digests(edge).any_caller.hex(),
         "route": call.route.name, "service": call.service, "status": status.as_u16(),
         "workspace": call.workspace_name(),
         "tried": tries, "took_ms": took / MILLI, "version": steer.version(),
         "stale_ms": steer.staleness(now) / MILLI,
     });
-    edge.journal.request(event, fields);
+    edge.event_log.request(event, fields);
 }
--- a/elmstream_edge/src/registry.rs
+++ b/elmstream_edge/src/host_registry.rs
@@ -2,35 +2,35 @@
 
 use std::{rc::Rc, time::Duration};
 
-use elmstream_steer::registry::Edit;
+use elmstream_steer::host_registry::RegistryEdit;
 use elmstreamd::clock;
 use serde_json::json;
 
-use crate::{Edge, Source, SourceError, source::Hosts};
+use crate::{Edge, SourceError, StoreSource, store_source::HostList};
 
 /// Pause between two looks at whether it is this host's turn.
 const LOOK: Duration = Duration::from_millis(60);
 
 /// Runs until the process ends.
-pub(crate) async fn run<S: Source>(edge: Rc<Edge>, source: Rc<S>) {
+pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     loop {
         compio::time::sleep(LOOK).await;
-        if !edge.steer.borrow().must_list(clock::now()) {
+        if !edge.steer.borrow().host_list_due(clock::now()) {
             continue;
         }
         metrics::counter!("elmstream_registry_looks").increment(1);
         if let Err(error) = look(&edge, &*source).await {
-            edge.steer.borrow_mut().list_failed(clock::now());
-            edge.journal.write("registry_failed", json!({"error": error.to_string()}));
+            edge.steer.borrow_mut().record_list_failure(clock::now());
+            edge.event_log.write("registry_failed", json!({"error": error.to_string()}));
         }
     }
 }
 
 /// Reads the list, and changes it if that is this host's.
-async fn look<S: Source>(edge: &Edge, source: &S) -> Result<(), SourceError> {
-    let Hosts { listed, unreadable } = source.hosts().await?;
+async fn look<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
+    let HostList { listed, unreadable } = source.hosts().await?;
     edge.unreadable("hosts", &unreadable);
-    let edit = edge.steer.borrow_mut().listed(clock::now(), &listed);
+    let edit = edge.steer.borrow_mut().on_registered_hosts(clock::now(), &listed);
     if edit.is_empty() {
         return Ok(());
     }
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-fn told(edge: &Edge, edit: &Edit) {
+fn told(edge: &Edge, edit: &RegistryEdit) {
     let fields = json!({"listed": edit.put.len(), "removed": edit.remove});
-    edge.journal.write("registry", fields);
+    edge.event_log.write("registry", fields);
 }
--- a/elmstream_edge/src/peers.rs
+++ b/elmstream_edge/src/peers.rs
@@ -7,15 +7,15 @@
 
 use compio::{buf::BufResult, net::UdpSocket};
 use elmstream::time::MILLI;
-use elmstream_http::{LocalBody, body, server::Cut};
+use elmstream_http::{LocalBody, body, server::Aborted};
 use elmstream_steer::{
     Steer,
-    beat::{Beat, Known, Message},
-    harm::Ending,
+    heartbeat::{Heartbeat, Message, TableStatus},
     members,
-    telling::{Asked, TableRows},
+    poison::ServerCrash,
+    table_sync::{SyncRequest, TableRows},
     version::StoreVersion,
-    view::{NEEDED, TABLES},
+    view::{REQUIRED_TABLES, TABLES},
 };
 use elmstreamd::clock;
 use http::{Request, Response, StatusCode};
@@ -23,20 +23,23 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::{edge::Edge, fetch::Asking, gate::Gate, harm, hints};
+use crate::{
+    concurrency_limit::ConcurrencyLimit, edge::Edge, poison, server_hints,
+    table_fetch::TableFetcher,
+};
 
 /// Path of the view's rows.
-pub(crate) const ROWS: &str = "/v1/rows";
+pub(crate) const ROWS_PATH: &str = "/v1/rows";
 /// Largest datagram.
 const DATAGRAM: usize = 16 << 10;
 /// Time between two looks at whether a beat is due.
-pub const LOOK: Duration = Duration::from_millis(50);
+pub const HEARTBEAT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Least time between two beats if there is news that must not wait.
-pub const URGENT: Duration = Duration::from_millis(100);
+pub const URGENT_INTERVAL: Duration = Duration::from_millis(100);
 /// Addresses of hosts that go with rows.
 const HOSTS_TOLD: usize = 48;
 /// Requests for rows that are served at once.
-pub const SERVED: usize = 4;
+pub const MAX_CONCURRENT_ROWS: usize = 4;
 /// Time that a served request keeps its place for each byte, as what was handed to
 /// the connection is not yet on its way: together they use 8 Mbit/s at most.
 const MICROS_A_BYTE: u64 = 4;
@@ -47,7 +50,7 @@
 
 /// What a host knows beyond a version, and which hosts it knows.
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct Rows {
+pub(crate) struct PeerRows {
     /// The table that was asked for.
     pub table: TableRows,
     /// Addresses of hosts.
@@ -55,7 +58,7 @@
     /// Whether these are all that the sender knows, and it knows where the others are.
     pub all_hosts: bool,
     /// Ends of servers under requests that are refused; told to hosts that start.
-    pub endings: Vec<Ending>,
+    pub endings: Vec<ServerCrash>,
 }
 
 /// Sends beats until the process ends.
@@ -64,10 +67,10 @@
     loop {
         round += 1;
         let hosts = beat(&edge, &socket, round).await;
-        let pause = Duration::from_micros(members::pause(hosts));
+        let pause = Duration::from_micros(members::heartbeat_interval(hosts));
         let mut waited = Duration::ZERO;
-        while waited < pause && (waited < URGENT || !edge.steer.borrow().urgent()) {
-            let step = LOOK.min(pause - waited);
+        while waited < pause && (waited < URGENT_INTERVAL || !edge.steer.borrow().urgent()) {
+            let step = HEARTBEAT_CHECK_INTERVAL.min(pause - waited);
             compio::time::sleep(step).await;
             waited += step;
         }
@@ -79,18 +82,22 @@
     let now = clock::now();
     let (mut beat, targets, hosts) = {
         let mut steer = edge.steer.borrow_mut();
-        (Box::new(steer.beat(now)), steer.targets(now, round), steer.members().count())
+        (
+            Box::new(steer.next_heartbeat(now)),
+            steer.targets(now, round),
+            steer.members().target_count(),
+        )
     };
-    tell(socket, &Message::Beat(beat.clone()), &targets.near).await;
-    beat.lessons.clear();
-    beat.words.clear();
-    tell(socket, &Message::Beat(beat), &targets.far).await;
+    tell(socket, &Message::Heartbeat(beat.clone()), &targets.near).await;
+    beat.warm_keys.clear();
+    beat.liveness.clear();
+    tell(socket, &Message::Heartbeat(beat), &targets.far).await;
     hosts
 }
 
 /// Reports what workspaces asked of this host, and what it counted of roll-outs.
 async fn report(edge: &Edge, socket: &UdpSocket) {
-    let due = edge.steer.borrow_mut().reports(clock::now());
+    let due = edge.steer.borrow_mut().due_messages(clock::now());
     send_each(socket, due).await;
 }
 
@@ -110,7 +117,7 @@
 
 /// Takes beats in until the process ends.
 pub async fn receive(edge: Rc<Edge>, socket: Rc<UdpSocket>) {
-    let asking = Asking::new(edge.clone());
+    let asking = TableFetcher::new(edge.clone());
     ask_seeds(&edge, &asking);
     let mut buffer = Vec::with_capacity(DATAGRAM);
     loop {
@@ -119,47 +126,47 @@
         buffer = back;
         let Ok((length, from)) = result else { continue };
         match postcard::from_bytes::<Message>(&buffer[..length.min(buffer.len())]) {
-            Ok(Message::Beat(beat)) => hear(&edge, &asking, &beat),
-            Ok(Message::Report(report)) => {
+            Ok(Message::Heartbeat(beat)) => hear(&edge, &asking, &beat),
+            Ok(Message::UsageReport(report)) => {
                 let (verdict, due) = {
                     let (mut steer, now) = (edge.steer.borrow_mut(), clock::now());
-                    let verdict = steer.sum_up(now, &report);
-                    (verdict, steer.tell_all(now))
+                    let verdict = steer.on_usage_report(now, &report);
+                    (verdict, steer.due_broadcasts(now))
                 };
-                tell(&socket, &Message::Verdict(verdict), &[from]).await;
+                tell(&socket, &Message::UsageReply(verdict), &[from]).await;
                 send_each(&socket, due).await;
             }
-            Ok(Message::Spread(spread)) => {
-                let due = edge.steer.borrow_mut().pass_on(clock::now(), &spread);
+            Ok(Message::FractionBroadcast(spread)) => {
+                let due = edge.steer.borrow_mut().on_broadcast(clock::now(), &spread);
                 send_each(&socket, due).await;
             }
-            Ok(Message::Rollout(report)) => {
-                edge.steer.borrow_mut().take_report(clock::now(), *report);
+            Ok(Message::RolloutReport(report)) => {
+                edge.steer.borrow_mut().on_rollout_report(clock::now(), *report);
             }
-            Ok(Message::Verdict(verdict)) => {
-                edge.steer.borrow_mut().judged(clock::now(), &verdict);
+            Ok(Message::UsageReply(verdict)) => {
+                edge.steer.borrow_mut().on_usage_reply(clock::now(), &verdict);
             }
             Err(_) => metrics::counter!("elmstream_datagrams_unreadable").increment(1),
         }
     }
 }
 
-fn hear(edge: &Edge, asking: &Asking, beat: &Beat) {
-    let news = edge.steer.borrow_mut().hear(clock::now(), beat);
+fn hear(edge: &Edge, asking: &TableFetcher, beat: &Heartbeat) {
+    let news = edge.steer.borrow_mut().on_heartbeat(clock::now(), beat);
     let Some(news) = news else { return };
     if news.joined {
-        edge.journal.belief("host_heard", json!({"host": beat.host.name}));
+        edge.event_log.state_change("host_heard", json!({"host": beat.host.name}));
     }
-    harm::note(edge, &beat.host.name, &news.refused);
+    poison::note(edge, &beat.host.name, &news.refused);
     for server in &news.leaving {
         let fields = json!({"server": server, "from": beat.host.name});
-        edge.journal.belief("server_leaving", fields);
+        edge.event_log.state_change("server_leaving", fields);
     }
     for (server, limit) in &news.limits {
-        hints::note_limit(edge, &beat.host.name, server, *limit);
+        server_hints::note_limit(edge, &beat.host.name, server, *limit);
     }
-    for (table, _) in news.wanted {
-        asking.offer(table, beat.host.peers, &beat.known[table as usize]);
+    for (table, _) in news.outdated_tables {
+        asking.offer(table, beat.host.peers, &beat.tables[table as usize]);
     }
 }
 
@@ -170,10 +177,10 @@
 }
 
 /// Asks the seeds for all that they know, as a host does that has just started.
-fn ask_seeds(edge: &Edge, asking: &Asking) {
-    for table in NEEDED {
+fn ask_seeds(edge: &Edge, asking: &TableFetcher) {
+    for table in REQUIRED_TABLES {
         for seed in edge.settings.seeds.iter().filter(|seed| **seed != edge.settings.host.peers) {
-            asking.offer(table, *seed, &Known::default());
+            asking.offer(table, *seed, &TableStatus::default());
         }
     }
 }
@@ -185,9 +192,9 @@
 /// away ask one that has been served meanwhile.
 pub async fn serve(
     edge: Rc<Edge>,
-    gate: Gate,
+    gate: ConcurrencyLimit,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     let query = request.uri().query().unwrap_or_default();
     let field = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -200,24 +207,25 @@
     };
     let after = version("era", "after");
     let complete = version("complete_era", "complete").or(after).unwrap_or_default();
-    let (ROWS, Some(table), Some(after)) = (request.uri().path(), table, after) else {
+    let (ROWS_PATH, Some(table), Some(after)) = (request.uri().path(), table, after) else {
         return Ok(empty(StatusCode::NOT_FOUND));
     };
     // A host that knows nothing says so at once, as those that ask it have just started.
-    let knows = edge.steer.borrow().known()[table as usize].reading.is_some();
-    let pass = gate.enter();
+    let knows = edge.steer.borrow().table_statuses()[table as usize].last_read.is_some();
+    let pass = gate.try_acquire();
     if knows && pass.is_none() {
         return Ok(empty(StatusCode::SERVICE_UNAVAILABLE));
     }
     let rows = {
         let steer = edge.steer.borrow();
         let starts = after == StoreVersion::default();
-        let all_hosts = starts && steer.knows_hosts();
+        let all_hosts = starts && steer.has_host_list();
         let mut hosts = hosts_told(&steer, all_hosts);
         hosts.push(edge.settings.host.peers);
-        let endings = if starts { steer.harms().all() } else { Vec::new() };
-        let table = steer.tell_rows(clock::now(), table, Asked { after, complete });
-        Rows { table, hosts, all_hosts, endings }
+        let endings = if starts { steer.poison().refused_crashes() } else { Vec::new() };
+        let table =
+            steer.rows_for(clock::now(), table, SyncRequest { after, complete_to: complete });
+        PeerRows { table, hosts, all_hosts, endings }
     };
     let bytes = postcard::to_allocvec(&rows).unwrap_or_default();
     let pace = Duration::from_micros(bytes.len() as u64 * MICROS_A_BYTE);
@@ -233,10 +241,10 @@
 fn hosts_told(steer: &Steer, all: bool) -> Vec<SocketAddr> {
     let now = clock::now();
     if all {
-        return steer.members().addresses(now);
+        return steer.members().contact_addresses(now);
     }
     // Another number each time, so that all hosts are told in the end.
-    steer.members().some((now.0 / MILLI) as usize, HOSTS_TOLD)
+    steer.members().sample((now.0 / MILLI) as usize, HOSTS_TOLD)
 }
 
 /// Lets time pass for the decisions until the process ends.
@@ -246,23 +254,23 @@
         compio::time::sleep(TICK).await;
         if let Some(away) = suspension.look() {
             metrics::counter!("elmstream_suspensions").increment(1);
-            edge.journal.write("suspended", json!({"for_ms": away / MILLI}));
+            edge.event_log.write("suspended", json!({"for_ms": away / MILLI}));
         }
         report(&edge, &socket).await;
         if count.is_multiple_of(SEEDS_EVERY) {
             for seed in &edge.settings.seeds {
-                edge.steer.borrow_mut().suppose(clock::now(), *seed);
+                edge.steer.borrow_mut().add_peer_address(clock::now(), *seed);
             }
         }
         if let Some(error) = edge.pool.unbounded() {
-            edge.journal.write("silence_unbounded", json!({"error": error.to_string()}));
+            edge.event_log.write("silence_unbounded", json!({"error": error.to_string()}));
         }
         let changes = edge.steer.borrow_mut().tick(clock::now());
-        edge.note("time", &changes);
+        edge.log_changes("time", &changes);
         let steer = edge.steer.borrow();
-        let (held_back, unanswered) = steer.limits_seen(clock::now());
+        let (held_back, unanswered) = steer.quota_counts(clock::now());
         metrics::gauge!("elmstream_store_era").set(steer.era() as f64);
-        metrics::gauge!("elmstream_store_rows_held").set(steer.view().held_count() as f64);
+        metrics::gauge!("elmstream_store_rows_held").set(steer.view().retained_count() as f64);
         metrics::gauge!("elmstream_servers_limited").set(steer.limited_servers() as f64);
         metrics::gauge!("elmstream_workspaces_held_back").set(held_back as f64);
         metrics::gauge!("elmstream_workspaces_unanswered").set(unanswered as f64);
--- a/elmstream_edge/src/harm.rs
+++ b/elmstream_edge/src/poison.rs
@@ -10,7 +10,7 @@
 use elmstream_http::LocalBody;
 use elmstream_steer::{
     digest::RequestDigest,
-    harm::{Ending, Harm, ToList, Turn, outdated},
+    poison::{PendingListing, PoisonChange, PoisonEvidence, ServerCrash, listing_expired},
 };
 use elmstreamd::clock;
 use futures_channel::oneshot;
@@ -18,10 +18,10 @@
 use serde_json::{Value, json};
 
 use crate::{
-    Edge, Source, SourceError,
-    callers::{self, Call},
-    content::Contents,
-    source::Harmful,
+    Edge, SourceError, StoreSource,
+    callers::{self, CallerRequest},
+    request_digest::RequestDigests,
+    store_source::RefusedList,
 };
 
 /// Time between two looks at whether the list is to be read or changed.
@@ -33,21 +33,21 @@
 const RETURN_KEPT: u64 = 60 * SECOND;
 
 /// By which digest a request is refused, and why; none if it is not.
-pub(crate) fn known(edge: &Edge, call: &Call) -> Option<(RequestDigest, Harm)> {
+pub(crate) fn known(edge: &Edge, call: &CallerRequest) -> Option<(RequestDigest, PoisonEvidence)> {
     let steer = edge.steer.borrow();
-    if steer.harms().is_empty() {
+    if steer.poison().is_empty() {
         return None;
     }
-    let digests = call.contents(edge).both().into_iter();
-    digests.filter_map(|digest| Some((digest, steer.harms().refuses(&digest)?))).next()
+    let digests = call.digests(edge).both().into_iter();
+    digests.filter_map(|digest| Some((digest, steer.poison().refusal(&digest)?))).next()
 }
 
 /// Generations of endings that are known of a request, by its digests.
-pub(crate) fn generations(edge: &Edge, call: &Call) -> [u8; 2] {
+pub(crate) fn generations(edge: &Edge, call: &CallerRequest) -> [u8; 2] {
     let steer = edge.steer.borrow();
-    match steer.harms().is_empty() {
+    match steer.poison().is_empty() {
         true => [0; 2],
-        false => call.contents(edge).both().map(|digest| steer.harms().generation(&digest)),
+        false => call.digests(edge).both().map(|digest| steer.poison().generation(&digest)),
     }
 }
 
@@ -58,37 +58,37 @@
 /// as well.
 pub(crate) fn refuse(
     edge: &Edge,
-    call: &Call,
-    (digest, harm): &(RequestDigest, Harm),
+    call: &CallerRequest,
+    (digest, harm): &(RequestDigest, PoisonEvidence),
 ) -> Response<LocalBody> {
     metrics::counter!("elmstream_requests", "outcome" => "harmful").increment(1);
     let code = Code::Harmful;
     let fields = json!({
         "id": call.id, "code": code.number(), "status": code.http_status(),
         "content": digest.hex(), "route": call.route.name, "service": call.service,
-        "workspace": call.workspace_name(), "took_ms": clock::now().since(call.came) / MILLI,
+        "workspace": call.workspace_name(), "took_ms": clock::now().since(call.received) / MILLI,
         "servers_ended": harm.servers, "generations": harm.generations, "own": harm.own,
         "last_s_ago": unix_s().saturating_sub(harm.last_s),
         "version": edge.steer.borrow().version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
     });
-    edge.journal.request("harmful", fields);
+    edge.event_log.request("harmful", fields);
     callers::plain(code, StatusCode::SERVICE_UNAVAILABLE)
 }
 
 /// A request got a whole answer.
-pub(crate) fn answered(edge: &Edge, call: &Call) {
+pub(crate) fn answered(edge: &Edge, call: &CallerRequest) {
     let mut steer = edge.steer.borrow_mut();
-    if !steer.harms().is_empty() {
-        for digest in call.contents(edge).both() {
-            steer.harms_mut().answered(clock::now(), &digest);
+    if !steer.poison().is_empty() {
+        for digest in call.digests(edge).both() {
+            steer.poison_mut().record_answer(clock::now(), &digest);
         }
     }
 }
 
 /// A server whose connection broke under a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Suspected {
+pub(crate) struct SuspectedServer {
     /// Its id.
     pub id: String,
     /// Where it took requests.
@@ -103,14 +103,14 @@
 /// What is found out counts also if the caller leaves meanwhile.
 pub(crate) async fn ended(
     edge: &Rc<Edge>,
-    call: &Call,
-    server: Suspected,
+    call: &CallerRequest,
+    server: SuspectedServer,
     generations: [u8; 2],
 ) -> bool {
     let (found, finding) = oneshot::channel();
-    let (edge, contents) = (edge.clone(), *call.contents(edge));
+    let (edge, contents) = (edge.clone(), *call.digests(edge));
     compio::runtime::spawn(async move {
-        let known = edge.steer.borrow().harms().knows_end(server.start);
+        let known = edge.steer.borrow().poison().knows_crash(server.start);
         let ended = known || edge.pool.refuses(server.address).await;
         if ended {
             count(&edge, &server, &contents, generations);
@@ -123,30 +123,31 @@
     finding.await.unwrap_or(false)
 }
 
-fn count(edge: &Edge, server: &Suspected, contents: &Contents, generations: [u8; 2]) {
+fn count(edge: &Edge, server: &SuspectedServer, contents: &RequestDigests, generations: [u8; 2]) {
     metrics::counter!("elmstream_servers_ended").increment(1);
     let now = clock::now();
     let fields = json!({
-        "server": server.id, "content": contents.any.hex(),
+        "server": server.id, "content": contents.any_caller.hex(),
         "generation": generations[0].saturating_add(1),
     });
-    edge.journal.belief("server_ended", fields);
+    edge.event_log.state_change("server_ended", fields);
     for (digest, known) in contents.both().into_iter().zip(generations) {
-        let turn = edge.steer.borrow_mut().ended(now, unix_s(), digest, server.start, known);
-        if let Turn::Refused(harm) = turn {
+        let turn =
+            edge.steer.borrow_mut().on_server_crash(now, unix_s(), digest, server.start, known);
+        if let PoisonChange::Refused(harm) = turn {
             note(edge, "itself", &[(digest, harm)]);
         }
     }
 }
 
 /// Writes down which requests are refused from now on, and who told.
-pub(crate) fn note(edge: &Edge, from: &str, refused: &[(RequestDigest, Harm)]) {
+pub(crate) fn note(edge: &Edge, from: &str, refused: &[(RequestDigest, PoisonEvidence)]) {
     for (digest, harm) in refused {
-        edge.journal.write("refuses", told(digest, harm, from));
+        edge.event_log.write("refuses", told(digest, harm, from));
     }
 }
 
-fn told(digest: &RequestDigest, harm: &Harm, from: &str) -> Value {
+fn told(digest: &RequestDigest, harm: &PoisonEvidence, from: &str) -> Value {
     json!({
         "content": digest.hex(), "servers_ended": harm.servers, "generations": harm.generations,
         "own": harm.own, "from": from,
@@ -155,7 +156,7 @@
 
 /// Reads the list at the start and when the settings are read again, and adds to it,
 /// until the process ends.
-pub(crate) async fn run<S: Source>(edge: Rc<Edge>, source: Rc<S>) {
+pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     let mut started = false;
     let mut returns = Returns::default();
     loop {
@@ -165,49 +166,50 @@
                 Err(error) => failed(&edge, &error).await,
             }
         }
-        let again = edge.relist.replace(false);
+        let again = edge.reread_refused.replace(false);
         if let Err(error) = keep(&edge, &*source, again || !started).await {
-            edge.relist.set(again);
+            edge.reread_refused.set(again);
             failed(&edge, &error).await;
             continue;
         }
         started = true;
         compio::time::sleep(LOOK).await;
         let mut steer = edge.steer.borrow_mut();
-        steer.harms_mut().forget(clock::now(), unix_s());
-        metrics::gauge!("elmstream_requests_refused").set(steer.harms().refused() as f64);
+        steer.poison_mut().expire(clock::now(), unix_s());
+        metrics::gauge!("elmstream_requests_refused").set(steer.poison().refused_count() as f64);
     }
 }
 
-async fn keep<S: Source>(edge: &Edge, source: &S, read: bool) -> Result<(), SourceError> {
+async fn keep<S: StoreSource>(edge: &Edge, source: &S, read: bool) -> Result<(), SourceError> {
     if read {
-        let harmful = source.harmful().await?;
+        let harmful = source.refused_requests().await?;
         edge.unreadable("harmful", &harmful.unreadable);
         take_in(edge, &harmful);
         // Nobody else clears the list.
-        for (digest, _) in harmful.listed.iter().filter(|(_, endings)| outdated(endings, unix_s()))
+        for (digest, _) in
+            harmful.listed.iter().filter(|(_, endings)| listing_expired(endings, unix_s()))
         {
-            source.list_harmful(digest, &[]).await?;
+            source.add_refused_request(digest, &[]).await?;
         }
     }
-    let due = edge.steer.borrow().harms().to_list(clock::now());
+    let due = edge.steer.borrow().poison().pending_listings(clock::now());
     if due.iter().any(|due| !due.first) {
-        let harmful = source.harmful().await?;
+        let harmful = source.refused_requests().await?;
         for (digest, _) in &harmful.listed {
-            edge.steer.borrow_mut().harms_mut().listed(digest);
+            edge.steer.borrow_mut().poison_mut().mark_listed(digest);
         }
     }
     // What was let in again, or found to be listed, meanwhile is not due any more.
-    let due = edge.steer.borrow().harms().to_list(clock::now());
-    for ToList { digest, endings, .. } in due {
-        source.list_harmful(&digest, &endings).await?;
-        edge.steer.borrow_mut().harms_mut().listed(&digest);
+    let due = edge.steer.borrow().poison().pending_listings(clock::now());
+    for PendingListing { digest, endings, .. } in due {
+        source.add_refused_request(&digest, &endings).await?;
+        edge.steer.borrow_mut().poison_mut().mark_listed(&digest);
     }
     Ok(())
 }
 
 async fn failed(edge: &Edge, error: &SourceError) {
-    edge.journal.write("harmful_failed", json!({"error": error.to_string()}));
+    edge.event_log.write("harmful_failed", json!({"error": error.to_string()}));
     compio::time::sleep(PAUSE).await;
 }
 
@@ -234,7 +236,7 @@
             (self.era, self.noticed) = (known, None);
             return false;
         }
-        steer.keeps(now)
+        steer.maintains_host_list(now)
     }
 
     fn done(&mut self, edge: &Edge) {
@@ -244,20 +246,20 @@
 
 /// Lists again what the store has lost, and takes off what was let in again: nobody else
 /// writes that, and hosts that start go by it.
-async fn list_again<S: Source>(edge: &Edge, source: &S) -> Result<(), SourceError> {
-    let harmful = source.harmful().await?;
-    let lost = |(digest, _): &(RequestDigest, Vec<Ending>)| {
+async fn list_again<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
+    let harmful = source.refused_requests().await?;
+    let lost = |(digest, _): &(RequestDigest, Vec<ServerCrash>)| {
         !harmful.listed.iter().any(|(listed, _)| listed == digest)
     };
-    let refused = edge.steer.borrow().harms().all_refused();
+    let refused = edge.steer.borrow().poison().refused_requests();
     for (digest, endings) in refused.into_iter().filter(lost) {
-        source.list_harmful(&digest, &endings).await?;
-        edge.journal.write("listed_again", json!({"content": digest.hex()}));
+        source.add_refused_request(&digest, &endings).await?;
+        edge.event_log.write("listed_again", json!({"content": digest.hex()}));
     }
     for (digest, _) in harmful.listed.iter().filter(|(_, endings)| !endings.is_empty()) {
-        if edge.steer.borrow().harms().cleared(digest) {
-            source.list_harmful(digest, &[]).await?;
-            edge.journal.write("let_in_again", json!({"content": digest.hex()}));
+        if edge.steer.borrow().poison().is_cleared(digest) {
+            source.add_refused_request(digest, &[]).await?;
+            edge.event_log.write("let_in_again", json!({"content": digest.hex()}));
         }
     }
     Ok(())
@@ -265,15 +267,15 @@
 
 /// Takes in what the store lists. A request that is listed without ends of servers is let
 /// in again: a row that is not there may only not have been written yet.
-fn take_in(edge: &Edge, harmful: &Harmful) {
+fn take_in(edge: &Edge, harmful: &RefusedList) {
     let now = clock::now();
     for (digest, endings) in &harmful.listed {
-        let refused = edge.steer.borrow_mut().hear_endings(now, endings);
+        let refused = edge.steer.borrow_mut().merge_crashes(now, endings);
         note(edge, "store", &refused);
         let mut steer = edge.steer.borrow_mut();
-        steer.harms_mut().listed(digest);
-        if endings.is_empty() && steer.harms_mut().lift(now, digest) {
-            edge.journal.write("let_in_again", json!({"content": digest.hex()}));
+        steer.poison_mut().mark_listed(digest);
+        if endings.is_empty() && steer.poison_mut().readmit(now, digest) {
+            edge.event_log.write("let_in_again", json!({"content": digest.hex()}));
         }
     }
 }
--- a/elmstream_edge/src/rollout.rs
+++ b/elmstream_edge/src/rollout.rs
@@ -4,13 +4,13 @@
 
 use elmstream_steer::{
     RolloutWrite, Steer,
-    rollout::Stage,
-    verdict::{Cause, route_hash},
+    canary_analysis::{RejectionCause, route_hash},
+    rollout::RolloutStage,
 };
 use elmstreamd::clock;
 use serde_json::{Value, json};
 
-use crate::{Edge, Source};
+use crate::{Edge, StoreSource};
 
 /// Time between two looks at whether something is to be written.
 const LOOK: Duration = Duration::from_millis(100);
@@ -19,10 +19,10 @@
 const PAUSE: Duration = Duration::from_millis(300);
 
 /// Writes until the process ends.
-pub(crate) async fn run<S: Source>(edge: Rc<Edge>, source: Rc<S>) {
+pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     loop {
         compio::time::sleep(LOOK).await;
-        let due = edge.steer.borrow_mut().rollout_due(clock::now(), clock::unix_ms());
+        let due = edge.steer.borrow_mut().due_rollout_write(clock::now(), clock::unix_ms());
         if let Some(write) = due
             && !carry_out(&edge, &*source, &write).await
         {
@@ -32,25 +32,25 @@
 }
 
 /// Writes once; whether the store took it.
-async fn carry_out<S: Source>(edge: &Rc<Edge>, source: &S, write: &RolloutWrite) -> bool {
-    let (service, stage) = (write.service.as_str(), told(write.progress.stage));
+async fn carry_out<S: StoreSource>(edge: &Rc<Edge>, source: &S, write: &RolloutWrite) -> bool {
+    let (service, stage) = (write.service.as_str(), stage_text(write.progress.stage));
     match source.write_rollout(write).await {
         Ok(Some(version)) => {
             metrics::counter!("elmstream_rollout_writes", "stage" => write.progress.stage.name())
                 .increment(1);
-            edge.journal.write("rollout_written", fields(edge, write));
-            let changes = edge.steer.borrow_mut().rollout_written(clock::now(), write, version);
-            edge.note("itself", &changes);
+            edge.event_log.write("rollout_written", fields(edge, write));
+            let changes = edge.steer.borrow_mut().on_rollout_written(clock::now(), write, version);
+            edge.log_changes("itself", &changes);
             true
         }
         Ok(None) => {
             let fields = json!({"service": service, "stage": stage});
-            edge.journal.write("rollout_overtaken", fields);
+            edge.event_log.write("rollout_overtaken", fields);
             false
         }
         Err(error) => {
             let fields = json!({"service": service, "stage": stage, "error": error.to_string()});
-            edge.journal.write("rollout_write_failed", fields);
+            edge.event_log.write("rollout_write_failed", fields);
             false
         }
     }
@@ -59,30 +59,30 @@
 /// What a write says, and what it rests on.
 fn fields(edge: &Edge, write: &RolloutWrite) -> Value {
     let steer = edge.steer.borrow();
-    let answers = steer.rollout_judged(&write.service).map(|judge| judge.marks());
+    let answers = steer.rollout_analysis(&write.service).map(|judge| judge.target_counts());
     json!({
         "service": write.service, "target": write.progress.target,
-        "stage": told(write.progress.stage), "order": write.progress.order.to_string(),
+        "stage": stage_text(write.progress.stage), "order": write.progress.order.to_string(),
         "good": answers.map(|marks| marks.good), "bad": answers.map(|marks| marks.bad),
         "cause": write.cause.as_ref().map(|known| cause(&steer, known)),
     })
 }
 
 /// Why a version is turned away.
-fn cause(steer: &Steer, cause: &Cause) -> Value {
+fn cause(steer: &Steer, cause: &RejectionCause) -> Value {
     let configuration = steer.view().configuration().into_iter();
     let mut routes = configuration.flat_map(|configuration| &configuration.routes);
     let route = cause.route.map(|hash| routes.find(|route| route_hash(&route.name) == hash));
     json!({
         "route": route.map(|route| route.map_or("", |route| route.name.as_str())), "good": cause.target.good, "bad": cause.target.bad,
-        "servers": cause.servers, "usual": cause.usual,
+        "servers": cause.servers, "usual": cause.usual_bad_share,
     })
 }
 
 /// A stage in lines.
-pub(crate) fn told(stage: Stage) -> String {
+pub(crate) fn stage_text(stage: RolloutStage) -> String {
     match stage {
-        Stage::Shift(percent) => format!("shift {percent}%"),
+        RolloutStage::Shift(percent) => format!("shift {percent}%"),
         stage => stage.name().to_owned(),
     }
 }
--- a/elmstream_edge/src/hints.rs
+++ b/elmstream_edge/src/server_hints.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elmstream_steer::{Steer, server_limit::PerSecond, servers::Index};
+use elmstream_steer::{Steer, server_limit::RequestRate, servers::ServerIndex};
 use elmstreamd::clock;
 use http::{StatusCode, header, response};
 use serde_json::{Value, json};
@@ -32,7 +32,7 @@
     #[default]
     None,
     /// Requests a second from all hosts together.
-    Limit(PerSecond),
+    Limit(RequestRate),
     /// Something that is not a number of requests.
     Unreadable,
 }
@@ -44,7 +44,7 @@
         let limit = match parts.headers.get(&names.server_limit) {
             None => Said::None,
             Some(value) => {
-                let named = value.to_str().ok().and_then(PerSecond::parse);
+                let named = value.to_str().ok().and_then(RequestRate::parse);
                 named.map_or(Said::Unreadable, Said::Limit)
             }
         };
@@ -53,17 +53,17 @@
     }
 
     /// Takes them in; the answer must be known to be this server's.
-    pub fn take(self, edge: &Edge, index: Index) {
+    pub fn take(self, edge: &Edge, index: ServerIndex) {
         let now = clock::now();
         let mut steer = edge.steer.borrow_mut();
         if let Some(requests) = self.load {
-            steer.tell(now, index, requests);
+            steer.record_server_load(now, index, requests);
         }
-        if self.leaving && steer.says_leaving(now, index) {
+        if self.leaving && steer.on_server_leaving(now, index) {
             note(edge, &steer, index, "server_leaving", json!({"from": "itself"}));
         }
         if let Some(rest) = self.rest
-            && steer.asks_for_rest(now, index, rest)
+            && steer.on_server_backoff(now, index, rest)
         {
             note(edge, &steer, index, "server_rests", json!({"for_ms": rest.as_millis() as u64}));
         }
@@ -75,7 +75,7 @@
                 return;
             }
         };
-        if steer.names_limit(now, index, limit)
+        if steer.on_server_limit(now, index, limit)
             && let Some(entry) = steer.servers().get(index)
         {
             note_limit(edge, "itself", &entry.id, limit);
@@ -84,9 +84,9 @@
 }
 
 /// Writes down what a server said of itself.
-fn note(edge: &Edge, steer: &Steer, index: Index, event: &str, mut fields: Value) {
+fn note(edge: &Edge, steer: &Steer, index: ServerIndex, event: &str, mut fields: Value) {
     fields["server"] = steer.servers().get(index).map(|entry| entry.id.as_str()).into();
-    edge.journal.belief(event, fields);
+    edge.event_log.state_change(event, fields);
 }
 
 /// How long a server wants nothing, in an answer by which it turns a request away.
@@ -101,9 +101,9 @@
 }
 
 /// Writes down the limit that a server names, and who heard it.
-pub fn note_limit(edge: &Edge, from: &str, server: &str, limit: Option<PerSecond>) {
-    let fields = json!({"server": server, "per_s": limit.map(PerSecond::value), "from": from});
-    edge.journal.belief("server_limit", fields);
+pub fn note_limit(edge: &Edge, from: &str, server: &str, limit: Option<RequestRate>) {
+    let fields = json!({"server": server, "per_s": limit.map(RequestRate::value), "from": from});
+    edge.event_log.state_change("server_limit", fields);
 }
 
 /// Running and waiting requests of `running,waiting,slots`.
--- a/elmstream_edge/src/reader.rs
+++ b/elmstream_edge/src/store_reader.rs
@@ -3,11 +3,13 @@
 use std::{rc::Rc, time::Duration};
 
 use elmstream::time::{MILLI, SECOND, Time};
-use elmstream_steer::{calls::Why, readers, version::StoreVersion, view::Table};
+use elmstream_steer::{
+    reader_rank, store_schedule::ReadReason, version::StoreVersion, view::Table,
+};
 use elmstreamd::clock;
 use serde_json::json;
 
-use crate::{Source, SourceError, edge::Edge, source::Rows};
+use crate::{SourceError, StoreSource, edge::Edge, store_source::StoreRows};
 
 /// Pause between two looks at whether it is this host's turn.
 pub const LOOK: Duration = Duration::from_millis(60);
@@ -25,12 +27,12 @@
 }
 
 /// Reads a table until the process ends.
-pub async fn run<S: Source>(edge: Rc<Edge>, source: Rc<S>, table: Table) {
+pub async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>, table: Table) {
     let mut cursor: Option<Cursor> = None;
     let mut lost: Option<Time> = None;
     loop {
         let now = clock::now();
-        let Some(why) = edge.steer.borrow().must_read(now, table) else {
+        let Some(why) = edge.steer.borrow().due_read(now, table) else {
             compio::time::sleep(LOOK).await;
             continue;
         };
@@ -45,7 +47,7 @@
                 cursor = version.map(|version| Cursor { version, at: clock::now() });
                 // After a history that is gone, all is read next.
                 let Some(version) = version else { continue };
-                edge.steer.borrow_mut().store_answered(table, why, now, version);
+                edge.steer.borrow_mut().record_store_answer(table, why, now, version);
                 if let Some(since) = lost.take() {
                     regained(&edge, table, why, since);
                 }
@@ -56,7 +58,7 @@
                     lost_store(&edge, table, why, now, &error);
                     lost = Some(clock::now());
                 }
-                edge.steer.borrow_mut().store_failed(clock::now(), table);
+                edge.steer.borrow_mut().record_store_failure(clock::now(), table);
             }
         }
     }
@@ -72,17 +74,17 @@
 }
 
 /// Writes that the store served this host's calls again, and for how long it had not.
-fn regained(edge: &Rc<Edge>, table: Table, why: Why, since: Time) {
+fn regained(edge: &Rc<Edge>, table: Table, why: ReadReason, since: Time) {
     let fields = json!({
         "table": name(table), "why": why.name(),
         "after_ms": clock::now().since(since) / MILLI,
     });
-    edge.journal.write("store_regained", fields);
+    edge.event_log.write("store_regained", fields);
 }
 
 /// Writes that a call failed: why it was made, how long it took, and how old what is
 /// known of the table has become meanwhile.
-fn lost_store(edge: &Rc<Edge>, table: Table, why: Why, asked: Time, error: &SourceError) {
+fn lost_store(edge: &Rc<Edge>, table: Table, why: ReadReason, asked: Time, error: &SourceError) {
     let now = clock::now();
     let steer = edge.steer.borrow();
     let age = steer.view().age(now, table).map(|age| age / MILLI);
@@ -92,7 +94,7 @@
         "took_ms": now.since(asked) / MILLI, "age_ms": age,
         "hosts": steer.members().live(now).count() + 1,
     });
-    edge.journal.write("store_lost", fields);
+    edge.event_log.write("store_lost", fields);
 }
 
 /// Reads what is new; the version to go on from, or none to read all.
@@ -100,19 +102,19 @@
 /// A kept connection may have fallen silent for good while new ones work, on all hosts
 /// at once. So a call that fails over one is made anew at once, and only the failure of
 /// that one speaks of the store.
-async fn read<S: Source>(
+async fn read<S: StoreSource>(
     edge: &Rc<Edge>,
     source: &S,
     table: Table,
     after: Option<StoreVersion>,
 ) -> Result<Option<StoreVersion>, SourceError> {
     let bound = edge.settings.bounds.configuration_ms as f64;
-    let wait = Duration::from_micros((bound * readers::WAIT_PART) as u64 * MILLI);
+    let wait = Duration::from_micros((bound * reader_rank::WAIT_PART) as u64 * MILLI);
     match call(edge, source, table, (after, wait)).await {
         Err(SourceError::Unreachable { cause, kept: true }) => {
             metrics::counter!("elmstream_store_connections_lost").increment(1);
             let fields = json!({"table": name(table), "error": cause});
-            edge.journal.write("store_connection_lost", fields);
+            edge.event_log.write("store_connection_lost", fields);
             call(edge, source, table, (after, Duration::ZERO)).await
         }
         read => read,
@@ -120,7 +122,7 @@
 }
 
 /// One call: changes after a version, for which the store may wait, or all rows.
-async fn call<S: Source>(
+async fn call<S: StoreSource>(
     edge: &Rc<Edge>,
     source: &S,
     table: Table,
@@ -128,21 +130,22 @@
 ) -> Result<Option<StoreVersion>, SourceError> {
     let asked = clock::now();
     let Some(after) = after else {
-        let Rows { version, rows, unreadable } = source.all(table).await?;
+        let StoreRows { version, rows, unreadable } = source.read_all(table).await?;
         edge.unreadable(name(table), &unreadable);
         let now = clock::now();
         up_to_date(edge, version)?;
         let mut steer = edge.steer.borrow_mut();
         if table == Table::Servers {
-            steer.store_read_in(now.since(asked) / MILLI);
+            steer.record_read_time(now.since(asked) / MILLI);
         }
-        let changes = steer.read_all_of(now, asked, table, version, rows);
+        let changes = steer.on_full_read_at(now, asked, table, version, rows);
         drop(steer);
-        edge.note("store", &changes);
+        edge.log_changes("store", &changes);
         return Ok(Some(version));
     };
-    let Some(Rows { version, rows, unreadable }) = source.changes(table, after, wait).await? else {
-        edge.journal.write("store_history_gone", json!({"table": name(table)}));
+    let Some(StoreRows { version, rows, unreadable }) = source.changes(table, after, wait).await?
+    else {
+        edge.event_log.write("store_history_gone", json!({"table": name(table)}));
         return Ok(None);
     };
     edge.unreadable(name(table), &unreadable);
@@ -150,8 +153,8 @@
     let now = clock::now();
     // The store held its answer no longer than it was asked to.
     let moment = now.min(asked + wait.as_micros() as u64);
-    let changes = edge.steer.borrow_mut().read_of(now, moment, table, rows);
-    edge.note("store", &changes);
+    let changes = edge.steer.borrow_mut().on_changes_at(now, moment, table, rows);
+    edge.log_changes("store", &changes);
     Ok(Some(version))
 }
 
--- a/elmstream_edge/tests/harm.rs
+++ b/elmstream_edge/tests/harm.rs
@@ -6,7 +6,7 @@
 
 use compio::{net::TcpListener, runtime::JoinHandle};
 use elmstream::code::Code;
-use elmstream_steer::{model::Repeat, view::Key};
+use elmstream_steer::{model::Repeatability, view::RowKey};
 use support::{
     CLOSE, Running, Store, ask, ask_from, backend, configuration, converse, good, ip, run, server,
     serving, start, until,
@@ -38,9 +38,9 @@
 }
 
 impl Farm {
-    async fn with(servers: usize, hosts: usize, repeat: Repeat) -> (Farm, Vec<Running>) {
+    async fn with(servers: usize, hosts: usize, repeat: Repeatability) -> (Farm, Vec<Running>) {
         let farm = Farm::default();
-        farm.store.put(Key::Configuration, Some(configuration(1, repeat)));
+        farm.store.put(RowKey::Configuration, Some(configuration(1, repeat)));
         for _ in 0..servers {
             farm.add().await;
         }
@@ -51,8 +51,11 @@
         for host in &running {
             farm.ready(host).await;
         }
-        let met =
-            || running.iter().all(|host| host.edge.steer.borrow().members().count() + 1 == hosts);
+        let met = || {
+            running
+                .iter()
+                .all(|host| host.edge.steer.borrow().members().target_count() + 1 == hosts)
+        };
         assert!(until(Duration::from_secs(3), met).await, "the hosts have met");
         (farm, running)
     }
@@ -96,11 +99,11 @@
             drop(serving);
             farm.ended.set(farm.ended.get() + 1);
             compio::time::sleep(BACK).await;
-            farm.store.put(Key::Server(format!("s-{number}")), None);
+            farm.store.put(RowKey::Server(format!("s-{number}")), None);
             Box::pin(farm.add()).await;
         })
         .detach();
-        self.store.put(Key::Server(format!("s-{number}")), Some(server(address)));
+        self.store.put(RowKey::Server(format!("s-{number}")), Some(server(address)));
     }
 
     async fn ended_more_than(&self, servers: usize) -> bool {
@@ -127,7 +130,7 @@
 #[test]
 fn a_request_under_which_servers_end_is_kept_from_the_others_by_all_hosts() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 3, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 3, Repeatability::Safe).await;
         let mut copies = 0;
         while farm.ended.get() < 3 && copies < 10 {
             ask(hosts[copies % 3].callers, &format!("a-{copies}"), "/harm").await;
@@ -160,7 +163,7 @@
 #[test]
 fn a_harmful_request_is_known_whatever_address_it_comes_from() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         let addresses: Vec<_> = (0..24).map(|_| ip()).collect();
         for (copy, from) in addresses.iter().enumerate() {
             ask_from(Some(*from), hosts[copy % 2].callers, &format!("a-{copy}"), "/harm").await;
@@ -174,7 +177,7 @@
 #[test]
 fn what_harms_from_one_caller_only_is_not_cleared_by_the_answers_of_others() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         let (bad, good) = (Some(ip()), Some(ip()));
         let mut served = 0;
         for copy in 0..12 {
@@ -196,7 +199,7 @@
     for copy in 0..12 {
         let host = &hosts[copy % hosts.len()];
         ask(host.callers, &format!("u-{copy}"), "/harm").await;
-        if host.edge.steer.borrow().harms().refused() > 0 {
+        if host.edge.steer.borrow().poison().refused_count() > 0 {
             return;
         }
         compio::time::sleep(PAUSE).await;
@@ -219,14 +222,14 @@
 #[test]
 fn hosts_that_start_after_all_have_gone_refuse_it_from_the_store() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         let listed = || !farm.store.harmful.borrow().is_empty();
         assert!(until(CONTACT, listed).await, "it is listed");
         let before = farm.ended.get();
         let new = farm.host(&[]);
         farm.ready(&new).await;
-        let knows = || new.edge.steer.borrow().harms().refused() > 0;
+        let knows = || new.edge.steer.borrow().poison().refused_count() > 0;
         assert!(until(CONTACT, knows).await);
         assert_eq!(harmed(&new).await, refused());
         assert_eq!(farm.ended.get(), before);
@@ -236,12 +239,12 @@
 #[test]
 fn a_host_that_starts_while_the_store_is_away_refuses_it_as_the_others_do() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         farm.store.down.set(true);
         let new = farm.host(&hosts);
         farm.ready(&new).await;
-        let knows = || new.edge.steer.borrow().harms().refused() > 0;
+        let knows = || new.edge.steer.borrow().poison().refused_count() > 0;
         assert!(until(CONTACT, knows).await);
         assert_eq!(harmed(&new).await, refused());
     });
@@ -250,7 +253,7 @@
 #[test]
 fn an_operator_lets_a_request_in_again() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         let listed = || farm.store.harmful.borrow().len() >= 2;
         assert!(until(CONTACT, listed).await, "both digests are listed");
@@ -258,7 +261,8 @@
         // Any host will do; this one may neither have written nor read the list.
         let other = &hosts[1].edge;
         other.reload(&other.settings);
-        let let_in = || hosts.iter().all(|host| host.edge.steer.borrow().harms().refused() == 0);
+        let let_in =
+            || hosts.iter().all(|host| host.edge.steer.borrow().poison().refused_count() == 0);
         assert!(until(CONTACT, let_in).await, "by all hosts");
         compio::time::sleep(LISTED_LATER).await;
         assert!(let_in() && farm.store.harmful.borrow().values().all(Vec::is_empty));
@@ -270,7 +274,7 @@
 #[test]
 fn what_is_refused_is_listed_again_after_the_store_came_back_from_a_copy() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         let listed = || farm.store.harmful.borrow().len() >= 2;
         assert!(until(CONTACT, listed).await, "both digests are listed");
@@ -285,7 +289,7 @@
 #[test]
 fn what_an_operator_let_in_again_stays_so_after_the_store_came_back_from_a_copy() {
     run(async || {
-        let (farm, hosts) = Farm::with(24, 2, Repeat::Safe).await;
+        let (farm, hosts) = Farm::with(24, 2, Repeatability::Safe).await;
         until_refused(&farm, &hosts).await;
         let listed = || farm.store.harmful.borrow().len() >= 2;
         assert!(until(CONTACT, listed).await, "both digests are listed");
@@ -293,7 +297,8 @@
         farm.store.harmful.borrow_mut().values_mut().for_each(Vec::clear);
         let other = &hosts[1].edge;
         other.reload(&other.settings);
-        let let_in = || hosts.iter().all(|host| host.edge.steer.borrow().harms().refused() == 0);
+        let let_in =
+            || hosts.iter().all(|host| host.edge.steer.borrow().poison().refused_count() == 0);
         assert!(until(CONTACT, let_in).await, "by all hosts");
         farm.store.come_back(Vec::new(), copy);
         let lifted = || farm.store.harmful.borrow().values().all(Vec::is_empty);
@@ -301,7 +306,7 @@
         let new = farm.host(&[]);
         farm.ready(&new).await;
         compio::time::sleep(CONTACT).await;
-        assert!(let_in() && new.edge.steer.borrow().harms().refused() == 0);
+        assert!(let_in() && new.edge.steer.borrow().poison().refused_count() == 0);
     });
 }
 
@@ -310,11 +315,11 @@
 fn answers_that_are_lost_refuse_nothing() {
     run(async || {
         let (cut, _) = backend(ip(), |_| CLOSE.to_vec()).await;
-        let (_store, host) = serving(Repeat::Safe, &[cut]).await;
+        let (_store, host) = serving(Repeatability::Safe, &[cut]).await;
         for copy in 0..20 {
             let answer = ask(host.callers, &format!("c-{copy}"), "/lost").await;
             assert_eq!(answer.expect("an answer").status, 502);
         }
-        assert!(host.edge.steer.borrow().harms().is_empty());
+        assert!(host.edge.steer.borrow().poison().is_empty());
     });
 }
--- a/elmstream_edge/tests/start.rs
+++ b/elmstream_edge/tests/start.rs
@@ -11,19 +11,19 @@
 
 use elmstream::time::{MILLI, Time};
 use elmstream_edge::{
-    fetches::{End, Fetches},
+    fetch_schedule::{FetchOutcome, FetchSchedule},
     peers,
 };
 use elmstream_steer::{
-    Bounds, Host, Settings, Steer,
-    beat::{Beat, Known},
-    calls::Why,
-    hash, members,
+    Bounds, Host, Settings, Steer, hash,
+    heartbeat::{Heartbeat, TableStatus},
+    host_registry::RegisteredHost,
+    members,
     model::{Configuration, Server},
-    registry::Listed,
-    telling::TableRows,
+    store_schedule::ReadReason,
+    table_sync::TableRows,
     version::StoreVersion,
-    view::{Item, Key, NEEDED, Row, Table},
+    view::{REQUIRED_TABLES, Row, RowContent, RowKey, Table},
 };
 
 /// Time between two steps, in milliseconds.
@@ -71,11 +71,11 @@
         bounds: Bounds { configuration_ms: 3_000, ..Bounds::default() },
     };
     let mut steer = Steer::new(settings, now);
-    steer.want_hosts();
+    steer.request_host_list();
     if number < SEEDS {
-        steer.asked_first();
+        steer.mark_as_seed();
     }
-    (0..SEEDS).for_each(|seed| steer.suppose(now, address(seed)));
+    (0..SEEDS).for_each(|seed| steer.add_peer_address(now, address(seed)));
     steer
 }
 
@@ -84,7 +84,7 @@
     match table {
         Table::Rules => {
             let configuration = Configuration { version: 1, ..Configuration::default() };
-            vec![row(Key::Configuration, Item::Configuration(configuration))]
+            vec![row(RowKey::Configuration, RowContent::Configuration(configuration))]
         }
         Table::Servers => {
             let server = Server {
@@ -98,7 +98,7 @@
                 entries: 0,
                 version: String::new(),
             };
-            vec![row(Key::Server("s".into()), Item::Server(server))]
+            vec![row(RowKey::Server("s".into()), RowContent::Server(server))]
         }
         Table::Rollouts => Vec::new(),
     }
@@ -106,11 +106,11 @@
 
 /// What comes to a host, or what of its own comes to an end.
 enum Event {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     /// A fetch from another host is over.
-    Fetched(SocketAddr, Table, End, Option<Box<Told>>),
+    Fetched(SocketAddr, Table, FetchOutcome, Option<Box<Told>>),
     /// The store answered.
-    Read(Table, Why),
+    Read(Table, ReadReason),
     Listed,
 }
 
@@ -121,7 +121,7 @@
 
 struct Node {
     steer: Steer,
-    fetches: Fetches,
+    fetches: FetchSchedule,
     up: u64,
     beats: u64,
     rounds: u64,
@@ -135,7 +135,7 @@
     nodes: Vec<Node>,
     places: BTreeMap<SocketAddr, usize>,
     events: BTreeMap<u64, Vec<(usize, u64, Event)>>,
-    listed: Vec<Listed>,
+    listed: Vec<RegisteredHost>,
     calls: u64,
     /// Hosts that are not there.
     dead: BTreeSet<usize>,
@@ -145,7 +145,7 @@
 
 impl Fleet {
     fn new(hosts: usize) -> Fleet {
-        let listed = |n| Listed { name: format!("host-{n}"), peers: address(n) };
+        let listed = |n| RegisteredHost { name: format!("host-{n}"), peers: address(n) };
         let mut fleet = Fleet {
             nodes: Vec::new(),
             places: (0..hosts).map(|n| (address(n), n)).collect(),
@@ -175,7 +175,7 @@
             }
             self.beat(at, n);
             self.call(at, n);
-            for table in NEEDED {
+            for table in REQUIRED_TABLES {
                 self.fetch(at, n, table);
             }
             if at.is_multiple_of(100) {
@@ -192,12 +192,12 @@
 
     fn beat(&mut self, at: u64, n: usize) {
         let node = &mut self.nodes[n];
-        let pause = members::pause(node.steer.members().count()) / MILLI;
+        let pause = members::heartbeat_interval(node.steer.members().target_count()) / MILLI;
         if node.rounds > 0 && at < node.beats + pause {
             return;
         }
         (node.beats, node.rounds) = (at, node.rounds + 1);
-        let beat = Box::new(node.steer.beat(ms(at)));
+        let beat = Box::new(node.steer.next_heartbeat(ms(at)));
         let targets = node.steer.targets(ms(at), node.rounds);
         for to in targets.near.iter().chain(&targets.far) {
             let to = self.places[to];
@@ -209,19 +209,20 @@
 
     /// Calls to the store; all are answered.
     fn call(&mut self, at: u64, n: usize) {
-        for table in NEEDED {
+        for table in REQUIRED_TABLES {
             let node = &mut self.nodes[n];
             if node.reading[table as usize] {
                 continue;
             }
-            if let Some(why) = node.steer.must_read(ms(at), table) {
+            if let Some(why) = node.steer.due_read(ms(at), table) {
                 node.reading[table as usize] = true;
-                let pages = if why == Why::Start && table == Table::Servers { PAGES } else { 1 };
+                let pages =
+                    if why == ReadReason::Start && table == Table::Servers { PAGES } else { 1 };
                 self.calls += pages;
                 self.later(at + pages * CALL, n, Event::Read(table, why));
             }
         }
-        if !self.nodes[n].listing && self.nodes[n].steer.must_list(ms(at)) {
+        if !self.nodes[n].listing && self.nodes[n].steer.host_list_due(ms(at)) {
             self.nodes[n].listing = true;
             self.calls += self.listed.len().div_ceil(PAGE) as u64;
             self.later(at + CALL, n, Event::Listed);
@@ -230,27 +231,27 @@
 
     fn fetch(&mut self, at: u64, n: usize, table: Table) {
         let node = &mut self.nodes[n];
-        let asks = node.steer.asks(table);
-        let wants = |known: &Known| node.steer.wants(table, known);
+        let asks = node.steer.sync_request(table);
+        let wants = |known: &TableStatus| node.steer.needs_sync(table, known);
         let Some(host) = node.fetches.next(ms(at), table, wants) else { return };
         let from = self.places[&host];
         let there = !self.dead.contains(&from) && at >= self.nodes[from].up;
         if !there || self.apart.contains(&n) || self.apart.contains(&from) {
-            self.later(at + ASK, n, Event::Fetched(host, table, End::Failed, None));
+            self.later(at + ASK, n, Event::Fetched(host, table, FetchOutcome::Failed, None));
             return;
         }
         let teller = &mut self.nodes[from];
         teller.serving.retain(|until| *until > at);
-        let knows = teller.steer.known()[table as usize].reading.is_some();
-        if knows && teller.serving.len() >= peers::SERVED {
-            self.later(at + ASK, n, Event::Fetched(host, table, End::Refused, None));
+        let knows = teller.steer.table_statuses()[table as usize].last_read.is_some();
+        if knows && teller.serving.len() >= peers::MAX_CONCURRENT_ROWS {
+            self.later(at + ASK, n, Event::Fetched(host, table, FetchOutcome::Refused, None));
             return;
         }
         let starts = asks.after == StoreVersion::default();
-        let whole = starts && teller.steer.knows_hosts();
+        let whole = starts && teller.steer.has_host_list();
         let told = Told {
-            table: teller.steer.tell_rows(ms(at), table, asks),
-            hosts: whole.then(|| teller.steer.members().addresses(ms(at))),
+            table: teller.steer.rows_for(ms(at), table, asks),
+            hosts: whole.then(|| teller.steer.members().contact_addresses(ms(at))),
         };
         let large = table == Table::Servers && !told.table.rows.is_empty();
         let took = if large { SERVERS_MS } else { 0 };
@@ -260,7 +261,7 @@
         self.later(
             at + ASK + took,
             n,
-            Event::Fetched(host, table, End::Told, Some(Box::new(told))),
+            Event::Fetched(host, table, FetchOutcome::Received, Some(Box::new(told))),
         );
     }
 
@@ -269,53 +270,53 @@
         let now = ms(at);
         match event {
             Event::Beat(beat) => {
-                let Some(news) = node.steer.hear(now, &beat) else { return };
-                for (table, _) in news.wanted {
-                    let known = beat.known[table as usize];
+                let Some(news) = node.steer.on_heartbeat(now, &beat) else { return };
+                for (table, _) in news.outdated_tables {
+                    let known = beat.tables[table as usize];
                     node.fetches.offer(now, table, beat.host.peers, &known);
                 }
             }
             Event::Fetched(host, table, end, told) => {
                 node.fetches.ended(now, table, host, end);
-                if end == End::Failed
-                    || told.as_ref().is_some_and(|t| t.table.known.reading.is_none())
+                if end == FetchOutcome::Failed
+                    || told.as_ref().is_some_and(|t| t.table.status.last_read.is_none())
                 {
-                    node.steer.untold();
+                    node.steer.record_uninformed_peer();
                 }
                 let Some(told) = told else { return };
                 if let Some(hosts) = told.hosts {
-                    node.steer.told_hosts(now, &hosts);
+                    node.steer.on_host_list(now, &hosts);
                 }
-                if told.table.known.reading.is_some() {
-                    node.steer.told(now, table, told.table);
+                if told.table.status.last_read.is_some() {
+                    node.steer.on_table_rows(now, table, told.table);
                 }
             }
             Event::Read(table, why) => {
                 node.reading[table as usize] = false;
                 let version = StoreVersion::new(0, 10);
-                node.steer.read_all(now, table, version, rows(table));
-                node.steer.store_answered(table, why, now, version);
+                node.steer.on_full_read(now, table, version, rows(table));
+                node.steer.record_store_answer(table, why, now, version);
             }
             Event::Listed => {
                 node.listing = false;
-                node.steer.listed(now, &self.listed);
+                node.steer.on_registered_hosts(now, &self.listed);
             }
         }
     }
 
     fn knows(&self, n: usize) -> bool {
         let steer = &self.nodes[n].steer;
-        steer.serves() && steer.knows_hosts()
+        steer.serves() && steer.has_host_list()
     }
 }
 
 impl Node {
     fn new(number: usize, at: u64) -> Node {
-        let up = at + hash::pair(number as u64, at) % STARTS / STEP * STEP;
-        let mut fetches = Fetches::new(hash::of(format!("{number}-{at}")));
-        for table in NEEDED {
+        let up = at + hash::combine(number as u64, at) % STARTS / STEP * STEP;
+        let mut fetches = FetchSchedule::new(hash::of(format!("{number}-{at}")));
+        for table in REQUIRED_TABLES {
             for seed in (0..SEEDS).filter(|seed| *seed != number) {
-                fetches.offer(ms(up), table, address(seed), &Known::default());
+                fetches.offer(ms(up), table, address(seed), &TableStatus::default());
             }
         }
         let steer = host(number, at + 1, ms(up));
--- a/elmstream_http/src/stop.rs
+++ b/elmstream_http/src/stop.rs
@@ -36,16 +36,16 @@
 
 /// Tells a server that its stop will come; cheap to clone.
 #[derive(Clone, Debug, Default)]
-pub struct Notice(Rc<Cell<bool>>);
+pub struct StopNotice(Rc<Cell<bool>>);
 
-impl Notice {
+impl StopNotice {
     /// Gives the notice; once is enough.
-    pub fn give(&self) {
+    pub fn announce(&self) {
         self.0.set(true);
     }
 
     /// Whether it was given.
-    pub fn given(&self) -> bool {
+    pub fn is_announced(&self) -> bool {
         self.0.get()
     }
 }
--- a/elmstream_steer/src/beat.rs
+++ b/elmstream_steer/src/heartbeat.rs
@@ -3,36 +3,36 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    evidence::RolloutReport,
-    harm::Ending,
-    leaving::LeavingTold,
-    server_limit::LimitTold,
+    leaving::LeavingNotice,
+    poison::ServerCrash,
+    rollout_counts::RolloutReport,
+    server_limit::LimitNotice,
     settings::Host,
-    tally::{Report, Spread, Verdict},
+    tally::{FractionBroadcast, UsageReply, UsageReport},
     version::StoreVersion,
-    warmth::Lesson,
+    warm_keys::WarmKey,
 };
 
 /// One host's requests at one backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Load {
+pub struct ServerLoad {
     /// Hash of the server's id, cut to 32 bits.
     pub server: u32,
     /// Requests in flight.
     pub in_flight: u16,
     /// What the host hears of it.
-    pub hears: Hears,
+    pub reachability: Reachability,
 }
 
 /// What a host hears of a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Hears {
+pub enum Reachability {
     /// Nothing that others must know.
-    Nothing,
+    Unreported,
     /// It waits for answers in vain.
-    Silence,
+    Silent,
     /// Answers, while others wait in vain.
-    Answers,
+    Answering,
 }
 
 /// How far a table of the store is known to the sender.
@@ -41,23 +41,23 @@
 /// an age: an age would lose the time on the way with each host that passes it on,
 /// and what goes in circles would never grow old.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Known {
+pub struct TableStatus {
     /// The store's version; 0 for nothing.
     pub version: StoreVersion,
     /// The last reading that confirmed it; none if nothing is known.
-    pub reading: Option<Reading>,
+    pub last_read: Option<StoreRead>,
     /// Tells the rows in which an earlier era of the store holds on against this one from
     /// others; 0 if there are none.
-    pub held: u32,
+    pub retained_digest: u32,
     /// Removals since this version of the store are known.
-    pub floor: StoreVersion,
+    pub tombstone_floor: StoreVersion,
     /// Tells the keys of the rows that are there from others.
-    pub keys: u32,
+    pub keys_digest: u32,
 }
 
 /// A reading of the store.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Reading {
+pub struct StoreRead {
     /// Hash of the start of the host that read.
     pub reader: u64,
     /// When, in milliseconds of the reader's clock.
@@ -66,11 +66,11 @@
 
 /// A host that another host knows to be live.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Word {
+pub struct LivenessUpdate {
     /// Hash of its name, cut to 32 bits.
     pub host: u32,
     /// Number of its start, cut to 32 bits.
-    pub start: u32,
+    pub incarnation: u32,
     /// Highest number of a beat that it is known to have sent.
     pub number: u64,
     /// Whether it serves callers.
@@ -81,7 +81,7 @@
 
 /// A host's message to the others.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender.
     pub host: Host,
     /// Number of its start.
@@ -96,37 +96,37 @@
     /// store does not serve it now.
     pub store_ms: Option<u16>,
     /// How far it knows the tables, in the order of [`crate::view::TABLES`].
-    pub known: [Known; 3],
+    pub tables: [TableStatus; 3],
     /// Requests that it took lately, by hash of the service, cut to 32 bits.
     pub demand: Vec<(u32, u32)>,
     /// Its requests in flight; servers without any, and nothing to say of, are left out.
-    pub loads: Vec<Load>,
+    pub loads: Vec<ServerLoad>,
     /// Keys that servers have lately worked on; told in the sender's region only.
-    pub lessons: Vec<Lesson>,
+    pub warm_keys: Vec<WarmKey>,
     /// Other hosts that are live; told in the sender's region only, and in large
     /// fleets only.
-    pub words: Vec<Word>,
+    pub liveness: Vec<LivenessUpdate>,
     /// Hosts that the sender itself knows to be running or not to have stopped.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Ends of servers under requests, told for a while by all who learn of them.
-    pub endings: Vec<Ending>,
+    pub crashes: Vec<ServerCrash>,
     /// Limits that servers named to the sender, or no longer do.
-    pub limits: Vec<LimitTold>,
+    pub limits: Vec<LimitNotice>,
     /// Starts of servers that said in answers that they are about to leave.
-    pub leaving_servers: Vec<LeavingTold>,
+    pub leaving_servers: Vec<LeavingNotice>,
 }
 
 /// A datagram between hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// What a host knows and does.
-    Beat(Box<Beat>),
+    Heartbeat(Box<Heartbeat>),
     /// What workspaces asked of a host.
-    Report(Report),
+    UsageReport(UsageReport),
     /// The answer to a report.
-    Verdict(Verdict),
+    UsageReply(UsageReply),
     /// What all hosts have to know of workspaces.
-    Spread(Spread),
+    FractionBroadcast(FractionBroadcast),
     /// What a host counted of a roll-out.
-    Rollout(Box<RolloutReport>),
+    RolloutReport(Box<RolloutReport>),
 }
--- a/elmstream_steer/src/registry.rs
+++ b/elmstream_steer/src/host_registry.rs
@@ -15,13 +15,13 @@
 
 /// Time from a host's start until it keeps the list, if it ranks first by then: hosts
 /// have met, so that the first host of a new fleet writes down nearly all.
-pub const KEEP_FIRST: u64 = 1_000 * MILLI;
+pub const FIRST_UPDATE_AFTER: u64 = 1_000 * MILLI;
 /// Time between two looks of the keeper at the list. A fleet that loses all hosts within
 /// this time of a host's first start finds that one by the seeds only.
-pub const KEEP_EVERY: u64 = 15 * SECOND;
+pub const UPDATE_INTERVAL: u64 = 15 * SECOND;
 /// A host is taken off the list after it has not been heard of for so long: regions lose
 /// each other for an hour now and then, and should not write each other off and on.
-pub const GONE: u64 = 2 * 3_600 * SECOND;
+pub const REMOVE_AFTER: u64 = 2 * 3_600 * SECOND;
 /// Pause after a call that failed.
 const PAUSE: u64 = 2 * SECOND;
 /// The keeper must hear one of so many listed hosts to take any off the list.
@@ -29,7 +29,7 @@
 
 /// A host as the store lists it.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Listed {
+pub struct RegisteredHost {
     /// Its name.
     pub name: String,
     /// Where it takes messages of hosts.
@@ -38,14 +38,14 @@
 
 /// What is to be changed in the list.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Edit {
+pub struct RegistryEdit {
     /// Hosts that are to be listed.
-    pub put: Vec<Listed>,
+    pub put: Vec<RegisteredHost>,
     /// Names that are to be taken off.
     pub remove: Vec<String>,
 }
 
-impl Edit {
+impl RegistryEdit {
     /// Whether nothing is to be changed.
     pub fn is_empty(&self) -> bool {
         self.put.is_empty() && self.remove.is_empty()
@@ -65,87 +65,90 @@
 
 impl Registry {
     /// The list may have lost what was written.
-    pub(crate) fn look_again(&mut self) {
+    pub(crate) fn invalidate(&mut self) {
         self.kept = None;
     }
 
     /// Whether the host knows where the others are, or was never to find out.
-    pub(crate) fn known(&self) -> bool {
+    pub(crate) fn is_known(&self) -> bool {
         !self.wanted
     }
 }
 
 impl Steer {
     /// This host is to find out where the others are; until then it counts on knowing few.
-    pub fn want_hosts(&mut self) {
+    pub fn request_host_list(&mut self) {
         self.registry.wanted = true;
     }
 
     /// Whether this host knows where the others are.
-    pub fn knows_hosts(&self) -> bool {
-        self.registry.known()
+    pub fn has_host_list(&self) -> bool {
+        self.registry.is_known()
     }
 
     /// Another host told of all that it knows.
-    pub fn told_hosts(&mut self, now: Time, hosts: &[SocketAddr]) {
+    pub fn on_host_list(&mut self, now: Time, hosts: &[SocketAddr]) {
         for host in hosts {
-            self.suppose(now, *host);
+            self.add_peer_address(now, *host);
         }
         self.registry.wanted = false;
     }
 
     /// Whether this host has to look at the list now.
-    pub fn must_list(&self, now: Time) -> bool {
+    pub fn host_list_due(&self, now: Time) -> bool {
         let Registry { wanted, kept, failed } = self.registry;
         if failed.is_some_and(|at| now.since(at) < PAUSE) {
             return false;
         }
-        let due = kept.is_none_or(|at| now.since(at) >= KEEP_EVERY);
-        (wanted && self.start().due(now)) || (due && self.keeps(now))
+        let due = kept.is_none_or(|at| now.since(at) >= UPDATE_INTERVAL);
+        (wanted && self.startup().may_read(now)) || (due && self.maintains_host_list(now))
     }
 
     /// Whether this host reads the store for all, and has had time to meet the others.
-    pub fn keeps(&self, now: Time) -> bool {
-        now.since(self.started) >= KEEP_FIRST
+    pub fn maintains_host_list(&self, now: Time) -> bool {
+        now.since(self.started) >= FIRST_UPDATE_AFTER
             && !self.leaving
-            && self.calls.served()
-            && self.scene(now, Table::Rules).ahead == 0
+            && self.store_schedule.is_served()
+            && self.read_context(now, Table::Rules).ranked_ahead == 0
     }
 
     /// The store told which hosts it lists; what is to be changed, if that is this host's.
-    pub fn listed(&mut self, now: Time, listed: &[Listed]) -> Edit {
+    pub fn on_registered_hosts(&mut self, now: Time, listed: &[RegisteredHost]) -> RegistryEdit {
         let hosts: Vec<SocketAddr> = listed.iter().map(|host| host.peers).collect();
-        self.told_hosts(now, &hosts);
-        if !self.keeps(now) {
-            return Edit::default();
+        self.on_host_list(now, &hosts);
+        if !self.maintains_host_list(now) {
+            return RegistryEdit::default();
         }
         self.registry.kept = Some(now);
         self.edit(now, listed)
     }
 
     /// A look at the list, or a change of it, failed.
-    pub fn list_failed(&mut self, now: Time) {
+    pub fn record_list_failure(&mut self, now: Time) {
         self.registry.failed = Some(now);
     }
 
-    fn edit(&self, now: Time, listed: &[Listed]) -> Edit {
-        let entry = |host: &Host| Listed { name: host.name.clone(), peers: host.peers };
+    fn edit(&self, now: Time, listed: &[RegisteredHost]) -> RegistryEdit {
+        let entry = |host: &Host| RegisteredHost { name: host.name.clone(), peers: host.peers };
         let live = self.members.live(now).filter(|member| !member.leaving);
-        let mut running: Vec<Listed> = live.map(|member| entry(&member.host)).collect();
+        let mut running: Vec<RegisteredHost> = live.map(|member| entry(&member.host)).collect();
         running.push(entry(&self.settings.host));
-        let listed_set: HashSet<&Listed> = listed.iter().collect();
+        let listed_set: HashSet<&RegisteredHost> = listed.iter().collect();
         let put = running.iter().filter(|host| !listed_set.contains(host)).cloned().collect();
         if running.len() * HEARD_PART < listed.len() {
-            return Edit { put, remove: Vec::new() };
+            return RegistryEdit { put, remove: Vec::new() };
         }
         let runs: HashSet<&str> = running.iter().map(|host| host.name.as_str()).collect();
-        let heard: BTreeMap<&str, Time> =
-            self.members.all().map(|member| (member.host.name.as_str(), member.heard)).collect();
-        let gone = |host: &&Listed| {
+        let heard: BTreeMap<&str, Time> = self
+            .members
+            .all()
+            .map(|member| (member.host.name.as_str(), member.last_seen))
+            .collect();
+        let gone = |host: &&RegisteredHost| {
             let since = heard.get(host.name.as_str()).copied().unwrap_or(self.started);
-            !runs.contains(host.name.as_str()) && now.since(since.max(self.started)) >= GONE
+            !runs.contains(host.name.as_str()) && now.since(since.max(self.started)) >= REMOVE_AFTER
         };
         let remove = listed.iter().filter(gone).map(|host| host.name.clone()).collect();
-        Edit { put, remove }
+        RegistryEdit { put, remove }
     }
 }
--- a/elmstream_steer/src/returning.rs
+++ b/elmstream_steer/src/restore.rs
@@ -3,9 +3,9 @@
 use elmstream::time::{MILLI, Time};
 
 use crate::{
-    steer::{Change, Returned, Steer},
+    steer::{StateChange, Steer, StoreRestored},
     version::StoreVersion,
-    view::{Key, Table},
+    view::{RowKey, Table},
 };
 
 /// Servers that the store drops within this time after it was away may come back.
@@ -18,40 +18,42 @@
     }
 
     /// Whether a host holds on to something from an earlier era that this one was not told.
-    pub fn lacks_held(&self, table: Table, held: u32) -> bool {
-        held != 0 && held != self.view.held_digest(table) && !self.held_taken.contains(&held)
+    pub fn lacks_retained(&self, table: Table, held: u32) -> bool {
+        held != 0
+            && held != self.view.retained_digest(table)
+            && !self.merged_retained.contains(&held)
     }
 
     /// What becomes of a table that was known from an earlier era of the store.
-    pub(crate) fn returned(
+    pub(crate) fn store_restored(
         &mut self,
         now: Time,
         table: Table,
         before: StoreVersion,
-        changes: &[Change],
-    ) -> Change {
+        changes: &[StateChange],
+    ) -> StateChange {
         // Servers that the store has lost write themselves down again.
         self.lenient_until = now + AFTER_OUTAGE;
         // What this fleet wrote since the copy is gone.
-        self.registry.look_again();
+        self.registry.invalidate();
         self.urgent = true;
-        Change::StoreReturned(Returned {
+        StateChange::StoreRestored(StoreRestored {
             table,
             before,
-            version: self.view.mark(table).version,
+            version: self.view.watermark(table).version,
             changed: changes.len(),
-            held: self.view.held(table).into_iter().map(|row| row.key).collect(),
+            retained: self.view.retained(table).into_iter().map(|row| row.key).collect(),
         })
     }
 
     /// Ends what has held on for long enough against what the store says.
-    pub(crate) fn end_holds(&mut self, now: Time) -> Vec<Change> {
+    pub(crate) fn end_retention(&mut self, now: Time) -> Vec<StateChange> {
         let mut changes = Vec::new();
-        for key in self.view.end_holds(now) {
-            changes.push(Change::HoldEnded(key.clone()));
+        for key in self.view.end_retention(now) {
+            changes.push(StateChange::RetentionEnded(key.clone()));
             match (&key, self.view.get(&key)) {
-                (Key::Server(id), None) => self.drop_server(id, &mut changes),
-                _ => self.apply(now, &key, &mut changes),
+                (RowKey::Server(id), None) => self.drop_server(id, &mut changes),
+                _ => self.apply_row(now, &key, &mut changes),
             }
         }
         changes
--- a/elmstream_steer/src/returns.rs
+++ b/elmstream_steer/src/returning_callers.rs
@@ -14,13 +14,13 @@
 
 /// The time that first tries of each route bring.
 #[derive(Clone, Debug, Default)]
-pub struct Returns {
+pub struct ReturningCallers {
     usual: HashMap<String, (u64, Time)>,
 }
 
-impl Returns {
+impl ReturningCallers {
     /// Whether a request of a route with so many milliseconds left comes back.
-    pub fn returns(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
+    pub fn is_returning(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
         let Some((usual, seen)) = self.usual.get_mut(route) else {
             self.usual.insert(route.to_owned(), (left_ms, now));
             return false;
--- a/elmstream_steer/src/steps.rs
+++ b/elmstream_steer/src/rollout_steps.rs
@@ -5,7 +5,7 @@
 //! short: a quarter of the keys first, under which a version that is bad under load shows,
 //! then all, until nothing is in flight at the other servers.
 
-use crate::rollout::Stage;
+use crate::rollout::RolloutStage;
 
 /// Part of the keys that go to the version first, in hundredths.
 const FIRST_SHIFT: u8 = 25;
@@ -28,7 +28,7 @@
 
 /// A way of stepping.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Stepping {
+pub enum StepPolicy {
     /// On trial for as long as the shift leaves time.
     #[default]
     Late,
@@ -38,9 +38,9 @@
 
 /// What the next stage rests on.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight {
+pub struct StepContext {
     /// The present stage; none if the order has not begun.
-    pub stage: Option<Stage>,
+    pub stage: Option<RolloutStage>,
     /// Time since the order, in milliseconds.
     pub since_order_ms: u64,
     /// Time since the stage began, in milliseconds.
@@ -48,25 +48,25 @@
     /// Time from the order until it has to be decided, in milliseconds.
     pub duration_ms: u64,
     /// The longest time that a request of the service may take, in milliseconds.
-    pub longest_ms: u64,
+    pub longest_request_ms: u64,
     /// Time in which news reach all hosts, in milliseconds.
-    pub news_ms: u64,
+    pub propagation_ms: u64,
     /// Whether the version is found to be bad.
-    pub bad: bool,
+    pub is_bad: bool,
     /// Whether enough of its answers were good.
     pub trusted: bool,
     /// The same of each route that callers ask for.
     pub routes_trusted: bool,
     /// Whether all hosts have left the servers of other versions.
-    pub left: bool,
+    pub old_drained: bool,
     /// Slots of usable servers of the ordered version, and of the others.
     pub slots: (u32, u32),
 }
 
-impl Sight {
+impl StepContext {
     /// Time since the order at which traffic begins to shift.
     fn shift_at(&self) -> u64 {
-        let shift = FIRST_SHIFT_MS + REST_MS + self.longest_ms;
+        let shift = FIRST_SHIFT_MS + REST_MS + self.longest_request_ms;
         let most = (self.duration_ms as f64 * SHIFT_PART) as u64;
         self.duration_ms - shift.min(most)
     }
@@ -79,46 +79,46 @@
     /// Whether nobody sends to the servers of other versions any more. Hosts that cannot be
     /// heard have learned it by the time that news take, if they can know anything.
     fn moved(&self) -> bool {
-        self.left || self.since_stage_ms >= self.news_ms + self.longest_ms
+        self.old_drained || self.since_stage_ms >= self.propagation_ms + self.longest_request_ms
     }
 }
 
 /// The stage that follows now; none if the present one goes on.
-pub fn next(stepping: Stepping, sight: &Sight) -> Option<Stage> {
-    let Some(stage) = sight.stage else { return Some(Stage::Trial) };
-    if stage.ends() {
+pub fn next_stage(stepping: StepPolicy, sight: &StepContext) -> Option<RolloutStage> {
+    let Some(stage) = sight.stage else { return Some(RolloutStage::Canary) };
+    if stage.is_final() {
         return None;
     }
-    if sight.bad {
-        return Some(Stage::RolledBack);
+    if sight.is_bad {
+        return Some(RolloutStage::RolledBack);
     }
     let late = sight.since_order_ms + ROOM_MS >= sight.duration_ms;
     let first_shift = sight.since_stage_ms >= FIRST_SHIFT_MS;
     match (stage, stepping) {
-        (Stage::Shift(100), _) => sight.moved().then_some(Stage::Completed),
-        (Stage::Trial, Stepping::Late) if sight.since_order_ms >= sight.shift_at() => {
+        (RolloutStage::Shift(100), _) => sight.moved().then_some(RolloutStage::Completed),
+        (RolloutStage::Canary, StepPolicy::Late) if sight.since_order_ms >= sight.shift_at() => {
             let time = sight.since_order_ms + SHIFT_LEAST_MS <= sight.duration_ms;
-            let shift = (time && sight.may_shift()).then_some(Stage::Shift(FIRST_SHIFT));
-            shift.or(late.then_some(Stage::RolledBack))
+            let shift = (time && sight.may_shift()).then_some(RolloutStage::Shift(FIRST_SHIFT));
+            shift.or(late.then_some(RolloutStage::RolledBack))
         }
-        (Stage::Trial, Stepping::Late) => None,
-        (_, Stepping::Late) => {
+        (RolloutStage::Canary, StepPolicy::Late) => None,
+        (_, StepPolicy::Late) => {
             // A route with few requests may not have been tried before; now it is.
             let goes_on = first_shift && sight.routes_trusted;
-            let shift = goes_on.then_some(Stage::Shift(100));
-            shift.or(late.then_some(Stage::RolledBack))
+            let shift = goes_on.then_some(RolloutStage::Shift(100));
+            shift.or(late.then_some(RolloutStage::RolledBack))
         }
-        (stage, Stepping::Fixed) => fixed(sight, stage),
+        (stage, StepPolicy::Fixed) => fixed(sight, stage),
     }
 }
 
-fn fixed(sight: &Sight, stage: Stage) -> Option<Stage> {
+fn fixed(sight: &StepContext, stage: RolloutStage) -> Option<RolloutStage> {
     let step = sight.shift_at() / (FIXED.len() as u64 + 1);
     let steps = (sight.since_order_ms / step.max(1)) as usize;
     let percent = match steps {
         0 => return None,
         steps => FIXED.get(steps - 1).copied().unwrap_or(100),
     };
-    let next = Stage::Shift(percent);
+    let next = RolloutStage::Shift(percent);
     (next != stage && sight.slots.0 > 0).then_some(next)
 }
--- a/elmstream_steer/src/start.rs
+++ b/elmstream_steer/src/startup.rs
@@ -19,39 +19,39 @@
 const SEEN_BY: u64 = 200 * MILLI;
 /// Time for which the other hosts wait to be told: a reading of the store by the first
 /// ones (300 ms on a thin link) and two hands of 150 ms.
-pub const TOLD_BY: u64 = 600 * MILLI;
+pub const PEER_WAIT_MAX: u64 = 600 * MILLI;
 /// Those whom nobody has told by then ask the store this far apart, within a time that
 /// does not grow with the fleet.
 const APART: u64 = 5 * MILLI;
 /// Longest time by which they are apart.
-pub const SPREAD: u64 = 300 * MILLI;
+pub const READ_SPREAD: u64 = 300 * MILLI;
 
 /// What a host that has just started goes by.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct StartupContext {
     /// When it started.
-    pub began: Time,
+    pub started_at: Time,
     /// Whether others ask it first, or it knows of no others.
-    pub asked_first: bool,
+    pub is_seed: bool,
     /// Whether a host that it asked knows nothing either, or does not answer.
-    pub untold: bool,
+    pub has_uninformed_peer: bool,
     /// Hosts that may be running, this one included.
-    pub hosts: u64,
+    pub possible_hosts: u64,
     /// A draw from 0 up to 1, another one for each start.
     pub draw: f64,
 }
 
-impl Start {
+impl StartupContext {
     /// Whether the host asks the store itself by now.
-    pub fn due(&self, now: Time) -> bool {
-        let waited = now.since(self.began);
-        if self.asked_first {
+    pub fn may_read(&self, now: Time) -> bool {
+        let waited = now.since(self.started_at);
+        if self.is_seed {
             return true;
         }
         if self.draw < FIRST_PART {
-            return self.untold || waited >= SEEN_BY;
+            return self.has_uninformed_peer || waited >= SEEN_BY;
         }
-        let apart = (self.hosts * APART).min(SPREAD) as f64 * self.draw;
-        waited >= TOLD_BY + apart as u64
+        let apart = (self.possible_hosts * APART).min(READ_SPREAD) as f64 * self.draw;
+        waited >= PEER_WAIT_MAX + apart as u64
     }
 }
--- a/elmstream_steer/tests/choose.rs
+++ b/elmstream_steer/tests/choose.rs
@@ -5,24 +5,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use elmstream_steer::{
-    Choice, Steer,
-    choose::Reason,
-    model::Repeat,
-    servers::{Index, Outcome},
-    view::{Item, Key, Row, Table},
+    Pick, Steer,
+    model::Repeatability,
+    pick::RefusalReason,
+    servers::{Outcome, ServerIndex},
+    view::{Row, RowContent, RowKey, Table},
 };
 use support::{at, beats, id, ms, ready, route, send, server, servers};
 
-fn sent(steer: &mut Steer, at: u64, key: u64) -> Option<Index> {
-    match send(steer, ms(at), &route(Repeat::Safe, &[]), key) {
-        Choice::Send(index) => Some(index),
-        Choice::Refuse(_) => None,
+fn sent(steer: &mut Steer, at: u64, key: u64) -> Option<ServerIndex> {
+    match send(steer, ms(at), &route(Repeatability::Safe, &[]), key) {
+        Pick::Send(index) => Some(index),
+        Pick::Refuse(_) => None,
     }
 }
 
-fn answered(steer: &mut Steer, at: u64, index: Index, key: u64) {
-    let knew = steer.learn(ms(at), index, key);
-    steer.done(ms(at), index, Outcome::Answered { micros: 50_000, knew });
+fn answered(steer: &mut Steer, at: u64, index: ServerIndex, key: u64) {
+    let knew = steer.record_warm_key(ms(at), index, key);
+    steer.record_outcome(ms(at), index, Outcome::Answered { micros: 50_000, was_warm: knew });
 }
 
 #[test]
@@ -51,7 +51,7 @@
     for key in 0..400 {
         let index = sent(&mut host, 10, key).expect("all are idle");
         kept += u32::from(id(&host, index) == "small");
-        host.done(ms(11), index, Outcome::Left);
+        host.record_outcome(ms(11), index, Outcome::CallerGone);
     }
     // One of ten servers, and the demand of the regions is taken to be alike.
     assert!((60..160).contains(&kept), "{kept} of 400 keys");
@@ -60,13 +60,13 @@
 #[test]
 fn homes_bind_even_when_the_home_is_full() {
     let mut host = ready(0, ms(0), servers(1));
-    let route = route(Repeat::Safe, &["b"]);
+    let route = route(Repeatability::Safe, &["b"]);
     let mut refused = 0;
     for key in 0..200 {
         match send(&mut host, ms(10), &route, key) {
-            Choice::Send(index) => assert!(id(&host, index).starts_with("s-b")),
-            Choice::Refuse(refusal) => {
-                assert_eq!(refusal.reason, Reason::Full);
+            Pick::Send(index) => assert!(id(&host, index).starts_with("s-b")),
+            Pick::Refuse(refusal) => {
+                assert_eq!(refusal.reason, RefusalReason::Full);
                 refused += 1;
             }
         }
@@ -79,9 +79,9 @@
     let mut host = ready(0, ms(0), vec![server("one", "a1", 10)]);
     let mut taken = 0;
     let refusal = loop {
-        match send(&mut host, ms(10), &route(Repeat::Once, &[]), taken) {
-            Choice::Send(_) => taken += 1,
-            Choice::Refuse(refusal) => break refusal,
+        match send(&mut host, ms(10), &route(Repeatability::Once, &[]), taken) {
+            Pick::Send(_) => taken += 1,
+            Pick::Refuse(refusal) => break refusal,
         }
     };
     assert!((6..20).contains(&taken), "{taken} requests at 6 slots");
@@ -138,9 +138,9 @@
     let key = 7;
     let first = sent(&mut fleet[0], 10, key).expect("all are idle");
     answered(&mut fleet[0], 11, first, key);
-    let other = |index: &Index| *index != first;
+    let other = |index: &ServerIndex| *index != first;
     let region = fleet[0].settings().host.region.clone();
-    let of_region = |host: &Steer| -> Vec<Index> {
+    let of_region = |host: &Steer| -> Vec<ServerIndex> {
         let entries = host.servers().all().filter(|(_, entry)| entry.region == region);
         entries.map(|(index, _)| index).collect()
     };
@@ -149,7 +149,7 @@
     let name = id(&fleet[0], second);
     let knows = |fleet: &[Steer], host: usize, at: u64| {
         let index = fleet[host].servers().find(&name).expect("it is known");
-        fleet[host].knows(ms(at), index, key)
+        fleet[host].is_warm(ms(at), index, key)
     };
     beats(ms(20), &mut fleet, |from, to| from == 0 && to == 1);
     assert!(knows(&fleet, 1, 30));
@@ -166,12 +166,12 @@
 #[test]
 fn an_evacuated_domain_gets_nothing_and_is_cold_when_it_is_taken_back() {
     let mut host = ready(0, ms(0), vec![server("one", "a1", 10)]);
-    let key = Key::Evacuation("a1".into());
-    let row = Row::new(key.clone(), at(20), Some(Item::Evacuation));
-    host.read(ms(2_000), Table::Rules, vec![row]);
+    let key = RowKey::Evacuation("a1".into());
+    let row = Row::new(key.clone(), at(20), Some(RowContent::Evacuation));
+    host.on_changes(ms(2_000), Table::Rules, vec![row]);
     assert!(sent(&mut host, 2_010, 1).is_none());
     let back = Row::new(key, at(21), None);
-    host.read(ms(4_000), Table::Rules, vec![back]);
+    host.on_changes(ms(4_000), Table::Rules, vec![back]);
     let taken = (4_010..5_000).step_by(10).filter(|at| sent(&mut host, *at, 1).is_some()).count();
     assert_eq!(taken, 1, "a cold server gets one request of a host in a second");
 }
@@ -190,12 +190,16 @@
         index == dark
     });
     let key = key.expect("some key is of the dark server");
-    let once = route(Repeat::Once, &[]);
+    let once = route(Repeatability::Once, &[]);
     let mut to_dark = 0;
     for at in (1_800..4_800).step_by(10) {
-        if let Choice::Send(index) = send(&mut host, ms(at), &once, key) {
+        if let Pick::Send(index) = send(&mut host, ms(at), &once, key) {
             to_dark += usize::from(index == dark);
-            host.done(ms(at), index, Outcome::Answered { micros: 50_000, knew: true });
+            host.record_outcome(
+                ms(at),
+                index,
+                Outcome::Answered { micros: 50_000, was_warm: true },
+            );
         }
     }
     assert_eq!(to_dark, 0);
@@ -207,6 +211,6 @@
     let mut host = ready(0, ms(0), rows);
     let closed = host.servers().find("closed").expect("it is known");
     let key = (0..50).find(|key| sent(&mut host, 10, *key) == Some(closed)).expect("some key");
-    host.done(ms(11), closed, Outcome::NoConnection);
+    host.record_outcome(ms(11), closed, Outcome::NoConnection);
     assert_ne!(sent(&mut host, 12, key), Some(closed));
 }
--- a/elmstream_steer/tests/support/eras.rs
+++ b/elmstream_steer/tests/support/eras.rs
@@ -8,13 +8,13 @@
 use elmstream::time::MILLI;
 use elmstream_steer::{
     Steer,
-    beat::Beat,
-    calls::Why,
-    era::Holds,
+    era::Retention,
+    heartbeat::Heartbeat,
     members,
-    telling::TableRows,
+    store_schedule::ReadReason,
+    table_sync::TableRows,
     version::StoreVersion,
-    view::{Item, Key, NEEDED, Row, Table},
+    view::{REQUIRED_TABLES, Row, RowContent, RowKey, Table},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -125,16 +125,16 @@
 
 #[derive(Clone, Default)]
 struct Store {
-    rows: BTreeMap<Key, (Option<Item>, u64)>,
+    rows: BTreeMap<RowKey, (Option<RowContent>, u64)>,
     count: u64,
 }
 
 impl Store {
     fn put(&mut self, row: Row) {
         let there = self.rows.get(&row.key).is_some_and(|(item, _)| item.is_some());
-        if row.item.is_some() || there {
+        if row.content.is_some() || there {
             self.count += 1;
-            self.rows.insert(row.key, (row.item, self.count));
+            self.rows.insert(row.key, (row.content, self.count));
         }
     }
 
@@ -142,7 +142,7 @@
         let rows = self.rows.iter().filter(|(key, (item, count))| {
             key.table() == table && after.map_or(item.is_some(), |after| *count > after)
         });
-        let row = |(key, (item, count)): (&Key, &(Option<Item>, u64))| {
+        let row = |(key, (item, count)): (&RowKey, &(Option<RowContent>, u64))| {
             Row::new(key.clone(), StoreVersion::new(era, *count), item.clone())
         };
         rows.map(row).collect()
@@ -158,7 +158,7 @@
 }
 
 struct Call {
-    why: Why,
+    why: ReadReason,
     began: u64,
     ends: u64,
     /// Whether the store was well as it began.
@@ -168,7 +168,7 @@
 }
 
 enum Message {
-    Beat(Box<Beat>),
+    Heartbeat(Box<Heartbeat>),
     Rows(Table, Box<TableRows>),
 }
 
@@ -323,8 +323,8 @@
                 self.entry(n);
             }
             let silent = at >= self.back + SILENCE && self.truth.servers[n] == 2;
-            if silent && self.store.rows.contains_key(&Key::Server(id(n))) {
-                self.store.put(Row { item: None, ..server(&id(n), "a1", 0) });
+            if silent && self.store.rows.contains_key(&RowKey::Server(id(n))) {
+                self.store.put(Row { content: None, ..server(&id(n), "a1", 0) });
             }
         }
         if self.drill.news.is_some_and(|news| self.back > 0 && at == self.back + news) {
@@ -346,8 +346,8 @@
     }
 
     fn evacuation(&mut self, domain: &str) {
-        let item = self.truth.evacuated.contains(domain).then_some(Item::Evacuation);
-        let key = Key::Evacuation(domain.into());
+        let item = self.truth.evacuated.contains(domain).then_some(RowContent::Evacuation);
+        let key = RowKey::Evacuation(domain.into());
         self.store.put(Row::new(key, StoreVersion::default(), item));
     }
 
@@ -388,7 +388,7 @@
                         self.beats[n].0 += 1;
                         self.entry(n);
                     }
-                    _ => self.store.put(Row { item: None, ..server(&id(n), "a1", 0) }),
+                    _ => self.store.put(Row { content: None, ..server(&id(n), "a1", 0) }),
                 }
                 1 + DOMAINS.len() + n
             }
@@ -417,27 +417,27 @@
         if at.is_multiple_of(100) {
             self.nodes[n].steer.tick(ms(at));
         }
-        for table in NEEDED {
+        for table in REQUIRED_TABLES {
             self.read(at, n, table);
         }
     }
 
     fn beat(&mut self, at: u64, n: usize) {
         let node = &mut self.nodes[n];
-        let pause = members::pause(node.steer.members().count()) / MILLI;
+        let pause = members::heartbeat_interval(node.steer.members().target_count()) / MILLI;
         let pause = if node.steer.urgent() { pause.min(URGENT) } else { pause };
         if node.beat.0 + pause > at {
             return;
         }
-        let mut beat = Box::new(node.steer.beat(ms(at)));
+        let mut beat = Box::new(node.steer.next_heartbeat(ms(at)));
         if self.without == Without::Telling {
-            beat.known.iter_mut().for_each(|known| known.held = 0);
+            beat.tables.iter_mut().for_each(|known| known.retained_digest = 0);
         }
         let targets = node.steer.targets(ms(at), node.beat.1);
         node.beat = (at, node.beat.1 + 1);
         let arrives = self.on_the_way.entry(at + WAY).or_default();
         for to in targets.near.iter().chain(&targets.far) {
-            arrives.push((n, self.places[to], Message::Beat(beat.clone())));
+            arrives.push((n, self.places[to], Message::Heartbeat(beat.clone())));
         }
     }
 
@@ -448,19 +448,19 @@
         match message {
             // What was asked for by the start before does not come to this one.
             Message::Rows(..) if at < self.nodes[to].started + FETCH => {}
-            Message::Beat(beat) => {
-                let Some(news) = self.nodes[to].steer.hear(ms(at), &beat) else { return };
-                for (table, version) in news.wanted {
-                    let mut rows = self.nodes[from].steer.tell_rows(ms(at), table, version);
+            Message::Heartbeat(beat) => {
+                let Some(news) = self.nodes[to].steer.on_heartbeat(ms(at), &beat) else { return };
+                for (table, version) in news.outdated_tables {
+                    let mut rows = self.nodes[from].steer.rows_for(ms(at), table, version);
                     if self.without == Without::Telling {
-                        rows.held.clear();
+                        rows.retained.clear();
                     }
                     let message = Message::Rows(table, Box::new(rows));
                     self.on_the_way.entry(at + FETCH).or_default().push((from, to, message));
                 }
             }
             Message::Rows(table, rows) => {
-                self.nodes[to].steer.told(ms(at), table, *rows);
+                self.nodes[to].steer.on_table_rows(ms(at), table, *rows);
             }
         }
     }
@@ -478,7 +478,7 @@
             }
             self.ended(at, n, table);
         }
-        let Some(why) = self.nodes[n].steer.must_read(ms(at), table) else { return };
+        let Some(why) = self.nodes[n].steer.due_read(ms(at), table) else { return };
         self.seen.calls += usize::from(self.back > 0 && at < self.back + CONTACT);
         let well = !self.away(at) && !self.turned_away(at, n);
         let late = well && self.random.random_range(0..100) < self.drill.late;
@@ -524,21 +524,21 @@
         let Some(answer) = answer else {
             *cursor = None;
             if !well {
-                node.steer.store_failed(now, table);
+                node.steer.record_store_failure(now, table);
             }
             return;
         };
         if answer.version.era < node.steer.era() {
-            node.steer.store_failed(now, table);
+            node.steer.record_store_failure(now, table);
             return;
         }
         let (moment, version) = (ms(call.began), answer.version);
         match answer.all {
-            true => node.steer.read_all_of(now, moment, table, version, answer.rows),
-            false => node.steer.read_of(now, moment, table, answer.rows),
+            true => node.steer.on_full_read_at(now, moment, table, version, answer.rows),
+            false => node.steer.on_changes_at(now, moment, table, answer.rows),
         };
         *cursor = Some((version, at));
-        node.steer.store_answered(table, call.why, moment, version);
+        node.steer.record_store_answer(table, call.why, moment, version);
     }
 
     /// Whether a host goes by what was acknowledged.
@@ -548,7 +548,7 @@
             return steer.version() == Some(self.truth.configuration);
         }
         if let Some((domain, _)) = DOMAINS.get(fact - 1) {
-            let evacuated = steer.view().get(&Key::Evacuation((*domain).into())).is_some();
+            let evacuated = steer.view().get(&RowKey::Evacuation((*domain).into())).is_some();
             return evacuated == self.truth.evacuated.contains(domain);
         }
         let server = fact - 1 - DOMAINS.len();
@@ -567,7 +567,7 @@
                 let agrees = self.agrees(n, fact);
                 let node = &mut self.nodes[n];
                 let table = if fact <= DOMAINS.len() { Table::Rules } else { Table::Servers };
-                let knows = node.steer.view().mark(table).fresh.is_some();
+                let knows = node.steer.view().watermark(table).confirmed_at.is_some();
                 if agrees {
                     let learned = node.started < BACK || at > node.started + CONTACT;
                     if knows && learned && node.agreed.insert(fact) && self.back > 0 {
@@ -616,7 +616,7 @@
     /// away before hosts first read it.
     fn holds(&self, at: u64, fact: usize) -> bool {
         let evacuation = (1..=DOMAINS.len()).contains(&fact);
-        let until = self.back + Holds::default().evacuation / MILLI;
+        let until = self.back + Retention::default().evacuation / MILLI;
         evacuation
             && self.back > 0
             && at < until
@@ -646,11 +646,11 @@
     let mut steer = started(n, ms(at), at);
     // Some read the store themselves before others can tell them anything.
     if n.is_multiple_of(2) {
-        steer.asked_first();
+        steer.mark_as_seed();
     }
-    (0..hosts).for_each(|other| steer.suppose(ms(at), address(2_000 + other)));
+    (0..hosts).for_each(|other| steer.add_peer_address(ms(at), address(2_000 + other)));
     if without == Without::Holds {
-        steer.set_holds(Holds::NONE);
+        steer.set_retention(Retention::NONE);
     }
     Node {
         steer,
--- a/elmstreamd/src/callers.rs
+++ b/elmstreamd/src/callers.rs
@@ -11,7 +11,7 @@
     tickets::{Ticket, TicketDecision, TicketId},
     time::{MILLI, SECOND},
 };
-use elmstream_http::{LocalBody, body, server::Cut};
+use elmstream_http::{LocalBody, body, server::Aborted};
 use elmstream_proto::{
     header,
     peer::{Open, RequestHead},
@@ -61,7 +61,7 @@
     daemon: Rc<Daemon>,
     client: SocketAddr,
     request: Request<Incoming>,
-) -> Result<Response<LocalBody>, Cut> {
+) -> Result<Response<LocalBody>, Aborted> {
     if request.uri().path() == LOOKUP_PATH {
         return Ok(lookup(&daemon, client, &request).unwrap_or_else(answer::refusal));
     }
