--- a/elmctl/src/command.rs
+++ b/elmctl/src/command.rs
@@ -216,7 +216,7 @@
 }
 
 fn new_key(key: &Path, certificate: &Path) -> Result<(), Error> {
-    let key_pem = identity::new_key().context(IdentitySnafu)?;
+    let key_pem = identity::generate_key().context(IdentitySnafu)?;
     let certificate_pem = identity::authority_pem(&key_pem).context(IdentitySnafu)?;
     write_new(key, &key_pem, KEY_MODE)?;
     write_new(certificate, &certificate_pem, CERTIFICATE_MODE)
--- a/elmctl/src/connection.rs
+++ b/elmctl/src/connection.rs
@@ -6,7 +6,7 @@
 use cyper_core::HyperStream;
 use elmstream_http::LocalExecutor;
 use elmstream_proto::{
-    identity::{SERVER_NAME, client_of_authority},
+    identity::{SERVER_NAME, client_config_for_authority},
     operators::operators_client::OperatorsClient,
 };
 use http::{Request, Response, Uri};
@@ -52,7 +52,7 @@
     let address = options.host.ok_or(MissingSnafu { option: "host" }.build())?;
     let authority = read(options.authority.as_deref(), "authority")?;
     let token = read(options.token_file.as_deref(), "token-file")?;
-    let mut config = client_of_authority(&authority).context(IdentitySnafu)?;
+    let mut config = client_config_for_authority(&authority).context(IdentitySnafu)?;
     config.alpn_protocols = vec![b"h2".to_vec()];
     let connecting = compio::time::timeout(CONNECT, TcpStream::connect(address));
     let stream = connecting.await.map_err(unreachable)?.map_err(unreachable)?;
--- a/elmstream_bench/src/experiment.rs
+++ b/elmstream_bench/src/experiment.rs
@@ -14,7 +14,7 @@
 use compio::runtime::Runtime;
 use elmstream_config::Configuration;
 use elmstream_http::{body, client};
-use elmstream_standin::{backend::Behaviour, caller::Load, report::Summary};
+use elmstream_standin::{backend::Behaviour, caller::LoadPlan, report::Summary};
 use elmstreamd::telemetry;
 use http::Request;
 use http_body_util::BodyExt;
@@ -92,13 +92,13 @@
 const ROUNDS: usize = 3;
 
 async fn timed_load(target: SocketAddr) -> Result<Summary, String> {
-    let load = Load {
+    let load = LoadPlan {
         targets: vec![target],
         service: "status".into(),
         per_second: LATENCY_RATE,
         duration: LOAD,
-        prefix: "latency".into(),
-        ..Load::default()
+        id_prefix: "latency".into(),
+        ..LoadPlan::default()
     };
     let loading = thread::spawn(move || run_load(load));
     while !loading.is_finished() {
--- a/elmstream_bench/src/fleet.rs
+++ b/elmstream_bench/src/fleet.rs
@@ -18,7 +18,7 @@
 use elmstream_http::{Stop, Stopper, body, client};
 use elmstream_proto::identity;
 use elmstream_standin::{
-    backend::{self, Behaviour, Seen},
+    backend::{self, Behaviour, RequestStats},
     platform::{self, EntryHost, Faults, HostList},
 };
 use elmstreamd::lifecycle;
@@ -140,7 +140,7 @@
     /// into `folder`.
     pub fn new(folder: &Path) -> io::Result<Fleet> {
         fs::create_dir_all(folder)?;
-        let key_pem = identity::new_key().map_err(io::Error::other)?;
+        let key_pem = identity::generate_key().map_err(io::Error::other)?;
         let authority_pem = identity::authority_pem(&key_pem).map_err(io::Error::other)?;
         let (key, authority) = (folder.join("cluster.key"), folder.join("authority.pem"));
         let token_file = folder.join("token");
@@ -264,7 +264,7 @@
     }
 
     /// What a backend server has seen.
-    pub async fn seen(&self, index: usize) -> io::Result<Seen> {
+    pub async fn seen(&self, index: usize) -> io::Result<RequestStats> {
         let bytes = get(self.backends[index].address, "/_standin/seen").await?;
         Ok(serde_json::from_slice(&bytes)?)
     }
--- a/elmstream_bench/src/sizes.rs
+++ b/elmstream_bench/src/sizes.rs
@@ -4,7 +4,7 @@
 
 use elmstream_config::{
     Configuration,
-    document::{BackendServer, FailureDomain, Link, Once, Region, Service, ShiftCap, Site},
+    document::{BackendServer, FailureDomain, Link, OncePolicy, Region, Service, ShiftCap, Site},
 };
 
 /// A user: places and services.
@@ -97,7 +97,7 @@
         hosts: vec![format!("{name}.example")],
         priority: index as u8,
         deadline_ms: if index == 2 { 60_000 } else { 2_000 },
-        once: Once::TicketOptional,
+        once: OncePolicy::TicketOptional,
         ..Service::default()
     }
 }
--- a/elmstream_bench/src/steering.rs
+++ b/elmstream_bench/src/steering.rs
@@ -91,7 +91,7 @@
 fn by_service(served: &[Served], service: usize) -> Report {
     let mut sum = Report::default();
     for served in served.iter().filter(|s| s.demand.service == service) {
-        sum.add(&served.report);
+        sum.merge(&served.report);
     }
     sum
 }
@@ -100,7 +100,7 @@
 fn all(served: &[Served]) -> String {
     let mut sum = Report::default();
     for served in served {
-        sum.add(&served.report);
+        sum.merge(&served.report);
     }
     let Report { sent, whole, wrong, cut, failed, refused, .. } = sum;
     format!(
@@ -139,8 +139,8 @@
             users.user.services[service].0,
             100.0 * goodput / f64::from(capacity),
             report.latency.value_at_quantile(0.99),
-            report.refusals.value_at_quantile(0.5),
-            report.refusals.value_at_quantile(0.99),
+            report.refusal_latency.value_at_quantile(0.5),
+            report.refusal_latency.value_at_quantile(0.99),
             report.refused
         );
     }
--- a/elmstream_bench/src/trial.rs
+++ b/elmstream_bench/src/trial.rs
@@ -11,7 +11,7 @@
 
 use compio::runtime::Runtime;
 use elmstream_standin::{
-    caller::{self, Load},
+    caller::{self, LoadPlan},
     report::Summary,
 };
 use http::Method;
@@ -81,15 +81,15 @@
 
 /// Reads, requests that may not be repeated, and uploads, each on a thread.
 fn start_loads(fleet: &Fleet) -> Vec<(&'static str, Loading)> {
-    let load = |service: &str, per_second, method, body_bytes| Load {
-        ask: fleet.callers(),
+    let load = |service: &str, per_second, method, body_bytes| LoadPlan {
+        lookup_hosts: fleet.callers(),
         service: service.into(),
         per_second,
         duration: LOAD,
         method,
         body_bytes,
-        prefix: service.into(),
-        ..Load::default()
+        id_prefix: service.into(),
+        ..LoadPlan::default()
     };
     let plans = [
         ("reads", load("status", 300, Method::GET, 0)),
@@ -101,7 +101,7 @@
 }
 
 /// Runs a load on a runtime of its own.
-pub fn run_load(load: Load) -> Result<Summary, String> {
+pub fn run_load(load: LoadPlan) -> Result<Summary, String> {
     let runtime = Runtime::new().map_err(|e| e.to_string())?;
     Ok(runtime.block_on(caller::run(load)).summary())
 }
--- a/elmstream_bench/src/users.rs
+++ b/elmstream_bench/src/users.rs
@@ -13,7 +13,7 @@
 use elmstream_config::{Configuration, document::Site};
 use elmstream_standin::{
     backend::Behaviour,
-    caller::{self, Load},
+    caller::{self, LoadPlan},
     report::Report,
     target::Pick,
 };
@@ -144,8 +144,10 @@
     /// Begins a load by look-ups through the entry hosts.
     pub fn load(&self, demands: &[Demand], duration: Duration, prefix: &str) -> Loading {
         let ask: Vec<_> = self.fleet.hosts.iter().map(|h| h.settings.listen.callers).collect();
-        let load =
-            |demand: &Demand| Load { ask: ask.clone(), ..self.plan(demand, duration, prefix) };
+        let load = |demand: &Demand| LoadPlan {
+            lookup_hosts: ask.clone(),
+            ..self.plan(demand, duration, prefix)
+        };
         Loading::start(demands.iter().map(|d| (d.clone(), vec![load(d)])).collect())
     }
 
@@ -155,25 +157,28 @@
             let instances = self.instances(demand.region, demand.service);
             let targets = instances.iter().map(|&i| self.fleet.backends[i].address).collect();
             let prefix = format!("{pick:?}-{}", demand.per_second);
-            let load = Load { targets, pick, ..self.plan(demand, duration, &prefix) };
+            let load = LoadPlan { targets, pick, ..self.plan(demand, duration, &prefix) };
             let per_second = (demand.per_second / BASELINE_CALLERS).max(1);
-            let part =
-                |n| Load { per_second, prefix: format!("{n}-{}", load.prefix), ..load.clone() };
+            let part = |n| LoadPlan {
+                per_second,
+                id_prefix: format!("{n}-{}", load.id_prefix),
+                ..load.clone()
+            };
             (demand.clone(), (0..BASELINE_CALLERS).map(part).collect())
         };
         Loading::start(demands.iter().map(loads).collect())
     }
 
-    fn plan(&self, demand: &Demand, duration: Duration, prefix: &str) -> Load {
-        Load {
+    fn plan(&self, demand: &Demand, duration: Duration, prefix: &str) -> LoadPlan {
+        LoadPlan {
             service: self.user.services[demand.service].0.into(),
             per_second: demand.per_second,
             duration,
             method: if demand.service == 0 { Method::GET } else { Method::POST },
             body_bytes: if demand.service == 0 { 0 } else { 200 },
-            prefix: format!("{prefix}-{}-{}", demand.region, demand.service),
-            source: Some(source(demand.region)),
-            ..Load::default()
+            id_prefix: format!("{prefix}-{}-{}", demand.region, demand.service),
+            source_ip: Some(source(demand.region)),
+            ..LoadPlan::default()
         }
     }
 
@@ -214,7 +219,7 @@
 pub struct Loading(Vec<thread::JoinHandle<Result<Vec<Served>, String>>>);
 
 impl Loading {
-    fn start(loads: Vec<(Demand, Vec<Load>)>) -> Loading {
+    fn start(loads: Vec<(Demand, Vec<LoadPlan>)>) -> Loading {
         let regions = loads.iter().map(|(d, _)| d.region).max().map_or(0, |r| r + 1);
         let of_region = |region| {
             let here = loads.iter().filter(|(d, _)| d.region == region).cloned().collect();
@@ -236,12 +241,12 @@
     }
 }
 
-fn run_loads(loads: Vec<(Demand, Vec<Load>)>) -> Result<Vec<Served>, String> {
+fn run_loads(loads: Vec<(Demand, Vec<LoadPlan>)>) -> Result<Vec<Served>, String> {
     let runtime = Runtime::new().map_err(|e| e.to_string())?;
-    let one = async |(demand, loads): (Demand, Vec<Load>)| {
+    let one = async |(demand, loads): (Demand, Vec<LoadPlan>)| {
         let mut report = Report::default();
         for part in join_all(loads.into_iter().map(caller::run)).await {
-            report.add(&part);
+            report.merge(&part);
         }
         Served { demand, report }
     };
--- a/elmstream_config/src/compile.rs
+++ b/elmstream_config/src/compile.rs
@@ -9,7 +9,7 @@
     time::MILLI,
 };
 
-use crate::document::{Configuration, DrainKind, Isolation, Once, Service};
+use crate::document::{Configuration, DrainKind, Isolation, OncePolicy, Service};
 
 /// Compiles a configuration that has passed its checks.
 ///
@@ -101,9 +101,9 @@
         repeatable_methods: names(&s.repeatable_methods),
         repeatable_paths: names(&s.repeatable_paths),
         once: match s.once {
-            Once::TicketOptional => catalog::OncePolicy::TicketOptional,
-            Once::TicketRequired => catalog::OncePolicy::TicketRequired,
-            Once::Claim => catalog::OncePolicy::Claim,
+            OncePolicy::TicketOptional => catalog::OncePolicy::TicketOptional,
+            OncePolicy::TicketRequired => catalog::OncePolicy::TicketRequired,
+            OncePolicy::Claim => catalog::OncePolicy::Claim,
         },
         isolation: match s.isolation {
             Isolation::OwnRegion => catalog::Isolation::OwnRegion,
--- a/elmstream_config/src/document.rs
+++ b/elmstream_config/src/document.rs
@@ -74,7 +74,7 @@
 /// How a request that may not be repeated is kept from running twice.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Once {
+pub enum OncePolicy {
     /// By a ticket where the caller brings one.
     #[default]
     TicketOptional,
@@ -109,7 +109,7 @@
     /// Path prefixes whose requests may be repeated by any method.
     pub repeatable_paths: Vec<String>,
     /// How requests that may not be repeated run at most once.
-    pub once: Once,
+    pub once: OncePolicy,
     /// What a host that may be behind does.
     pub isolation: Isolation,
     /// Time in which a cold backend server reaches its share, in milliseconds.
@@ -129,7 +129,7 @@
             queue_per_slot: 4,
             repeatable_methods: ["GET", "HEAD", "OPTIONS"].map(String::from).to_vec(),
             repeatable_paths: Vec::new(),
-            once: Once::default(),
+            once: OncePolicy::default(),
             isolation: Isolation::default(),
             slow_start_ms: 0,
         }
--- a/elmstream_proto/src/identity.rs
+++ b/elmstream_proto/src/identity.rs
@@ -57,7 +57,7 @@
 }
 
 /// A new cluster key, in PEM.
-pub fn new_key() -> Result<String, Error> {
+pub fn generate_key() -> Result<String, Error> {
     Ok(KeyPair::generate().context(KeySnafu)?.serialize_pem())
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// TLS for a client that trusts the authority only and proves nothing.
-pub fn client_of_authority(pem: &str) -> Result<ClientConfig, Error> {
+pub fn client_config_for_authority(pem: &str) -> Result<ClientConfig, Error> {
     let der = CertificateDer::from_pem_slice(pem.as_bytes()).context(CertificateSnafu)?;
     let mut roots = RootCertStore::empty();
     roots.add(der).context(TlsSnafu)?;
@@ -79,7 +79,7 @@
 }
 
 /// TLS for a server with a certificate chain and key of its own, in PEM.
-pub fn server_of_files(chain: &[u8], key: &[u8]) -> Result<ServerConfig, Error> {
+pub fn server_config_from_pem(chain: &[u8], key: &[u8]) -> Result<ServerConfig, Error> {
     let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(chain).collect();
     let key = PrivateKeyDer::from_pem_slice(key).context(CertificateSnafu)?;
     let builder = server_builder()?.with_no_client_auth();
@@ -104,7 +104,7 @@
     }
 
     /// TLS towards other entry hosts, both sides proved.
-    pub fn peer_client(&self) -> Result<ClientConfig, Error> {
+    pub fn peer_client_config(&self) -> Result<ClientConfig, Error> {
         let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()));
         let builder = builder.with_safe_default_protocol_versions().context(TlsSnafu)?;
         let builder = builder.with_root_certificates(self.roots()?);
@@ -113,7 +113,7 @@
     }
 
     /// TLS for other entry hosts; a client that proves nothing gets nothing.
-    pub fn peer_server(&self) -> Result<ServerConfig, Error> {
+    pub fn peer_server_config(&self) -> Result<ServerConfig, Error> {
         let provider = Arc::new(ring::default_provider());
         let roots = Arc::new(self.roots()?);
         let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider);
@@ -123,7 +123,7 @@
     }
 
     /// TLS for operators, who prove themselves by a token.
-    pub fn operator_server(&self) -> Result<ServerConfig, Error> {
+    pub fn operator_server_config(&self) -> Result<ServerConfig, Error> {
         self.with_leaf(server_builder()?.with_no_client_auth())
     }
 
--- a/elmstream_proto/src/peer.rs
+++ b/elmstream_proto/src/peer.rs
@@ -85,7 +85,7 @@
     /// The edits that lead to it from the revision before, as JSON.
     pub edits: String,
     /// Hosts that the receiver passes it on to.
-    pub pass_on: Vec<Name>,
+    pub forward_to: Vec<Name>,
 }
 
 /// What became of a push at a host and those that it passed it on to.
@@ -124,9 +124,9 @@
     /// Whether a body follows.
     pub has_body: bool,
     /// Time left, in microseconds.
-    pub deadline: u64,
+    pub remaining_us: u64,
     /// Time that it may wait for a slot, in microseconds.
-    pub patience: u64,
+    pub max_wait_us: u64,
 }
 
 /// An answer without its body.
--- a/elmstream_proto/tests/messages.rs
+++ b/elmstream_proto/tests/messages.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_message_comes_back_as_it_was() {
-    let push = Push { revision: 7, edits: "[]".into(), pass_on: vec!["host-2".into()] };
+    let push = Push { revision: 7, edits: "[]".into(), forward_to: vec!["host-2".into()] };
     let open = Open::Push(push);
     let coded = encode(&open).unwrap();
     assert_eq!(decode::<Open>(&coded[LENGTH_BYTES..]).unwrap(), open);
--- a/elmstream_standin/src/backend.rs
+++ b/elmstream_standin/src/backend.rs
@@ -67,7 +67,7 @@
 
 /// What a backend server has seen.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Seen {
+pub struct RequestStats {
     /// Requests that it began to run.
     pub runs: u64,
     /// Most requests that ran at a time.
@@ -89,7 +89,7 @@
 #[derive(Debug, Default)]
 struct State {
     behaviour: RefCell<Behaviour>,
-    seen: RefCell<Seen>,
+    seen: RefCell<RequestStats>,
     /// Requests that wait for a slot, first come first served.
     waiting: RefCell<VecDeque<oneshot::Sender<()>>>,
 }
@@ -176,7 +176,7 @@
 }
 
 async fn set_behaviour(state: &Rc<State>, request: Request<Incoming>) -> Response<LocalBody> {
-    match reply::read(request.into_body()).await {
+    match reply::read_json(request.into_body()).await {
         Some(behaviour) => {
             *state.behaviour.borrow_mut() = behaviour;
             state.seen.borrow_mut().waiting_max = 0;
@@ -257,7 +257,7 @@
     response
 }
 
-fn count(seen: &mut Seen, id: &str) {
+fn count(seen: &mut RequestStats, id: &str) {
     if id.is_empty() {
         return;
     }
--- a/elmstream_standin/src/caller.rs
+++ b/elmstream_standin/src/caller.rs
@@ -33,9 +33,9 @@
 
 /// What to send.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct LoadPlan {
     /// Any entry host, asked for look-ups; `None` sends to `targets` as given.
-    pub ask: Vec<SocketAddr>,
+    pub lookup_hosts: Vec<SocketAddr>,
     /// Where to send without look-ups.
     pub targets: Vec<SocketAddr>,
     /// The service.
@@ -49,25 +49,25 @@
     /// Bytes of each request's body.
     pub body_bytes: usize,
     /// Prefix of the requests' ids.
-    pub prefix: String,
+    pub id_prefix: String,
     /// The IP number that it sends from, if one is to be bound.
-    pub source: Option<IpAddr>,
+    pub source_ip: Option<IpAddr>,
     /// How targets are chosen.
     pub pick: Pick,
 }
 
-impl Default for Load {
-    fn default() -> Load {
-        Load {
-            ask: Vec::new(),
+impl Default for LoadPlan {
+    fn default() -> LoadPlan {
+        LoadPlan {
+            lookup_hosts: Vec::new(),
             targets: Vec::new(),
             service: String::new(),
             per_second: 100,
             duration: Duration::from_secs(5),
             method: http::Method::GET,
             body_bytes: 0,
-            prefix: String::new(),
-            source: None,
+            id_prefix: String::new(),
+            source_ip: None,
             pick: Pick::default(),
         }
     }
@@ -94,7 +94,7 @@
 
 /// State of one load.
 struct Caller {
-    load: Load,
+    load: LoadPlan,
     begin: Instant,
     report: RefCell<Report>,
     idle: RefCell<HashMap<SocketAddr, Vec<SendRequest<LocalBody>>>>,
@@ -106,7 +106,7 @@
 }
 
 /// Runs a load to its end and gives its report.
-pub async fn run(load: Load) -> Report {
+pub async fn run(load: LoadPlan) -> Report {
     let payload = Bytes::from(vec![b'x'; load.body_bytes]);
     let digest = Sha256::digest(&payload).iter().map(|byte| format!("{byte:02x}")).collect();
     let caller = Rc::new(Caller {
@@ -121,7 +121,7 @@
     });
     let looking = compio::runtime::spawn(keep_looking_up(caller.clone()));
     let asking = compio::runtime::spawn(keep_asking(caller.clone()));
-    if !caller.load.ask.is_empty() {
+    if !caller.load.lookup_hosts.is_empty() {
         wait_for_targets(&caller).await;
     }
     send_all(&caller).await;
@@ -160,8 +160,8 @@
 /// Asks anew each time that the last answer's time to live is over.
 async fn keep_looking_up(caller: Rc<Caller>) {
     let mut turn = 0;
-    while !caller.load.ask.is_empty() {
-        let ask = caller.load.ask[turn % caller.load.ask.len()];
+    while !caller.load.lookup_hosts.is_empty() {
+        let ask = caller.load.lookup_hosts[turn % caller.load.lookup_hosts.len()];
         turn += 1;
         let pause = match lookup(&caller.load, ask).await {
             Some(answer) => {
@@ -182,13 +182,13 @@
 /// Asks the targets for their loads, again and again.
 async fn keep_asking(caller: Rc<Caller>) {
     loop {
-        caller.targets.ask_loads().await;
+        caller.targets.poll_loads().await;
         compio::time::sleep(LOADS_INTERVAL).await;
     }
 }
 
-async fn lookup(load: &Load, ask: SocketAddr) -> Option<Lookup> {
-    let mut sender = client::connect_from(load.source, ask, CONNECT).await.ok()?;
+async fn lookup(load: &LoadPlan, ask: SocketAddr) -> Option<Lookup> {
+    let mut sender = client::connect_from(load.source_ip, ask, CONNECT).await.ok()?;
     let uri = format!("/v1/lookup?service={}", load.service);
     let request = Request::get(uri).header("host", ask.to_string()).body(body::empty()).ok()?;
     let response = sender.send_request(request).await.ok()?;
@@ -211,7 +211,7 @@
         let trying = compio::time::timeout(PATIENCE, self.attempt(number));
         let ended = trying.await.unwrap_or(Ended::Failed);
         let mut report = self.report.borrow_mut();
-        report.ended_at(due - self.begin, matches!(ended, Ended::Whole));
+        report.record_end(due - self.begin, matches!(ended, Ended::Whole));
         match ended {
             Ended::Whole => {
                 report.whole += 1;
@@ -221,14 +221,14 @@
             Ended::Cut => report.cut += 1,
             Ended::Refused(code) => {
                 *report.refused.entry(code).or_default() += 1;
-                let _ = report.refusals.record(due.elapsed().as_micros() as u64);
+                let _ = report.refusal_latency.record(due.elapsed().as_micros() as u64);
             }
             Ended::Failed => report.failed += 1,
         }
     }
 
     async fn attempt(&self, number: u64) -> Ended {
-        let id = format!("{}-{number}", self.load.prefix);
+        let id = format!("{}-{number}", self.load.id_prefix);
         let Some((target, mut sender)) = self.reach().await else { return Ended::Failed };
         let request = self.request(target, &id);
         let Ok(response) = sender.send_request(request).await else { return Ended::Failed };
@@ -261,7 +261,7 @@
                     }
                 }
                 None => {
-                    let source = self.load.source;
+                    let source = self.load.source_ip;
                     return client::connect_from(source, target, CONNECT).await.ok();
                 }
             }
--- a/elmstream_standin/src/main.rs
+++ b/elmstream_standin/src/main.rs
@@ -7,7 +7,7 @@
 use elmstream_http::Stopper;
 use elmstream_standin::{
     backend::{self, Behaviour},
-    caller::{self, Load},
+    caller::{self, LoadPlan},
     platform,
 };
 
@@ -77,16 +77,16 @@
             backend::serve(TcpListener::bind(listen).await?, name, behaviour, stop).await
         }
         Command::Caller { ask, target, service, per_second, seconds, post, body_bytes } => {
-            let load = Load {
-                ask,
+            let load = LoadPlan {
+                lookup_hosts: ask,
                 targets: target,
                 service,
                 per_second,
                 duration: Duration::from_secs(seconds),
                 method: if post { http::Method::POST } else { http::Method::GET },
                 body_bytes,
-                prefix: format!("{:x}", std::process::id()),
-                ..Load::default()
+                id_prefix: format!("{:x}", std::process::id()),
+                ..LoadPlan::default()
             };
             let report = caller::run(load).await;
             println!("{}", serde_json::to_string_pretty(&report.summary())?);
--- a/elmstream_standin/src/platform.rs
+++ b/elmstream_standin/src/platform.rs
@@ -177,7 +177,7 @@
     part: &str,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let Some(faults) = reply::read(request.into_body()).await else {
+    let Some(faults) = reply::read_json(request.into_body()).await else {
         return reply::status(StatusCode::BAD_REQUEST);
     };
     state.borrow_mut().faults.insert(part.into(), faults);
@@ -195,7 +195,7 @@
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
     if request.method() == Method::PUT {
-        let Some(put) = reply::read::<PutRow>(request.into_body()).await else {
+        let Some(put) = reply::read_json::<PutRow>(request.into_body()).await else {
             return reply::status(StatusCode::BAD_REQUEST);
         };
         return state.borrow_mut().put(key, put);
@@ -245,7 +245,7 @@
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
     if request.method() == Method::PUT {
-        let Some(list) = reply::read::<HostList>(request.into_body()).await else {
+        let Some(list) = reply::read_json::<HostList>(request.into_body()).await else {
             return reply::status(StatusCode::BAD_REQUEST);
         };
         state.borrow_mut().lists.push((Instant::now(), list));
--- a/elmstream_standin/src/reply.rs
+++ b/elmstream_standin/src/reply.rs
@@ -21,7 +21,7 @@
 }
 
 /// Reads a JSON body; `None` if it is cut or malformed.
-pub async fn read<T: DeserializeOwned>(body: Incoming) -> Option<T> {
+pub async fn read_json<T: DeserializeOwned>(body: Incoming) -> Option<T> {
     let bytes = body.collect().await.ok()?.to_bytes();
     serde_json::from_slice(&bytes).ok()
 }
--- a/elmstream_standin/src/report.rs
+++ b/elmstream_standin/src/report.rs
@@ -23,14 +23,14 @@
     /// Latency of whole answers, from the planned start, in microseconds.
     pub latency: Histogram<u64>,
     /// Time until a refusal, from the planned start, in microseconds.
-    pub refusals: Histogram<u64>,
+    pub refusal_latency: Histogram<u64>,
     /// By the second in which requests were due.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondCounts>,
 }
 
 /// Requests that were due in one second of a load.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Second {
+pub struct SecondCounts {
     /// Those that have ended.
     pub ended: u64,
     /// Those with a whole answer of their own.
@@ -77,7 +77,7 @@
             wrong: 0,
             failed: 0,
             latency: histogram(),
-            refusals: histogram(),
+            refusal_latency: histogram(),
             seconds: Vec::new(),
         }
     }
@@ -85,17 +85,17 @@
 
 impl Report {
     /// Counts a request by the time after the load's begin when it was due.
-    pub fn ended_at(&mut self, due: Duration, whole: bool) {
+    pub fn record_end(&mut self, due: Duration, whole: bool) {
         let second = due.as_secs() as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Second::default());
+            self.seconds.resize(second + 1, SecondCounts::default());
         }
         self.seconds[second].ended += 1;
         self.seconds[second].whole += u64::from(whole);
     }
 
     /// Adds another load's report of the same time.
-    pub fn add(&mut self, other: &Report) {
+    pub fn merge(&mut self, other: &Report) {
         self.sent += other.sent;
         self.whole += other.whole;
         self.cut += other.cut;
@@ -106,9 +106,9 @@
         }
         // Both have the same bounds, so that adding cannot fail.
         let _ = self.latency.add(&other.latency);
-        let _ = self.refusals.add(&other.refusals);
+        let _ = self.refusal_latency.add(&other.refusal_latency);
         let length = self.seconds.len().max(other.seconds.len());
-        self.seconds.resize(length, Second::default());
+        self.seconds.resize(length, SecondCounts::default());
         for (sum, second) in self.seconds.iter_mut().zip(&other.seconds) {
             sum.ended += second.ended;
             sum.whole += second.whole;
--- a/elmstream_standin/src/target.rs
+++ b/elmstream_standin/src/target.rs
@@ -85,7 +85,7 @@
     }
 
     /// Asks all targets for their loads, where they matter.
-    pub async fn ask_loads(&self) {
+    pub async fn poll_loads(&self) {
         if self.pick != Pick::LeastLoaded {
             return;
         }
--- a/elmstreamd/src/callers.rs
+++ b/elmstreamd/src/callers.rs
@@ -161,8 +161,8 @@
         target: target.to_owned(),
         headers: forward::pass_on(&parts.headers),
         has_body,
-        deadline,
-        patience: 0,
+        remaining_us: deadline,
+        max_wait_us: 0,
     };
     Ok(Job {
         repeatable: service.is_repeatable(parts.method.as_str(), parts.uri.path()),
@@ -301,7 +301,7 @@
     Some(Job {
         repeatable: node.service(service).is_repeatable(&head.method, path),
         service,
-        deadline: clock::now() + head.deadline,
+        deadline: clock::now() + head.remaining_us,
         body: head.has_body.then_some(body),
         head,
     })
--- a/elmstreamd/src/configuration.rs
+++ b/elmstreamd/src/configuration.rs
@@ -222,7 +222,7 @@
     let heads = hosts.len().min(PUSH_FANOUT);
     let branches = hosts[..heads].iter().enumerate().map(|(index, head)| {
         let below = hosts[heads..].iter().skip(index).step_by(PUSH_FANOUT);
-        let push = Push { revision, edits: edits.to_owned(), pass_on: below.cloned().collect() };
+        let push = Push { revision, edits: edits.to_owned(), forward_to: below.cloned().collect() };
         push_to(daemon, head, push)
     });
     join_all(branches).await.concat()
@@ -231,10 +231,10 @@
 /// Sends one push; if the host does not answer, passes it on in its place.
 async fn push_to(daemon: &Rc<Daemon>, head: &Name, push: Push) -> Vec<Name> {
     let Some(address) = daemon.peer_address(head) else { return vec![head.clone()] };
-    let within = PUSH_TIMEOUT * levels(push.pass_on.len());
+    let within = PUSH_TIMEOUT * levels(push.forward_to.len());
     let open = Open::Push(push);
     let reply = daemon.peers.exchange(head, address, &open, within).await;
-    let Open::Push(Push { revision, edits, pass_on: below }) = open else { return Vec::new() };
+    let Open::Push(Push { revision, edits, forward_to: below }) = open else { return Vec::new() };
     match reply {
         Ok(Reply::Pushed(pushed)) => {
             let mut missing = pushed.missing;
@@ -276,7 +276,7 @@
         None if push.revision > revision => daemon.want_revision(),
         None => {}
     }
-    let missing = pass_on(daemon, push.revision, &push.edits, &push.pass_on).await;
+    let missing = pass_on(daemon, push.revision, &push.edits, &push.forward_to).await;
     Pushed { revision: daemon.current.borrow().revision, missing }
 }
 
--- a/elmstreamd/src/forward.rs
+++ b/elmstreamd/src/forward.rs
@@ -144,8 +144,8 @@
             last = Refusal { code: Code::DeadlineTooShort, retry_after: 0 };
             break;
         }
-        job.head.deadline = left;
-        job.head.patience = attempt.max_wait;
+        job.head.remaining_us = left;
+        job.head.max_wait_us = attempt.max_wait;
         let mut tried = try_one(daemon, job, &attempt).await;
         if let Some(pause) = short_wait(daemon, job, &tried) {
             compio::time::sleep(pause).await;
--- a/elmstreamd/src/lifecycle.rs
+++ b/elmstreamd/src/lifecycle.rs
@@ -207,7 +207,7 @@
     };
     let chain = fs::read(chain).context(KeyFileSnafu)?;
     let key = fs::read(key).context(KeyFileSnafu)?;
-    let mut config = identity::server_of_files(&chain, &key).context(KeySnafu)?;
+    let mut config = identity::server_config_from_pem(&chain, &key).context(KeySnafu)?;
     config.alpn_protocols = vec![b"h2".to_vec(), b"http/1.1".to_vec()];
     Ok(Some(TlsAcceptor::from(std::sync::Arc::new(config))))
 }
@@ -235,7 +235,7 @@
     identity: &Identity,
     stop: Stop,
 ) -> Result<impl Future<Output = ()> + use<>, StartError> {
-    let mut config = identity.operator_server().context(KeySnafu)?;
+    let mut config = identity.operator_server_config().context(KeySnafu)?;
     config.alpn_protocols = vec![b"h2".to_vec()];
     let tls = TlsAcceptor::from(std::sync::Arc::new(config));
     let service = TowerToHyperService::new(OperatorsServer::new(OperatorService::new(daemon)));
--- a/elmstreamd/src/owner.rs
+++ b/elmstreamd/src/owner.rs
@@ -85,12 +85,12 @@
 
 /// Gets a slot for a request, or waits for one within its patience.
 pub async fn admit(daemon: &Rc<Daemon>, head: &RequestHead) -> Result<SlotGuard, Refusal> {
-    let deadline = clock::now() + head.deadline;
+    let deadline = clock::now() + head.remaining_us;
     let ask = OwnerRequest {
         service: &head.service,
         home: &head.home,
-        deadline: head.deadline,
-        max_wait: head.patience,
+        deadline: head.remaining_us,
+        max_wait: head.max_wait_us,
     };
     let answer = daemon.node.borrow_mut().request_slot(clock::now(), &ask);
     let slot = match answer {
@@ -107,11 +107,11 @@
     let (waker, woken) = oneshot::channel();
     daemon.wakers.borrow_mut().insert(number, waker);
     let waiting = Waiting { daemon: daemon.clone(), number };
-    let patience = Duration::from_micros(head.patience.min(head.deadline));
+    let patience = Duration::from_micros(head.max_wait_us.min(head.remaining_us));
     let _ = compio::time::timeout(patience, woken).await;
     let granted = daemon.node.borrow_mut().take_granted_slot(number);
     drop(waiting);
-    granted.ok_or(Refusal { code: Code::NoCapacity, retry_after: head.patience })
+    granted.ok_or(Refusal { code: Code::NoCapacity, retry_after: head.max_wait_us })
 }
 
 /// Sends the request to the backend server of the slot.
--- a/elmstreamd/src/peers.rs
+++ b/elmstreamd/src/peers.rs
@@ -58,8 +58,8 @@
 impl Peers {
     /// Binds the endpoint that both takes and opens connections.
     pub async fn bind(address: SocketAddr, identity: &Identity) -> io::Result<Peers> {
-        let server = identity.peer_server().map_err(io::Error::other)?;
-        let client = identity.peer_client().map_err(io::Error::other)?;
+        let server = identity.peer_server_config().map_err(io::Error::other)?;
+        let client = identity.peer_client_config().map_err(io::Error::other)?;
         let server = ServerBuilder::new_with_rustls_server_config(server);
         let mut server = server.with_alpn_protocols(&[ALPN]).build();
         let client = ClientBuilder::new_with_rustls_client_config(client);
--- a/elmstreamd/tests/faults.rs
+++ b/elmstreamd/tests/faults.rs
@@ -9,7 +9,7 @@
     fleet::{free_address, get, send},
     operator::{Operator, in_force, slots},
 };
-use elmstream_config::document::{Link, Once, Site};
+use elmstream_config::document::{Link, OncePolicy, Site};
 use elmstream_http::{BoxError, body};
 use elmstream_proto::{
     identity::{self, Identity},
@@ -252,7 +252,7 @@
 
 #[test]
 fn a_claim_row_lets_one_try_run_and_a_refused_one_be_tried_again() {
-    let claim = |c: &mut elmstream_config::Configuration| c.services[1].once = Once::Claim;
+    let claim = |c: &mut elmstream_config::Configuration| c.services[1].once = OncePolicy::Claim;
     with_fleet(claim, async |running| {
         let nameless = with_headers(Method::POST, "release", &[]);
         assert_eq!(running.ask(0, nameless).await.code(), Some(1001));
@@ -340,7 +340,7 @@
         async |running| {
             let address = running.fleet.hosts[0].settings.listen.peers;
             let within = Duration::from_secs(2);
-            let stranger = Identity::new(&identity::new_key().unwrap()).unwrap();
+            let stranger = Identity::new(&identity::generate_key().unwrap()).unwrap();
             let peers = Peers::bind(free_address(), &stranger).await.unwrap();
             let refused = peers.exchange(&"host-1".into(), address, &Open::Fetch, within).await;
             assert!(refused.is_err(), "{refused:?}");
@@ -360,7 +360,7 @@
         |_| {},
         async |running| {
             let other = running.fleet.authority.with_extension("other");
-            let pem = identity::authority_pem(&identity::new_key().unwrap()).unwrap();
+            let pem = identity::authority_pem(&identity::generate_key().unwrap()).unwrap();
             std::fs::write(&other, pem).unwrap();
             let right = std::mem::replace(&mut running.fleet.authority, other);
             let refused = Operator::connect(&running.fleet, 0).await;
--- a/elmstreamd/tests/processes.rs
+++ b/elmstreamd/tests/processes.rs
@@ -23,8 +23,8 @@
 use elmstream_http::body;
 use elmstream_proto::operators::{ServiceStatus, StatusReply};
 use elmstream_standin::{
-    backend::{Behaviour, Seen},
-    caller::{self, Load},
+    backend::{Behaviour, RequestStats},
+    caller::{self, LoadPlan},
 };
 use http::{Method, Request};
 
@@ -177,9 +177,9 @@
     /// Time from the first request to the freeze.
     frozen_after: Duration,
     /// What each server saw until the host was taken over.
-    before: Vec<Seen>,
+    before: Vec<RequestStats>,
     /// The same once the host had been awake for a while.
-    after: Vec<Seen>,
+    after: Vec<RequestStats>,
 }
 
 impl Woken {
@@ -218,7 +218,7 @@
     /// What holds however the requests lay: nothing runs after the host woke, no
     /// server gets more than its slots, and none of the requests runs twice.
     fn check(&self, service: &str) {
-        let runs = |seen: &[Seen]| seen.iter().map(|s| s.runs).collect::<Vec<_>>();
+        let runs = |seen: &[RequestStats]| seen.iter().map(|s| s.runs).collect::<Vec<_>>();
         let (before, after) = (runs(&self.before), runs(&self.after));
         assert_eq!(after, before, "the late holder of {service} ran nothing after it woke");
         let mut runs_of = HashMap::<&String, u32>::new();
@@ -234,7 +234,7 @@
     }
 }
 
-async fn all_seen(fleet: &Fleet) -> Vec<Seen> {
+async fn all_seen(fleet: &Fleet) -> Vec<RequestStats> {
     let mut all = Vec::new();
     for index in 0..small::BACKENDS.len() {
         all.push(fleet.seen(index).await.unwrap());
@@ -301,15 +301,20 @@
         let mut processes = Processes::start().await;
         let (victim, server) = processes.owner().await;
         let service = small::BACKENDS[server].1;
-        let load = Load {
-            ask: processes.fleet().hosts.iter().map(|h| h.settings.listen.callers).collect(),
+        let load = LoadPlan {
+            lookup_hosts: processes
+                .fleet()
+                .hosts
+                .iter()
+                .map(|h| h.settings.listen.callers)
+                .collect(),
             service: service.into(),
             per_second: 100,
             duration: Duration::from_secs(5),
             method: Method::POST,
             body_bytes: 1_000,
-            prefix: "stop".into(),
-            ..Load::default()
+            id_prefix: "stop".into(),
+            ..LoadPlan::default()
         };
         let loading = compio::runtime::spawn(caller::run(load));
         compio::time::sleep(Duration::from_secs(1)).await;
@@ -360,15 +365,15 @@
             let address = |&h: &usize| processes.fleet().hosts[h].settings.listen.callers;
             hosts.iter().map(address).collect::<Vec<_>>()
         };
-        let load = |prefix: &str, seconds, targets| Load {
+        let load = |prefix: &str, seconds, targets| LoadPlan {
             targets,
             service: "status".into(),
             per_second: DEMAND,
             duration: Duration::from_secs(seconds),
             method: Method::POST,
             body_bytes: 10,
-            prefix: prefix.into(),
-            ..Load::default()
+            id_prefix: prefix.into(),
+            ..LoadPlan::default()
         };
         // Callers use the south's entry hosts, so that only the servers' region
         // fails for them, and none of their own connections.
