--- a/elmstream_config/src/compile.rs
+++ b/elmstream_config/src/compile.rs
@@ -1,4 +1,4 @@
-//! From the operators' configuration to the core's tables.
+//! Compiles the operator configuration into the core's [`Catalog`].
 
 use std::{collections::HashMap, hash::Hash};
 
@@ -11,11 +11,12 @@
 
 use crate::document::{Configuration, DrainKind, Isolation, OncePolicy, Service};
 
-/// Compiles a configuration that has passed its checks.
+/// Compiles a valid configuration into the catalog of the given revision.
 ///
-/// [`Configuration::parse`] runs the checks, so every reference resolves.
+/// [`Configuration::parse`] runs the checks, so every reference resolves; an
+/// entity with an unresolved reference would be left out.
 pub fn compile(c: &Configuration, revision: u64) -> Catalog {
-    let index = Index::of(c);
+    let index = Index::new(c);
     let drained = |kind, name: &str| c.drains.iter().any(|d| d.kind == kind && d.name == name);
     let region = |r: &crate::document::Region| catalog::Region {
         name: r.name.as_str().into(),
@@ -54,7 +55,7 @@
     }
 }
 
-/// Indexes by name.
+/// Position of each entity in its table, by name; the core uses it as id.
 struct Index<'a> {
     regions: HashMap<&'a str, u32>,
     domains: HashMap<&'a str, u32>,
@@ -62,20 +63,20 @@
 }
 
 impl<'a> Index<'a> {
-    fn of(c: &'a Configuration) -> Index<'a> {
+    fn new(c: &'a Configuration) -> Index<'a> {
         Index {
-            regions: number(c.regions.iter().map(|r| r.name.as_str())),
-            domains: number(c.failure_domains.iter().map(|d| d.name.as_str())),
-            services: number(c.services.iter().map(|s| s.name.as_str())),
+            regions: positions(c.regions.iter().map(|r| r.name.as_str())),
+            domains: positions(c.failure_domains.iter().map(|d| d.name.as_str())),
+            services: positions(c.services.iter().map(|s| s.name.as_str())),
         }
     }
 
-    fn pair(&self, from: &str, to: &str) -> Option<(RegionId, RegionId)> {
+    fn region_pair(&self, from: &str, to: &str) -> Option<(RegionId, RegionId)> {
         Some((RegionId(*self.regions.get(from)?), RegionId(*self.regions.get(to)?)))
     }
 }
 
-fn number<K: Hash + Eq>(keys: impl Iterator<Item = K>) -> HashMap<K, u32> {
+fn positions<K: Hash + Eq>(keys: impl Iterator<Item = K>) -> HashMap<K, u32> {
     keys.zip(0..).collect()
 }
 
@@ -123,7 +124,7 @@
 }
 
 fn delays(c: &Configuration, index: &Index<'_>) -> HashMap<(RegionId, RegionId), u64> {
-    let delay = |l: &crate::document::Link| Some((index.pair(&l.from, &l.to)?, l.delay_us));
+    let delay = |l: &crate::document::Link| Some((index.region_pair(&l.from, &l.to)?, l.delay_us));
     c.links.iter().filter_map(delay).collect()
 }
 
@@ -137,7 +138,7 @@
             requests_per_second: l.requests_per_second,
             bytes_per_second: l.bytes_per_second,
         };
-        Some((index.pair(&l.from, &l.to)?, limit))
+        Some((index.region_pair(&l.from, &l.to)?, limit))
     };
     limited.filter_map(link).collect()
 }
@@ -147,7 +148,7 @@
 fn shift_caps(c: &Configuration, index: &Index<'_>) -> Caps {
     let cap = |s: &crate::document::ShiftCap| {
         let service = ServiceId(*index.services.get(s.service.as_str())?);
-        let (from, to) = index.pair(&s.from, &s.to)?;
+        let (from, to) = index.region_pair(&s.from, &s.to)?;
         let cap = catalog::ShiftCap { per_second: s.per_second, ramp: s.ramp_ms * MILLI };
         Some(((service, from, to), cap))
     };
