--- a/elmstream_config/src/document.rs
+++ b/elmstream_config/src/document.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as they write it, in JSON.
+//! The configuration as operators write it, in JSON.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::error::Error;
 
-/// The whole configuration.
+/// The whole configuration. Every field is a table and empty by default.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Configuration {
@@ -15,21 +15,21 @@
     pub regions: Vec<Region>,
     /// Failure domains.
     pub failure_domains: Vec<FailureDomain>,
-    /// Sites and their blocks of clients.
+    /// Sites and the address blocks of their clients.
     pub sites: Vec<Site>,
     /// Services and their policies.
     pub services: Vec<Service>,
     /// Backend servers.
     pub backend_servers: Vec<BackendServer>,
-    /// Bounds on shifts between regions.
+    /// Limits on requests that are served outside their home region.
     pub shift_caps: Vec<ShiftCap>,
-    /// Links between regions.
+    /// Links between regions, with delay and limits.
     pub links: Vec<Link>,
-    /// What is drained.
+    /// Drained entities; they get no new requests.
     pub drains: Vec<Drain>,
 }
 
-/// A region.
+/// A region, which contains failure domains.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
@@ -37,48 +37,49 @@
     pub name: String,
 }
 
-/// A failure domain.
+/// A failure domain: hosts and backend servers that may fail together.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailureDomain {
     /// Its name.
     pub name: String,
-    /// The region that it lies in.
+    /// Name of the region that contains it.
     pub region: String,
 }
 
-/// A site.
+/// A site: clients that share a home region.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
     /// Its name.
     pub name: String,
-    /// The region that serves its clients first.
+    /// Name of the region that serves its clients first.
     pub home_region: String,
-    /// Its blocks of clients.
+    /// Address blocks of its clients.
     #[serde(default)]
     pub blocks: Vec<IpNet>,
 }
 
-/// What a host that may be behind does with a service's requests.
+/// What an entry host does with a service's requests while its state may be
+/// outdated.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Isolation {
-    /// Goes on, in its own region only.
+    /// Serves them in its own region only.
     #[default]
     OwnRegion,
-    /// Answers "not run".
+    /// Refuses them as not run.
     Stop,
 }
 
-/// How a request that may not be repeated is kept from running twice.
+/// How requests that may not be repeated are kept from running twice.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OncePolicy {
-    /// By a ticket where the caller brings one.
+    /// By a ticket, if the caller sends one.
     #[default]
     TicketOptional,
-    /// By a ticket, which the caller must bring.
+    /// By a ticket, which the caller must send.
     TicketRequired,
     /// By a claim row in the table service.
     Claim,
@@ -90,29 +91,29 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Values of `Host` that name it.
+    /// Values of the `Host` header that select it.
     pub hosts: Vec<String>,
-    /// Priority under overload; 0 goes first, 9 last.
+    /// Priority under overload, from 0 (served first) to 9 (served last).
     pub priority: u8,
-    /// Share of live slots that all requests may use, in percent.
+    /// Share of live slots that all requests together may use, in percent.
     pub load_limit_percent: u32,
-    /// Share of live slots kept back from other regions' requests, in percent.
+    /// Share of live slots reserved from requests of other regions, in percent.
     pub headroom_percent: u32,
-    /// Time that a request may take at most, in milliseconds.
+    /// Longest time that a request may take, in milliseconds.
     pub deadline_ms: u64,
-    /// Retries in percent of first tries.
+    /// Retries allowed, in percent of first attempts.
     pub retry_percent: u32,
-    /// Requests that may wait, for each slot of an owner.
+    /// Requests that may wait for each slot of an owner.
     pub queue_per_slot: u32,
     /// Methods whose requests may be repeated.
     pub repeatable_methods: Vec<String>,
-    /// Path prefixes whose requests may be repeated by any method.
+    /// Path prefixes whose requests may be repeated whatever the method.
     pub repeatable_paths: Vec<String>,
     /// How requests that may not be repeated run at most once.
     pub once: OncePolicy,
-    /// What a host that may be behind does.
+    /// What an entry host does while its state may be outdated.
     pub isolation: Isolation,
-    /// Time in which a cold backend server reaches its share, in milliseconds.
+    /// Time in which a cold backend server ramps up to its share, in milliseconds.
     pub slow_start_ms: u64,
 }
 
@@ -136,35 +137,35 @@
     }
 }
 
-/// A backend server.
+/// A backend server, which runs requests of one service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServer {
     /// Its name.
     pub name: String,
-    /// The service that it runs.
+    /// Name of the service that it runs.
     pub service: String,
-    /// The failure domain that it stands in.
+    /// Name of the failure domain that contains it.
     pub failure_domain: String,
-    /// Where it takes requests.
+    /// Address that accepts requests.
     pub address: SocketAddr,
-    /// Requests that it runs at a time.
+    /// Requests that it runs at the same time.
     pub slots: u32,
 }
 
-/// The bound on a shift.
+/// Limit on the requests of one service that one region serves for another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShiftCap {
-    /// The service.
+    /// Name of the service.
     pub service: String,
     /// The callers' home region.
     pub from: String,
-    /// The region that serves.
+    /// The region that serves the requests.
     pub to: String,
-    /// Requests in any second.
+    /// Maximum number of requests in any second.
     pub per_second: u32,
-    /// Time in which a new shift grows to the cap, in milliseconds.
+    /// Time in which a new shift ramps up to the cap, in milliseconds.
     #[serde(default)]
     pub ramp_ms: u64,
 }
@@ -173,22 +174,23 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
-    /// One region.
+    /// Region at one end.
     pub from: String,
-    /// The other region.
+    /// Region at the other end.
     pub to: String,
-    /// Delay one way, in microseconds.
+    /// One-way delay, in microseconds.
     #[serde(default)]
     pub delay_us: u64,
-    /// Requests in any second; 0 is no bound.
+    /// Maximum number of requests in any second; 0 means unlimited.
     #[serde(default)]
     pub requests_per_second: u32,
-    /// Bytes of bodies, both ways, in any second; 0 is no bound.
+    /// Maximum number of body bytes in any second, both directions together; 0
+    /// means unlimited.
     #[serde(default)]
     pub bytes_per_second: u64,
 }
 
-/// What kind of entity a drain names.
+/// Kind of a drained entity.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainKind {
@@ -198,22 +200,25 @@
     FailureDomain,
     /// A region.
     Region,
-    /// An entry host.
+    /// An entry host, by its name in the platform's host list.
     EntryHost,
 }
 
-/// A drain.
+/// An entity that gets no new requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// The kind of the entity.
+    /// Kind of the entity.
     pub kind: DrainKind,
     /// The entity's name.
     pub name: String,
 }
 
 impl Configuration {
-    /// Reads a configuration and checks it.
+    /// Parses a configuration and checks it.
+    ///
+    /// Returns [`Error::Syntax`] if the text is not JSON of this form, and the
+    /// first error of [`check`](crate::check::check) otherwise.
     pub fn parse(text: &str) -> Result<Configuration, Error> {
         let mut source = serde_json::Deserializer::from_str(text);
         let parsed: Result<Configuration, _> = serde_path_to_error::deserialize(&mut source);
@@ -226,8 +231,9 @@
         Ok(configuration)
     }
 
-    /// The canonical text: keys in the order of the types, two spaces.
+    /// Returns the canonical text: JSON with keys in declaration order, indented by
+    /// two spaces.
     pub fn to_text(&self) -> String {
-        serde_json::to_string_pretty(self).expect("a configuration has no map with other keys")
+        serde_json::to_string_pretty(self).expect("configuration keys are strings")
     }
 }
