--- a/elmstream_config/src/error.rs
+++ b/elmstream_config/src/error.rs
@@ -1,11 +1,13 @@
-//! Errors of settings and configuration, each with its number.
+//! Errors of settings and configuration, with their numbers.
 
 use std::path::PathBuf;
 
 use elmstream::code::Code;
 use snafu::Snafu;
 
-/// What is wrong with settings or a configuration.
+/// A fault in settings or in a configuration.
+///
+/// A `path` is the JSON path of the faulty key.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
@@ -17,7 +19,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// A setting is unknown, missing or of the wrong form.
+    /// A setting is unknown, missing or invalid.
     #[snafu(display("E3002 {path}: {reason}"))]
     SettingsInvalid {
         /// The path of the key.
@@ -25,7 +27,7 @@
         /// What is wrong.
         reason: String,
     },
-    /// An address cannot be used.
+    /// An address is malformed.
     #[snafu(display("E3003 {path}: {reason}"))]
     SettingsAddress {
         /// The path of the key.
@@ -33,7 +35,7 @@
         /// What is wrong.
         reason: String,
     },
-    /// A file named in the settings cannot be used.
+    /// A file named in the settings cannot be opened.
     #[snafu(display("E3004 {path}: {reason}"))]
     SettingsFile {
         /// The path of the key.
@@ -41,13 +43,13 @@
         /// What is wrong.
         reason: String,
     },
-    /// The configuration does not know the failure domain of the settings.
+    /// The configuration does not contain the host's failure domain.
     #[snafu(display("E3005 failure_domain: the configuration knows no failure domain {name:?}"))]
     SettingsDomain {
-        /// The failure domain.
+        /// The failure domain of the settings.
         name: String,
     },
-    /// The configuration is not JSON of the documented form.
+    /// The configuration is not JSON of the expected form.
     #[snafu(display("E3101 {path}: {reason}"))]
     Syntax {
         /// The path of the key.
@@ -56,7 +58,7 @@
         reason: String,
     },
     /// Two entities of one kind have the same name.
-    #[snafu(display("E3102 {path}: the name {name:?} stands twice"))]
+    #[snafu(display("E3102 {path}: duplicate name {name:?}"))]
     Duplicate {
         /// The path of the table.
         path: String,
@@ -64,11 +66,11 @@
         name: String,
     },
     /// An entity refers to one that does not exist.
-    #[snafu(display("E3103 {path}: there is no {kind} {name:?}"))]
+    #[snafu(display("E3103 {path}: {kind} {name:?} does not exist"))]
     Reference {
         /// The path of the key.
         path: String,
-        /// The kind of the entity.
+        /// Kind of the missing entity.
         kind: &'static str,
         /// The name.
         name: String,
@@ -81,20 +83,20 @@
         /// What is wrong.
         reason: String,
     },
-    /// Two sites claim the same block.
-    #[snafu(display("E3105 {path}: the block {block} belongs to site {other:?} already"))]
+    /// Two sites have the same block.
+    #[snafu(display("E3105 {path}: block {block} already belongs to site {other:?}"))]
     Overlap {
         /// The path of the key.
         path: String,
         /// The block.
         block: String,
-        /// The other site.
+        /// Name of the other site.
         other: String,
     },
 }
 
 impl Error {
-    /// The error's number.
+    /// Returns the result code, which holds the error's number.
     pub fn code(&self) -> Code {
         match self {
             Error::SettingsUnreadable { .. } => Code::SettingsUnreadable,
