--- a/elmstream_config/src/settings.rs
+++ b/elmstream_config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, in JSON, each checked at the start.
+//! Daemon settings in JSON, checked when they are loaded.
 
 use std::{
     fs,
@@ -17,21 +17,21 @@
 pub struct Settings {
     /// The entry host's name, as in the platform's host list.
     pub name: String,
-    /// The failure domain that it stands in.
+    /// Name of the failure domain that contains it.
     pub failure_domain: String,
-    /// Where it listens.
+    /// Addresses to listen on.
     pub listen: Listen,
-    /// The cluster's key.
+    /// Key shared by all entry hosts.
     pub cluster: Cluster,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Who may read and change.
+    /// Operators who may read or change state; none by default.
     #[serde(default)]
     pub operators: Vec<Operator>,
-    /// Callers' side.
+    /// How callers are served.
     #[serde(default)]
     pub callers: Callers,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub logging: Logging,
 }
@@ -40,35 +40,35 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers, HTTP.
+    /// HTTP for callers.
     pub callers: SocketAddr,
-    /// For other entry hosts, QUIC.
+    /// QUIC for other entry hosts.
     pub peers: SocketAddr,
-    /// For operators, RPC over HTTP/2 and TLS.
+    /// RPC for operators, over HTTP/2 and TLS.
     pub operators: SocketAddr,
-    /// For `/metrics`, HTTP.
+    /// HTTP for `/metrics`; `None` disables it.
     pub metrics: Option<SocketAddr>,
 }
 
-/// The key that proves an entry host to the others.
+/// The key by which entry hosts authenticate each other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
-    /// File with the cluster's private key, PEM.
+    /// File with the cluster's private key in PEM.
     pub key: PathBuf,
 }
 
-/// The platform's services.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Base of the table service's URLs.
+    /// Base URL of the table service.
     pub table: String,
-    /// Base of the object store's URLs.
+    /// Base URL of the object store.
     pub objects: String,
     /// URL of the host list.
     pub hosts: String,
-    /// Time after which a call is given up, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "Platform::default_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -79,39 +79,39 @@
     }
 }
 
-/// What an operator may do.
+/// Permissions of an operator.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Read only.
+    /// May read state.
     Read,
-    /// Read and change.
+    /// May read and change state.
     Change,
 }
 
-/// An operator.
+/// An operator, authenticated by a token.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// The name in the audit trail.
+    /// Name in the audit trail.
     pub name: String,
-    /// What the operator may do.
+    /// Permissions.
     pub role: Role,
     /// SHA-256 of the token, in hexadecimal.
     pub token_sha256: String,
 }
 
-/// Settings of the callers' side.
+/// How callers are served.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Callers {
-    /// File with the certificate chain, PEM; TLS is off without it.
+    /// File with the certificate chain in PEM; `None` disables TLS.
     pub certificate: Option<PathBuf>,
-    /// File with the certificate's private key, PEM.
+    /// File with the certificate's private key in PEM.
     pub key: Option<PathBuf>,
-    /// Time that a look-up's answer may be cached, in milliseconds.
+    /// Time for which callers may cache the answer to a look-up, in milliseconds.
     pub lookup_ttl_ms: u64,
-    /// Requests in flight at most, over all services.
+    /// Maximum number of requests in flight, over all services.
     pub in_flight_max: u32,
 }
 
@@ -121,11 +121,11 @@
     }
 }
 
-/// Settings of the logs.
+/// Logging.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Logging {
-    /// The least level that is written: error, warn, info, debug or trace.
+    /// Most detailed level that is logged: off, error, warn, info, debug or trace.
     pub level: String,
 }
 
@@ -135,19 +135,24 @@
     }
 }
 
-/// Levels that a log may have.
+/// Valid values of [`Logging::level`].
 const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
-/// Hexadecimal digits of a SHA-256.
+/// Hexadecimal digits of a SHA-256 hash.
 const SHA256_DIGITS: usize = 64;
 
 impl Settings {
     /// Reads settings from a file and checks them.
+    ///
+    /// Returns [`Error::SettingsUnreadable`] if the file cannot be read, and
+    /// otherwise the errors of [`Settings::parse`].
     pub fn load(path: &Path) -> Result<Settings, Error> {
         let text = fs::read_to_string(path).context(SettingsUnreadableSnafu { path })?;
         Settings::parse(&text)
     }
 
-    /// Reads settings and checks them.
+    /// Parses settings and checks them.
+    ///
+    /// Also opens the files that they name. Returns the first error found.
     pub fn parse(text: &str) -> Result<Settings, Error> {
         let mut source = serde_json::Deserializer::from_str(text);
         let parsed: Result<Settings, _> = serde_path_to_error::deserialize(&mut source);
@@ -176,28 +181,28 @@
         check_file("cluster.key", Some(&self.cluster.key))?;
         check_file("callers.certificate", self.callers.certificate.as_deref())?;
         check_file("callers.key", self.callers.key.as_deref())?;
-        let paired = self.callers.certificate.is_some() == self.callers.key.is_some();
-        require(paired, "callers.key", "certificate and key go together")?;
-        let known = LEVELS.contains(&self.logging.level.as_str());
-        require(known, "logging.level", "must be off, error, warn, info, debug or trace")?;
+        let are_paired = self.callers.certificate.is_some() == self.callers.key.is_some();
+        require(are_paired, "callers.key", "certificate and key must be set together")?;
+        let is_known = LEVELS.contains(&self.logging.level.as_str());
+        require(is_known, "logging.level", "must be off, error, warn, info, debug or trace")?;
         self.operators.iter().enumerate().try_for_each(|(i, o)| check_operator(i, o))
     }
 }
 
-fn require(holds: bool, path: &str, reason: &str) -> Result<(), Error> {
-    if holds {
+fn require(condition: bool, path: &str, reason: &str) -> Result<(), Error> {
+    if condition {
         return Ok(());
     }
     Err(Error::SettingsInvalid { path: path.into(), reason: reason.into() })
 }
 
-/// Platform addresses are `http://` and an IP number.
+/// Checks that a platform URL is `http://` followed by an IP address and a port.
 fn check_url(path: &str, url: &str) -> Result<(), Error> {
     let authority = url.strip_prefix("http://").and_then(|rest| rest.split('/').next());
     if authority.is_some_and(|a| a.parse::<SocketAddr>().is_ok()) {
         return Ok(());
     }
-    let reason = format!("{url:?} is not http://ADDRESS:PORT with an IP number");
+    let reason = format!("{url:?} is not http://ADDRESS:PORT with an IP address");
     Err(Error::SettingsAddress { path: path.into(), reason })
 }
 
