--- a/elmstream_config/tests/checks.rs
+++ b/elmstream_config/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of settings and configurations, and their differences.
+//! Checks of settings and configurations, and edits between configurations.
 
 use elmstream::code::Code;
 use elmstream_config::{
@@ -12,7 +12,7 @@
 /// Seed of the generated cases.
 const SEED: u64 = 20_261_202;
 
-fn good() -> Value {
+fn valid_document() -> Value {
     json!({
         "regions": [{"name": "north"}, {"name": "south"}],
         "failure_domains": [{"name": "na", "region": "north"}, {"name": "sa", "region": "south"}],
@@ -26,15 +26,15 @@
     })
 }
 
-fn code_of(change: impl FnOnce(&mut Value)) -> Option<Code> {
-    let mut document = good();
+fn error_code(change: impl FnOnce(&mut Value)) -> Option<Code> {
+    let mut document = valid_document();
     change(&mut document);
     Configuration::parse(&document.to_string()).err().map(|e| e.code())
 }
 
 #[test]
-fn each_fault_of_a_configuration_has_its_number() {
-    assert_eq!(code_of(|_| {}), None);
+fn each_configuration_fault_has_its_error_code() {
+    assert_eq!(error_code(|_| {}), None);
     let cases: [(&str, Value, Code); 9] = [
         ("/services/0/colour", json!("red"), Code::ConfigurationSyntax),
         ("/failure_domains/0/region", json!("west"), Code::ConfigurationReference),
@@ -49,24 +49,24 @@
     for (pointer, value, code) in cases {
         let (parent, key) = pointer.rsplit_once('/').unwrap();
         let change = |d: &mut Value| d.pointer_mut(parent).unwrap()[key] = value;
-        assert_eq!(code_of(change), Some(code), "{pointer}");
+        assert_eq!(error_code(change), Some(code), "{pointer}");
     }
     let two = json!([{"name": "a", "home_region": "north", "blocks": ["10.1.0.0/16"]},
                      {"name": "b", "home_region": "south", "blocks": ["10.1.0.0/16"]}]);
-    assert_eq!(code_of(|d| d["sites"] = two), Some(Code::ConfigurationOverlap));
+    assert_eq!(error_code(|d| d["sites"] = two), Some(Code::ConfigurationOverlap));
 }
 
 #[test]
-fn a_fault_is_told_with_its_path() {
-    let mut document = good();
+fn error_contains_path_of_invalid_key() {
+    let mut document = valid_document();
     document["backend_servers"][0]["slots"] = json!("four");
     let error = Configuration::parse(&document.to_string()).unwrap_err().to_string();
     assert!(error.contains("E3101 backend_servers[0].slots"), "{error}");
 }
 
 #[test]
-fn edits_lead_from_one_configuration_to_the_other() {
-    let old = Configuration::parse(&good().to_string()).unwrap();
+fn applying_difference_yields_new_configuration() {
+    let old = Configuration::parse(&valid_document().to_string()).unwrap();
     let mut next = old.clone();
     next.backend_servers[0].slots = 8;
     next.drains.clear();
@@ -77,11 +77,12 @@
     assert!(difference(&next, &next).is_empty());
 }
 
-/// Edits of a site are refused exactly where the whole would be.
+/// `apply` compares only the blocks of edited sites. This guards against an edit
+/// that it accepts although the whole configuration is invalid, or the reverse.
 #[test]
-fn an_edit_that_claims_a_block_is_refused_as_the_whole_would_be() {
+fn apply_rejects_overlapping_blocks_like_parse() {
     fn property(towns: Vec<u8>, villages: Vec<u8>) -> bool {
-        let mut old = Configuration::parse(&good().to_string()).unwrap();
+        let mut old = Configuration::parse(&valid_document().to_string()).unwrap();
         let block = |n: &u8| format!("10.{}.0.0/16", n % 32).parse().unwrap();
         old.sites[0].blocks = towns.iter().map(block).collect();
         let Ok(old) = Configuration::parse(&old.to_text()) else { return true };
@@ -98,14 +99,14 @@
     QuickCheck::new().rng(source).tests(500).quickcheck(property);
 }
 
-/// Whatever the bytes, there is a configuration or a numbered error; and what
-/// passes its checks compiles.
+/// Corrupts bytes of a valid configuration. Parsing must return a configuration
+/// that compiles, or a numbered error, and never panic.
 #[test]
-fn nothing_that_is_read_makes_it_panic() {
-    fn property(place: usize, bytes: Vec<u8>) -> bool {
-        let mut text = good().to_string().into_bytes();
-        let place = place % text.len();
-        text.splice(place..(place + bytes.len() / 2).min(text.len()), bytes);
+fn corrupted_configuration_never_panics() {
+    fn property(offset: usize, bytes: Vec<u8>) -> bool {
+        let mut text = valid_document().to_string().into_bytes();
+        let offset = offset % text.len();
+        text.splice(offset..(offset + bytes.len() / 2).min(text.len()), bytes);
         let text = String::from_utf8_lossy(&text);
         match Configuration::parse(&text) {
             Ok(configuration) => compile(&configuration, 1).revision == 1,
@@ -118,7 +119,7 @@
     QuickCheck::new().rng(source).tests(2_000).quickcheck(property);
 }
 
-fn settings() -> Value {
+fn valid_settings() -> Value {
     json!({
         "name": "host-1", "failure_domain": "na",
         "listen": {"callers": "127.0.0.1:1", "peers": "127.0.0.1:2", "operators": "127.0.0.1:3"},
@@ -129,8 +130,8 @@
 }
 
 #[test]
-fn each_fault_of_settings_has_its_number_and_path() {
-    assert!(Settings::parse(&settings().to_string()).is_ok());
+fn each_settings_fault_has_its_error_number_and_path() {
+    assert!(Settings::parse(&valid_settings().to_string()).is_ok());
     let cases = [
         ("/colour", json!("red"), "E3002"),
         ("/name", json!(""), "E3002 name"),
@@ -145,11 +146,11 @@
         ),
         ("/callers", json!({"certificate": "/dev/null"}), "E3002 callers.key"),
     ];
-    for (pointer, value, wanted) in cases {
-        let mut document = settings();
+    for (pointer, value, expected) in cases {
+        let mut document = valid_settings();
         let (parent, key) = pointer.rsplit_once('/').unwrap();
         document.pointer_mut(parent).unwrap()[key] = value;
         let error = Settings::parse(&document.to_string()).unwrap_err().to_string();
-        assert!(error.starts_with(wanted), "{pointer}: {error}");
+        assert!(error.starts_with(expected), "{pointer}: {error}");
     }
 }
