--- a/elmstream_config/src/lib.rs
+++ b/elmstream_config/src/lib.rs
@@ -1,5 +1,9 @@
-//! Settings of the daemon and the operators' configuration: types, checks,
-//! canonical form and difference.
+//! Daemon settings and operator configuration.
+//!
+//! [`Settings`] belong to one entry host and are read at start. The
+//! [`Configuration`] is shared by all entry hosts: [`check`] validates it,
+//! [`compile`] turns it into the core's catalog, and [`difference`] computes and
+//! applies edits between two versions.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
