--- a/elmstream_proto/src/peer.rs
+++ b/elmstream_proto/src/peer.rs
@@ -1,10 +1,11 @@
 //! Messages between entry hosts, over QUIC.
 //!
-//! Each exchange has a bidirectional stream of its own. A stream begins with a
-//! length-prefixed [`Open`] and is answered by a length-prefixed [`Reply`]; for
-//! a request, raw bytes of the body follow in each direction to the end of the
-//! stream. A stream that is reset was cut. The codec is `postcard`; the ALPN
-//! name carries the protocol's version.
+//! Each exchange uses its own bidirectional stream. It begins with a
+//! length-prefixed [`Open`], answered by a length-prefixed [`Reply`]. For a
+//! request, the raw body follows in each direction until the end of the
+//! stream. A reset stream means that the body was aborted. Messages are encoded by
+//! `postcard`, which goes by the order of fields and variants; the ALPN name
+//! contains the protocol's version.
 
 use elmstream::{
     id::Name,
@@ -14,11 +15,11 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use snafu::{ResultExt, Snafu};
 
-/// The protocol's name and version, for ALPN.
+/// ALPN name: protocol and version.
 pub const ALPN: &str = "elmstream/1";
-/// The longest message, in bytes; a configuration of the planned size fits.
+/// Maximum message size in bytes; a whole configuration of the planned size fits.
 pub const MESSAGE_MAX: usize = 64 << 20;
-/// Bytes of the length before each message.
+/// Size of the length prefix of each message, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
 /// The first message of a stream.
@@ -26,15 +27,15 @@
 pub enum Open {
     /// A heartbeat.
     Heartbeat(Heartbeat),
-    /// A fence.
+    /// A fence: a witness must promise no more renewals at its epoch or earlier.
     Fence(Fence),
-    /// A revision that was accepted.
+    /// A newly accepted revision of the configuration.
     Push(Push),
-    /// Asks for the configuration in force.
+    /// Requests the configuration in force.
     Fetch,
-    /// A request to be run by the asked host as owner.
+    /// A request that the receiver is to run as owner.
     Request(RequestHead),
-    /// A ticketed request, brought to the host that issued the ticket.
+    /// A request with a ticket, forwarded to the host that issued the ticket.
     Ticketed(Ticket, RequestHead),
 }
 
@@ -45,59 +46,59 @@
     Heartbeat(HeartbeatReply),
     /// To a fence.
     Fence(FenceReply),
-    /// To a push, once the hosts that it was passed on to have answered.
+    /// To a push, after the hosts that it was forwarded to have answered.
     Pushed(Pushed),
-    /// To a fetch.
+    /// To a fetch; `None` if no configuration is in force.
     Configuration(Option<Revision>),
-    /// To a request: it has a slot, the body may follow.
+    /// To a request: it has a slot, and its body may follow.
     Admitted,
-    /// To a request: the backend server's answer, the body follows.
+    /// To a request: the backend server's answer, whose body follows.
     Answer(AnswerHead),
-    /// To a request: no answer.
+    /// To a request without an answer, and to a malformed message.
     Refused(Refused),
 }
 
-/// A refusal, or a failure whose outcome is unknown.
+/// A refused request, or a failed one that may have run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Refused {
-    /// The number of the code.
+    /// Number of the result code.
     pub code: u16,
-    /// Microseconds after which asking again may help.
+    /// Time after which a retry may succeed, in microseconds.
     pub retry_after: u64,
-    /// What the owner has of the service now.
+    /// The owner's current load of the service.
     pub load: Option<ServiceLoad>,
 }
 
-/// A revision of the configuration, whole.
+/// A complete revision of the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Revision {
-    /// Its number.
+    /// Revision number.
     pub revision: u64,
     /// The configuration as JSON.
     pub document: String,
 }
 
-/// A revision of the configuration, as its difference to the one before.
+/// A revision of the configuration, as edits to the previous one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Push {
-    /// Its number.
+    /// Revision number.
     pub revision: u64,
-    /// The edits that lead to it from the revision before, as JSON.
+    /// Edits that turn the previous revision into this one, as JSON.
     pub edits: String,
-    /// Hosts that the receiver passes it on to.
+    /// Hosts that the receiver forwards it to.
     pub forward_to: Vec<Name>,
 }
 
-/// What became of a push at a host and those that it passed it on to.
+/// The result of a push at the receiver and at the hosts that it forwarded to.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Pushed {
-    /// The revision in force at the host itself.
+    /// Revision in force at the receiver.
     pub revision: u64,
-    /// Hosts of those below it that did not say that they took it.
+    /// Hosts in [`Push::forward_to`] that did not confirm the revision.
     pub missing: Vec<Name>,
 }
 
-/// A header.
+/// An HTTP header.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Header {
     /// Its name.
@@ -109,13 +110,13 @@
 /// A request without its body.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RequestHead {
-    /// Names the request, for `elmctl explain`.
+    /// Id of the request, for `elmctl explain`.
     pub id: u64,
-    /// The service.
+    /// Name of the service.
     pub service: Name,
     /// The caller's home region.
     pub home: Name,
-    /// The method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
@@ -123,42 +124,42 @@
     pub headers: Vec<Header>,
     /// Whether a body follows.
     pub has_body: bool,
-    /// Time left, in microseconds.
+    /// Time left until the request's deadline, in microseconds.
     pub remaining_us: u64,
-    /// Time that it may wait for a slot, in microseconds.
+    /// Longest time that it may wait for a slot, in microseconds.
     pub max_wait_us: u64,
 }
 
 /// An answer without its body.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AnswerHead {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: Vec<Header>,
     /// The backend server that answered.
     pub backend: Name,
-    /// What the owner has of the service now.
+    /// The owner's current load of the service.
     pub load: Option<ServiceLoad>,
 }
 
-/// A message that cannot be coded or decoded.
+/// A message that cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 #[snafu(display("E3201 a message from another entry host is malformed: {source}"))]
 pub struct CodecError {
     source: postcard::Error,
 }
 
-/// Codes a message with its length in front.
+/// Encodes a message, preceded by its length in [`LENGTH_BYTES`] bytes, big-endian.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
-    let coded = postcard::to_extend(message, vec![0; LENGTH_BYTES]).context(CodecSnafu)?;
-    let length = (coded.len() - LENGTH_BYTES) as u32;
-    let mut coded = coded;
-    coded[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
-    Ok(coded)
+    let encoded = postcard::to_extend(message, vec![0; LENGTH_BYTES]).context(CodecSnafu)?;
+    let length = (encoded.len() - LENGTH_BYTES) as u32;
+    let mut encoded = encoded;
+    encoded[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+    Ok(encoded)
 }
 
-/// Decodes a message without its length.
+/// Decodes a message, given without its length prefix.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     postcard::from_bytes(bytes).context(CodecSnafu)
 }
