--- a/elmstream_proto/src/identity.rs
+++ b/elmstream_proto/src/identity.rs
@@ -1,9 +1,9 @@
-//! The cluster's key, and the certificates that follow from it.
+//! The cluster key, and the certificates and TLS configurations derived from it.
 //!
-//! Every entry host has the cluster's private key in its settings. From it the
-//! host makes a certification authority, the same on all hosts, and signs a
-//! certificate for itself at each start. Whoever shows a certificate of this
-//! authority has proved the key.
+//! Every entry host has the cluster's private key in its settings. From it, each
+//! host derives an equal certificate authority and signs a certificate for itself
+//! at each start. A peer with a certificate of this authority has proved that it
+//! holds the cluster key.
 
 use std::sync::Arc;
 
@@ -14,10 +14,10 @@
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, pem::PemObject};
 use snafu::{ResultExt, Snafu};
 
-/// The name in every entry host's certificate.
+/// Server name in every entry host's certificate.
 pub const SERVER_NAME: &str = "elmstream";
-/// The name of the authority.
-const AUTHORITY: &str = "elmstream cluster";
+/// Common name of the certificate authority.
+const AUTHORITY_NAME: &str = "elmstream cluster";
 
 /// A key or certificate that cannot be used.
 #[derive(Debug, Snafu)]
@@ -28,27 +28,27 @@
         /// The cause.
         source: rcgen::Error,
     },
-    /// A certificate cannot be read.
+    /// A certificate, or the private key that belongs to it, is not valid PEM.
     #[snafu(display("not a certificate in PEM: {source}"))]
     Certificate {
         /// The cause.
         source: rustls_pki_types::pem::Error,
     },
-    /// TLS does not take key or certificate.
-    #[snafu(display("TLS refuses key or certificate: {source}"))]
+    /// TLS rejects the key or the certificate.
+    #[snafu(display("TLS rejects the key or the certificate: {source}"))]
     Tls {
         /// The cause.
         source: rustls::Error,
     },
-    /// The verifier of clients cannot be built.
-    #[snafu(display("the verifier cannot be built: {source}"))]
+    /// The client certificate verifier cannot be built.
+    #[snafu(display("cannot build the client certificate verifier: {source}"))]
     Verifier {
         /// The cause.
         source: rustls::client::VerifierBuilderError,
     },
 }
 
-/// What a host proves itself by.
+/// Certificate and key of one entry host, with the authority that signed it.
 #[derive(Debug)]
 pub struct Identity {
     authority: CertificateDer<'static>,
@@ -56,19 +56,20 @@
     leaf_key: PrivateKeyDer<'static>,
 }
 
-/// A new cluster key, in PEM.
+/// Generates a cluster key, in PEM.
 pub fn generate_key() -> Result<String, Error> {
     Ok(KeyPair::generate().context(KeySnafu)?.serialize_pem())
 }
 
-/// The authority's certificate for a cluster key, both in PEM.
+/// Returns the authority's certificate for a cluster key, both in PEM.
 pub fn authority_pem(key: &str) -> Result<String, Error> {
     let key = KeyPair::from_pem(key).context(KeySnafu)?;
-    let certificate = authority().self_signed(&key).context(KeySnafu)?;
+    let certificate = authority_params().self_signed(&key).context(KeySnafu)?;
     Ok(certificate.pem())
 }
 
-/// TLS for a client that trusts the authority only and proves nothing.
+/// Returns the TLS configuration of a client without certificate that trusts only
+/// the authority in `pem`.
 pub fn client_config_for_authority(pem: &str) -> Result<ClientConfig, Error> {
     let der = CertificateDer::from_pem_slice(pem.as_bytes()).context(CertificateSnafu)?;
     let mut roots = RootCertStore::empty();
@@ -78,7 +79,8 @@
     Ok(builder.with_root_certificates(roots).with_no_client_auth())
 }
 
-/// TLS for a server with a certificate chain and key of its own, in PEM.
+/// Returns the TLS configuration of a server with the given certificate chain and
+/// private key, both in PEM.
 pub fn server_config_from_pem(chain: &[u8], key: &[u8]) -> Result<ServerConfig, Error> {
     let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(chain).collect();
     let key = PrivateKeyDer::from_pem_slice(key).context(CertificateSnafu)?;
@@ -87,10 +89,10 @@
 }
 
 impl Identity {
-    /// Makes the authority and a certificate signed by it.
+    /// Derives the authority from a cluster key in PEM, and signs a new certificate.
     pub fn new(key: &str) -> Result<Identity, Error> {
         let key = KeyPair::from_pem(key).context(KeySnafu)?;
-        let params = authority();
+        let params = authority_params();
         let authority = params.self_signed(&key).context(KeySnafu)?;
         let issuer = Issuer::from_params(&params, &key);
         let leaf_key = KeyPair::generate().context(KeySnafu)?;
@@ -103,7 +105,8 @@
         })
     }
 
-    /// TLS towards other entry hosts, both sides proved.
+    /// Returns the TLS configuration for connections to other entry hosts, with
+    /// certificates on both sides.
     pub fn peer_client_config(&self) -> Result<ClientConfig, Error> {
         let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()));
         let builder = builder.with_safe_default_protocol_versions().context(TlsSnafu)?;
@@ -112,7 +115,8 @@
         builder.with_client_auth_cert(chain, self.leaf_key.clone_key()).context(TlsSnafu)
     }
 
-    /// TLS for other entry hosts; a client that proves nothing gets nothing.
+    /// Returns the TLS configuration for connections from other entry hosts. A
+    /// client without a certificate of the authority is rejected.
     pub fn peer_server_config(&self) -> Result<ServerConfig, Error> {
         let provider = Arc::new(ring::default_provider());
         let roots = Arc::new(self.roots()?);
@@ -122,7 +126,8 @@
         self.with_leaf(builder)
     }
 
-    /// TLS for operators, who prove themselves by a token.
+    /// Returns the TLS configuration for operators, who authenticate by a token
+    /// instead of a certificate.
     pub fn operator_server_config(&self) -> Result<ServerConfig, Error> {
         self.with_leaf(server_builder()?.with_no_client_auth())
     }
@@ -147,11 +152,12 @@
     builder.with_safe_default_protocol_versions().context(TlsSnafu)
 }
 
-/// The authority's certificate before it is signed; the same on all hosts.
-fn authority() -> CertificateParams {
+/// Returns the parameters of the authority's certificate. They are equal on all
+/// hosts, so that each host accepts certificates that the others signed.
+fn authority_params() -> CertificateParams {
     let mut params = CertificateParams::default();
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign];
-    params.distinguished_name.push(DnType::CommonName, AUTHORITY);
+    params.distinguished_name.push(DnType::CommonName, AUTHORITY_NAME);
     params
 }
