--- a/elmstream_proto/tests/messages.rs
+++ b/elmstream_proto/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts: whatever the bytes, a message or a numbered error.
+//! Encoding of messages between hosts: round trip, size and malformed bytes.
 
 use elmstream::{
     id::{HostRef, Incarnation},
@@ -11,25 +11,28 @@
 const SEED: u64 = 20_261_202;
 
 #[test]
-fn a_message_comes_back_as_it_was() {
+fn decoding_restores_the_encoded_message() {
     let push = Push { revision: 7, edits: "[]".into(), forward_to: vec!["host-2".into()] };
     let open = Open::Push(push);
-    let coded = encode(&open).unwrap();
-    assert_eq!(decode::<Open>(&coded[LENGTH_BYTES..]).unwrap(), open);
+    let encoded = encode(&open).unwrap();
+    assert_eq!(decode::<Open>(&encoded[LENGTH_BYTES..]).unwrap(), open);
 }
 
-/// Bytes of a heartbeat with three services: measured 86, a margin of a tenth.
-const HEARTBEAT_BYTES: usize = 95;
+/// Maximum size of a heartbeat with three services, in bytes. It takes 86, and the
+/// margin is a tenth.
+const HEARTBEAT_BYTES_MAX: usize = 95;
 
+/// Every host sends heartbeats to several others all the time, so a field that
+/// grows them costs bandwidth in the whole fleet.
 #[test]
-fn a_heartbeat_stays_small() {
+fn heartbeat_size_is_bounded() {
     let load = |service: &str| ServiceLoad {
         service: service.into(),
         slots: 40,
         in_flight: 17,
         queued: 2,
     };
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         from: HostRef { host: "host-2899".into(), incarnation: Incarnation(u64::MAX / 3) },
         domain: "domain-19".into(),
         region: "region-6".into(),
@@ -42,16 +45,18 @@
         lingering: Vec::new(),
         sightings: Vec::new(),
     };
-    let bytes = encode(&Open::Heartbeat(beat)).unwrap().len();
-    assert!(bytes <= HEARTBEAT_BYTES, "{bytes}");
+    let bytes = encode(&Open::Heartbeat(heartbeat)).unwrap().len();
+    assert!(bytes <= HEARTBEAT_BYTES_MAX, "{bytes}");
 }
 
+/// Random bytes must decode to a message or to the numbered error, and never panic.
 #[test]
-fn no_bytes_make_it_panic() {
+fn malformed_bytes_never_panic() {
     fn property(bytes: Vec<u8>) -> bool {
-        let told = |e: elmstream_proto::peer::CodecError| e.to_string().starts_with("E3201");
-        decode::<Open>(&bytes).map_or_else(told, |_| true)
-            && decode::<Reply>(&bytes).map_or_else(told, |_| true)
+        let has_error_number =
+            |e: elmstream_proto::peer::CodecError| e.to_string().starts_with("E3201");
+        decode::<Open>(&bytes).map_or_else(has_error_number, |_| true)
+            && decode::<Reply>(&bytes).map_or_else(has_error_number, |_| true)
     }
     println!("seed {SEED}");
     let source = Gen::from_size_and_seed(200, SEED);
