--- a/elmstream_proto/src/lib.rs
+++ b/elmstream_proto/src/lib.rs
@@ -1,8 +1,9 @@
-//! Schema and typed messages of elmstream's own protocols.
+//! Types of elmstream's protocols.
 //!
-//! [`operators`] is generated from `proto/operators.proto`; [`peer`] are the
-//! messages between entry hosts, [`header`] the names of HTTP headers,
-//! [`identity`] how hosts prove themselves to each other.
+//! [`operators`] contains the operator RPCs, generated from
+//! `proto/operators.proto`; [`peer`] the messages between entry hosts; [`header`]
+//! the names of HTTP headers; and [`identity`] the keys, certificates and TLS
+//! configurations.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
@@ -10,7 +11,7 @@
 pub mod identity;
 pub mod peer;
 
-/// The operators' RPCs, generated from `proto/operators.proto`.
+/// Operator RPCs, generated from `proto/operators.proto`.
 #[allow(missing_docs, clippy::all)]
 pub mod operators {
     include!("generated/elmstream.v1.rs");
