--- a/elmstream_standin/src/backend.rs
+++ b/elmstream_standin/src/backend.rs
@@ -1,4 +1,9 @@
 //! Stand-in for a backend server.
+//!
+//! Runs each request for a configured time and answers with JSON that identifies
+//! the server, the request's id, and the length and SHA-256 of the body, so that
+//! the caller can check the answer. `/bytes/N` is answered with N zero bytes.
+//! `/_standin/behaviour` sets speed and faults; `/_standin/seen` returns counts.
 
 use std::{
     cell::RefCell,
@@ -24,128 +29,132 @@
 
 use crate::reply;
 
-/// Header with the time after which a request must not begin, Unix milliseconds.
+/// Header with the time after which a request must not begin, in milliseconds since
+/// the Unix epoch.
 const BEGIN_BY: &str = "elmstream-begin-by";
-/// Header with the time after which it must end, Unix milliseconds.
+/// Header with the time after which a request must end, in milliseconds since the
+/// Unix epoch.
 const DEADLINE: &str = "elmstream-deadline";
 /// Header with the caller's id of the request.
 const REQUEST_ID: &str = "elmstream-request-id";
-/// Header that says that the request was not run.
+/// Response header that marks a request as not run.
 const SHED: &str = "elmstream-shed";
 /// Microseconds in a millisecond.
 const MILLI: u64 = 1_000;
-/// Longest time that a request runs, in milliseconds.
+/// Longest time for which a request runs, in milliseconds.
 const WORK_MAX_MS: u64 = 3_600_000;
-/// Bytes of an answer that is cut.
-const CUT_AFTER: usize = 8;
-/// Time between them and the cut, so that they are on their way.
-const CUT_PAUSE: Duration = Duration::from_millis(30);
-/// Bytes in a chunk of a long answer.
-const CHUNK: usize = 64 << 10;
+/// Bytes of a truncated answer that are sent before it is aborted.
+const TRUNCATED_BYTES: usize = 8;
+/// Time between these bytes and the abort, so that they reach the network first.
+const ABORT_DELAY: Duration = Duration::from_millis(30);
+/// Size of the chunks of a long answer, in bytes.
+const CHUNK_BYTES: usize = 64 << 10;
 
-/// Faults and speed of a backend server.
+/// Speed and faults of a backend server.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Behaviour {
     /// Time to run a request, in milliseconds.
     pub run_ms: u64,
-    /// Draws each request's time from an exponential distribution of that mean.
+    /// Draws each request's time from an exponential distribution with mean `run_ms`.
     pub exponential: bool,
-    /// Requests that run at a time, more wait their turn; 0 is no bound.
+    /// Maximum number of requests that run at the same time, while others wait in
+    /// order of arrival; 0 means unlimited.
     pub slots: u32,
-    /// Refuses every request as not run.
+    /// Refuses every request, marked as not run.
     pub shed: bool,
-    /// Cuts answers in the middle.
+    /// Aborts each answer after its first bytes.
     pub truncate: bool,
-    /// Takes requests and never answers.
+    /// Accepts requests and never answers them.
     pub hung: bool,
-    /// Answers each request so much later, in milliseconds.
+    /// Additional time to run each request, in milliseconds.
     pub late_ms: u64,
-    /// Reports this load in place of the true one.
+    /// Number of requests in flight to report in place of the true one.
     pub false_load: Option<u32>,
 }
 
-/// What a backend server has seen.
+/// Counts of the requests of a backend server.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct RequestStats {
-    /// Requests that it began to run.
+    /// Requests that began to run.
     pub runs: u64,
-    /// Most requests that ran at a time.
+    /// Highest number of requests that ran at the same time.
     pub in_flight_max: u32,
-    /// Requests that run now.
+    /// Requests that are running.
     pub in_flight: u32,
-    /// Most requests that waited for a slot at a time.
+    /// Highest number of requests that waited for a slot at the same time, since the
+    /// behaviour was last set.
     pub waiting_max: u32,
-    /// Requests refused because their deadline had passed.
+    /// Requests refused because their begin-by time or deadline had passed.
     pub after_deadline: u64,
-    /// Requests whose caller's id was run already, here.
+    /// Runs of a POST request whose id this server had run before.
     pub repeated: u64,
-    /// Milliseconds since the Unix epoch when it last began a request.
+    /// Time when the last request began, in milliseconds since the Unix epoch.
     pub last_begin_ms: u64,
-    /// Caller's ids of requests that may not be repeated and were run.
+    /// Number of runs by id, of POST requests, which may not be repeated.
     pub ids: HashMap<String, u32>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     behaviour: RefCell<Behaviour>,
-    seen: RefCell<RequestStats>,
-    /// Requests that wait for a slot, first come first served.
+    stats: RefCell<RequestStats>,
+    /// Requests that wait for a slot, in order of arrival.
     waiting: RefCell<VecDeque<oneshot::Sender<()>>>,
 }
 
 impl State {
-    /// Waits for a slot, if the behaviour bounds them.
+    /// Waits until one of `slots` is free; 0 means unlimited.
     async fn wait_for_slot(&self, slots: u32) {
-        let is_free = slots == 0 || self.seen.borrow().in_flight < slots;
+        let is_free = slots == 0 || self.stats.borrow().in_flight < slots;
         if is_free {
             return;
         }
-        let _ = self.queue().await;
+        let _ = self.enqueue().await;
     }
 
-    /// Takes a place in the queue.
-    fn queue(&self) -> oneshot::Receiver<()> {
-        let (waker, woken) = oneshot::channel();
+    /// Appends to the queue, and returns the receiver of the wake-up.
+    fn enqueue(&self) -> oneshot::Receiver<()> {
+        let (wake_sender, wake_receiver) = oneshot::channel();
         let mut waiting = self.waiting.borrow_mut();
-        waiting.push_back(waker);
-        let mut seen = self.seen.borrow_mut();
-        seen.waiting_max = seen.waiting_max.max(waiting.len() as u32);
-        woken
+        waiting.push_back(wake_sender);
+        let mut stats = self.stats.borrow_mut();
+        stats.waiting_max = stats.waiting_max.max(waiting.len() as u32);
+        wake_receiver
     }
 
-    /// Wakes the first of those who wait and are still there.
+    /// Wakes the first waiting request that has not been dropped.
     fn wake_next(&self) {
-        while let Some(waker) = self.waiting.borrow_mut().pop_front() {
-            if waker.send(()).is_ok() {
+        while let Some(wake_sender) = self.waiting.borrow_mut().pop_front() {
+            if wake_sender.send(()).is_ok() {
                 return;
             }
         }
     }
 }
 
-/// Counts a request as in flight until it is dropped, also when it is cut.
-struct Running(Rc<State>);
+/// Counts a request as in flight until dropped, also if the request is aborted.
+struct InFlightGuard(Rc<State>);
 
-impl Running {
-    fn new(state: &Rc<State>) -> Running {
-        let mut seen = state.seen.borrow_mut();
-        seen.runs += 1;
-        seen.in_flight += 1;
-        seen.in_flight_max = seen.in_flight_max.max(seen.in_flight);
-        seen.last_begin_ms = unix_ms();
-        Running(state.clone())
+impl InFlightGuard {
+    fn new(state: &Rc<State>) -> InFlightGuard {
+        let mut stats = state.stats.borrow_mut();
+        stats.runs += 1;
+        stats.in_flight += 1;
+        stats.in_flight_max = stats.in_flight_max.max(stats.in_flight);
+        stats.last_begin_ms = unix_ms();
+        InFlightGuard(state.clone())
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.seen.borrow_mut().in_flight -= 1;
+        self.0.stats.borrow_mut().in_flight -= 1;
         self.0.wake_next();
     }
 }
 
-/// Serves until the stop.
+/// Serves until the stop; returns the listener's error if it fails.
 pub async fn serve(
     listener: TcpListener,
     name: String,
@@ -168,9 +177,9 @@
 ) -> Result<Response<LocalBody>, Cut> {
     match request.uri().path() {
         "/_standin/behaviour" => Ok(set_behaviour(state, request).await),
-        "/_standin/seen" => Ok(reply::json(StatusCode::OK, &*state.seen.borrow())),
+        "/_standin/seen" => Ok(reply::json(StatusCode::OK, &*state.stats.borrow())),
         "/health" => Ok(reply::status(StatusCode::OK)),
-        "/load" => Ok(load(state)),
+        "/load" => Ok(report_load(state)),
         _ => run(state, name, request).await,
     }
 }
@@ -179,17 +188,17 @@
     match reply::read_json(request.into_body()).await {
         Some(behaviour) => {
             *state.behaviour.borrow_mut() = behaviour;
-            state.seen.borrow_mut().waiting_max = 0;
+            state.stats.borrow_mut().waiting_max = 0;
             reply::status(StatusCode::NO_CONTENT)
         }
         None => reply::status(StatusCode::BAD_REQUEST),
     }
 }
 
-fn load(state: &State) -> Response<LocalBody> {
-    let true_load = state.seen.borrow().in_flight + state.waiting.borrow().len() as u32;
-    let told = state.behaviour.borrow().false_load.unwrap_or(true_load);
-    reply::json(StatusCode::OK, &serde_json::json!({ "in_flight": told }))
+fn report_load(state: &State) -> Response<LocalBody> {
+    let true_load = state.stats.borrow().in_flight + state.waiting.borrow().len() as u32;
+    let reported = state.behaviour.borrow().false_load.unwrap_or(true_load);
+    reply::json(StatusCode::OK, &serde_json::json!({ "in_flight": reported }))
 }
 
 async fn run(
@@ -203,45 +212,46 @@
         return Ok(refuse());
     }
     state.wait_for_slot(behaviour.slots).await;
-    let begin_by = [BEGIN_BY, DEADLINE].map(|name| moment(&parts.headers, name));
-    if begin_by.into_iter().flatten().any(|moment| moment < unix_ms()) {
-        state.seen.borrow_mut().after_deadline += 1;
+    let begin_by = [BEGIN_BY, DEADLINE].map(|name| header_unix_ms(&parts.headers, name));
+    if begin_by.into_iter().flatten().any(|time_ms| time_ms < unix_ms()) {
+        state.stats.borrow_mut().after_deadline += 1;
         return Ok(refuse());
     }
-    let running = Running::new(state);
-    let id = text(&parts.headers, REQUEST_ID);
+    let running = InFlightGuard::new(state);
+    let id = header_text(&parts.headers, REQUEST_ID);
     if parts.method == http::Method::POST {
-        count(&mut state.seen.borrow_mut(), &id);
+        record_id(&mut state.stats.borrow_mut(), &id);
     }
-    let Some((length, digest)) = digest(incoming).await else { return Err(Cut) };
-    if !work(&behaviour, moment(&parts.headers, DEADLINE)).await {
+    let Some((length, digest)) = digest_body(incoming).await else { return Err(Cut) };
+    if !run_until(&behaviour, header_unix_ms(&parts.headers, DEADLINE)).await {
         return Err(Cut);
     }
     let echo = format!(
         "{{\"backend\":\"{name}\",\"id\":\"{id}\",\"length\":{length},\"digest\":\"{digest}\"}}"
     );
-    let wanted = parts.uri.path().strip_prefix("/bytes/").and_then(|n| n.parse().ok());
-    let answer = match (behaviour.truncate, wanted) {
-        (true, _) => cut_short(echo),
-        (false, Some(bytes)) => long(bytes),
+    let zeros_length = parts.uri.path().strip_prefix("/bytes/").and_then(|n| n.parse().ok());
+    let answer = match (behaviour.truncate, zeros_length) {
+        (true, _) => truncated_body(echo),
+        (false, Some(bytes)) => zeros_body(bytes),
         (false, None) => body::full(echo),
     };
     Ok(Response::new(body::holding(answer, running)))
 }
 
-/// Runs for the behaviour's time; false if the deadline came first.
-async fn work(behaviour: &Behaviour, deadline: Option<u64>) -> bool {
-    let left = deadline.map_or(u64::MAX / 2, |deadline| deadline.saturating_sub(unix_ms()));
+/// Runs for the behaviour's time, or until the deadline in milliseconds since the
+/// Unix epoch. Returns whether the run ended before the deadline.
+async fn run_until(behaviour: &Behaviour, deadline: Option<u64>) -> bool {
+    let remaining = deadline.map_or(u64::MAX / 2, |deadline| deadline.saturating_sub(unix_ms()));
     let run = match behaviour.hung {
         true => u64::MAX / 2,
         false => run_time(behaviour) + behaviour.late_ms * MILLI,
     };
-    let left = left.saturating_mul(MILLI);
-    compio::time::sleep(Duration::from_micros(run.min(left).min(WORK_MAX_MS * MILLI))).await;
-    run <= left
+    let remaining = remaining.saturating_mul(MILLI);
+    compio::time::sleep(Duration::from_micros(run.min(remaining).min(WORK_MAX_MS * MILLI))).await;
+    run <= remaining
 }
 
-/// The time that one request runs, in microseconds.
+/// Returns the time to run one request, in microseconds.
 fn run_time(behaviour: &Behaviour) -> u64 {
     let mean = behaviour.run_ms * MILLI;
     match behaviour.exponential {
@@ -250,26 +260,26 @@
     }
 }
 
-/// The answer to a request that is not run.
+/// Returns the answer to a request that is not run.
 fn refuse() -> Response<LocalBody> {
     let mut response = reply::status(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert(SHED, http::HeaderValue::from_static("1"));
     response
 }
 
-fn count(seen: &mut RequestStats, id: &str) {
+fn record_id(stats: &mut RequestStats, id: &str) {
     if id.is_empty() {
         return;
     }
-    let runs = seen.ids.entry(id.into()).or_default();
+    let runs = stats.ids.entry(id.into()).or_default();
     *runs += 1;
     if *runs > 1 {
-        seen.repeated += 1;
+        stats.repeated += 1;
     }
 }
 
-/// Length and SHA-256 of a body; `None` if it was cut.
-async fn digest(mut incoming: Incoming) -> Option<(u64, String)> {
+/// Returns length and SHA-256 of a body; `None` if it was aborted.
+async fn digest_body(mut incoming: Incoming) -> Option<(u64, String)> {
     let mut length = 0;
     let mut hash = Sha256::new();
     while let Some(frame) = incoming.frame().await {
@@ -282,37 +292,37 @@
     Some((length, digest))
 }
 
-/// A body whose stream fails after a part of the text has been sent.
-fn cut_short(text: String) -> LocalBody {
-    let part = Bytes::from(text.into_bytes()).slice(..CUT_AFTER);
+/// Returns a body that is aborted after the first bytes of the text.
+fn truncated_body(text: String) -> LocalBody {
+    let part = Bytes::from(text.into_bytes()).slice(..TRUNCATED_BYTES);
     let first = futures_util::stream::iter([Ok(part)]);
-    let cut = futures_util::stream::once(async {
-        compio::time::sleep(CUT_PAUSE).await;
-        Err(BoxError::from("cut on purpose"))
+    let abort = futures_util::stream::once(async {
+        compio::time::sleep(ABORT_DELAY).await;
+        Err(BoxError::from("aborted on purpose"))
     });
-    body::stream(first.chain(cut))
+    body::stream(first.chain(abort))
 }
 
-/// A long body of zeros.
-fn long(bytes: usize) -> LocalBody {
-    let chunk = Bytes::from(vec![0; CHUNK]);
-    let whole = bytes / CHUNK;
-    let rest = chunk.slice(..bytes % CHUNK);
-    let chunks = std::iter::repeat_n(chunk, whole).chain([rest]).map(Ok);
+/// Returns a body of zeros, sent in chunks.
+fn zeros_body(bytes: usize) -> LocalBody {
+    let chunk = Bytes::from(vec![0; CHUNK_BYTES]);
+    let whole_chunks = bytes / CHUNK_BYTES;
+    let last_chunk = chunk.slice(..bytes % CHUNK_BYTES);
+    let chunks = std::iter::repeat_n(chunk, whole_chunks).chain([last_chunk]).map(Ok);
     body::stream(futures_util::stream::iter(chunks))
 }
 
-fn text(headers: &HeaderMap, name: &str) -> String {
+fn header_text(headers: &HeaderMap, name: &str) -> String {
     let value = headers.get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default().into()
 }
 
-/// A header's moment, in milliseconds since the Unix epoch.
-fn moment(headers: &HeaderMap, name: &str) -> Option<u64> {
+/// Returns a header's time, in milliseconds since the Unix epoch.
+fn header_unix_ms(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| d.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |d| d.as_millis() as u64)
 }
