--- a/elmstream_standin/src/report.rs
+++ b/elmstream_standin/src/report.rs
@@ -1,74 +1,77 @@
-//! What a loading caller saw.
+//! Results of a load run.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Counts and latencies of one load.
+/// Counts and latencies of one load run.
 #[derive(Debug)]
 pub struct Report {
     /// Requests sent.
     pub sent: u64,
-    /// Answers that were whole and the request's own.
+    /// Complete answers with the content that their request expects.
     pub whole: u64,
-    /// Answers that elmstream made itself, by the number of their code.
+    /// Answers that elmstream itself created, by the number of their result code.
     pub refused: BTreeMap<u16, u64>,
-    /// Answers that were cut, visibly.
+    /// Answers whose body was aborted, so that the caller noticed it.
     pub cut: u64,
-    /// Answers that were taken as whole and were not, or another request's.
+    /// Answers that seemed complete, but were truncated, corrupted or another
+    /// request's.
     pub wrong: u64,
-    /// Requests without any answer.
+    /// Requests without an answer.
     pub failed: u64,
-    /// Latency of whole answers, from the planned start, in microseconds.
+    /// Latency of `whole` answers, from the planned start, in microseconds.
     pub latency: Histogram<u64>,
     /// Time until a refusal, from the planned start, in microseconds.
     pub refusal_latency: Histogram<u64>,
-    /// By the second in which requests were due.
+    /// Counts by the second of the load run in which requests were due.
     pub seconds: Vec<SecondCounts>,
 }
 
-/// Requests that were due in one second of a load.
+/// Counts of the requests that were due in one second of a load run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondCounts {
-    /// Those that have ended.
+    /// Requests that have ended, with any result.
     pub ended: u64,
-    /// Those with a whole answer of their own.
+    /// Requests with a complete and expected answer.
     pub whole: u64,
 }
 
-/// A report in numbers, for printing.
+/// A report with percentiles in place of histograms, printed as JSON.
 #[derive(Debug, Serialize)]
 pub struct Summary {
-    /// See [`Report`].
+    /// See [`Report::sent`].
     pub sent: u64,
-    /// See [`Report`].
+    /// See [`Report::whole`].
     pub whole: u64,
-    /// See [`Report`].
+    /// See [`Report::refused`].
     pub refused: BTreeMap<u16, u64>,
-    /// See [`Report`].
+    /// See [`Report::cut`].
     pub cut: u64,
-    /// See [`Report`].
+    /// See [`Report::wrong`].
     pub wrong: u64,
-    /// See [`Report`].
+    /// See [`Report::failed`].
     pub failed: u64,
-    /// Median latency in microseconds.
+    /// Median latency of `whole` answers, in microseconds.
     pub p50_us: u64,
-    /// 99th percentile of the latency in microseconds.
+    /// 99th percentile of that latency, in microseconds.
     pub p99_us: u64,
-    /// 99.9th percentile of the latency in microseconds.
+    /// 99.9th percentile of that latency, in microseconds.
     pub p999_us: u64,
 }
 
-/// Longest latency that the histogram tells apart, in microseconds.
-const LATENCY_MAX: u64 = 600_000_000;
-/// Digits of precision.
-const DIGITS: u8 = 3;
+/// Longest latency that the histograms record, in microseconds.
+const LATENCY_MAX_US: u64 = 600_000_000;
+/// Significant decimal digits of recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 impl Default for Report {
     fn default() -> Report {
-        let histogram =
-            || Histogram::new_with_max(LATENCY_MAX, DIGITS).expect("the bounds are valid");
+        let histogram = || {
+            Histogram::new_with_max(LATENCY_MAX_US, SIGNIFICANT_DIGITS)
+                .expect("the bounds are valid")
+        };
         Report {
             sent: 0,
             whole: 0,
@@ -84,7 +87,9 @@
 }
 
 impl Report {
-    /// Counts a request by the time after the load's begin when it was due.
+    /// Counts a request that has ended, in the second in which it was due.
+    ///
+    /// `due` is the time from the start of the load run.
     pub fn record_end(&mut self, due: Duration, whole: bool) {
         let second = due.as_secs() as usize;
         if self.seconds.len() <= second {
@@ -94,7 +99,7 @@
         self.seconds[second].whole += u64::from(whole);
     }
 
-    /// Adds another load's report of the same time.
+    /// Adds the report of a load run that began at the same time.
     pub fn merge(&mut self, other: &Report) {
         self.sent += other.sent;
         self.whole += other.whole;
@@ -104,7 +109,7 @@
         for (code, count) in &other.refused {
             *self.refused.entry(*code).or_default() += count;
         }
-        // Both have the same bounds, so that adding cannot fail.
+        // Adding cannot fail, as all histograms have equal bounds.
         let _ = self.latency.add(&other.latency);
         let _ = self.refusal_latency.add(&other.refusal_latency);
         let length = self.seconds.len().max(other.seconds.len());
@@ -115,7 +120,7 @@
         }
     }
 
-    /// The report in numbers.
+    /// Returns the counts and the latency percentiles.
     pub fn summary(&self) -> Summary {
         Summary {
             sent: self.sent,
--- a/elmstream_standin/src/target.rs
+++ b/elmstream_standin/src/target.rs
@@ -1,5 +1,5 @@
-//! Where a loading caller sends: in turn, as a look-up ranks, or by the ways
-//! that elmstream is compared with.
+//! Target selection of the load generator: round robin over the hosts of a look-up,
+//! or the random and least-loaded methods that elmstream is compared with.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,62 +13,63 @@
 use rand::Rng;
 use serde::Deserialize;
 
-/// Time to ask one server for its load.
-const ASK: Duration = Duration::from_millis(500);
+/// Timeout of one load query.
+const LOAD_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How the next target is chosen.
+/// Method to choose the next target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Pick {
-    /// Each in turn.
+    /// Round robin.
     #[default]
     InTurn,
     /// At random.
     Random,
-    /// The least loaded by reports that are asked for at times; what was sent
-    /// since counts. A caller knows nothing of what other callers send.
+    /// The target with the least load in flight: its last reported load plus the
+    /// requests sent since. Requests of other callers count only once reported.
     LeastLoaded,
 }
 
-/// A target and its load, as far as this caller knows.
+/// A target and its load, as estimated by this caller.
 struct Target {
     address: SocketAddr,
     load: u32,
 }
 
-/// The targets of one load.
+/// The targets of one load run.
 #[derive(Default)]
 pub struct Targets {
     pick: Pick,
     targets: RefCell<Vec<Target>>,
-    turn: Cell<usize>,
+    /// Number of round-robin picks so far.
+    picks: Cell<usize>,
 }
 
-/// What a backend server says of its load.
+/// A backend server's answer to a load query.
 #[derive(Deserialize)]
-struct Load {
+struct LoadReport {
     in_flight: u32,
 }
 
 impl Targets {
-    /// Targets that are picked in this way.
+    /// Creates targets that are picked by the given method.
     pub fn new(pick: Pick, addresses: &[SocketAddr]) -> Targets {
         let targets = Targets { pick, ..Targets::default() };
         targets.replace(addresses);
         targets
     }
 
-    /// Takes other targets.
+    /// Replaces all targets and resets their loads.
     pub fn replace(&self, addresses: &[SocketAddr]) {
         let target = |&address: &SocketAddr| Target { address, load: 0 };
         *self.targets.borrow_mut() = addresses.iter().map(target).collect();
     }
 
-    /// Whether there is none.
+    /// Whether there are no targets.
     pub fn is_empty(&self) -> bool {
         self.targets.borrow().is_empty()
     }
 
-    /// The next target.
+    /// Picks the next target and counts a request to it; `None` if there are none.
     pub fn next(&self) -> Option<SocketAddr> {
         let mut targets = self.targets.borrow_mut();
         let count = targets.len();
@@ -76,15 +77,16 @@
             return None;
         }
         let index = match self.pick {
-            Pick::InTurn => self.turn.replace(self.turn.get().wrapping_add(1)) % count,
+            Pick::InTurn => self.picks.replace(self.picks.get().wrapping_add(1)) % count,
             Pick::Random => rand::rng().random_range(0..count),
-            Pick::LeastLoaded => least(&targets),
+            Pick::LeastLoaded => least_loaded(&targets),
         };
         targets[index].load += 1;
         Some(targets[index].address)
     }
 
-    /// Asks all targets for their loads, where they matter.
+    /// Queries the loads of all targets, one after the other, if the method uses
+    /// them. A target that doesn't answer keeps its load.
     pub async fn poll_loads(&self) {
         if self.pick != Pick::LeastLoaded {
             return;
@@ -92,25 +94,27 @@
         let count = self.targets.borrow().len();
         for index in 0..count {
             let address = self.targets.borrow()[index].address;
-            if let Ok(Some(load)) = compio::time::timeout(ASK, ask(address)).await {
+            if let Ok(Some(load)) =
+                compio::time::timeout(LOAD_QUERY_TIMEOUT, query_load(address)).await
+            {
                 self.targets.borrow_mut()[index].load = load;
             }
         }
     }
 }
 
-/// The index of the least loaded; one of them at random.
-fn least(targets: &[Target]) -> usize {
-    let least = targets.iter().map(|t| t.load).min();
-    let equal: Vec<usize> =
-        (0..targets.len()).filter(|&i| Some(targets[i].load) == least).collect();
-    equal[rand::rng().random_range(0..equal.len())]
+/// Returns the index of the least loaded target, a random one if several tie.
+fn least_loaded(targets: &[Target]) -> usize {
+    let least_load = targets.iter().map(|t| t.load).min();
+    let candidates: Vec<usize> =
+        (0..targets.len()).filter(|&i| Some(targets[i].load) == least_load).collect();
+    candidates[rand::rng().random_range(0..candidates.len())]
 }
 
-async fn ask(address: SocketAddr) -> Option<u32> {
-    let mut sender = client::connect(address, ASK).await.ok()?;
+async fn query_load(address: SocketAddr) -> Option<u32> {
+    let mut sender = client::connect(address, LOAD_QUERY_TIMEOUT).await.ok()?;
     let request = Request::get("/load").header("host", address.to_string());
     let response = sender.send_request(request.body(body::empty()).ok()?).await.ok()?;
     let bytes = response.into_body().collect().await.ok()?.to_bytes();
-    serde_json::from_slice::<Load>(&bytes).ok().map(|load| load.in_flight)
+    serde_json::from_slice::<LoadReport>(&bytes).ok().map(|load| load.in_flight)
 }
