--- a/elmstream_standin/src/lib.rs
+++ b/elmstream_standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins for what elmstream meets: the platform's table service,
-//! object store and host list, backend servers, and a caller that loads.
+//! Stand-ins for the systems around elmstream, for tests and load runs.
 //!
-//! Each has faults that are switched over HTTP while it runs. Their interfaces
-//! are written in `docs/PROTOCOLS.md`.
+//! [`platform`] stands for the platform's table service, object store and host
+//! list, [`backend`] for a backend server, and [`caller`] generates load. Faults
+//! of the platform and of backend servers are switched over HTTP at run time.
+//! `docs/PROTOCOLS.md` describes the interfaces.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstream_standin/src/main.rs
+++ b/elmstream_standin/src/main.rs
@@ -11,45 +11,45 @@
     platform,
 };
 
-/// Stand-ins for what elmstream meets.
+/// Stand-ins for the systems around elmstream, for tests and load runs.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 enum Command {
-    /// Table service, object store and host list.
+    /// Run the platform's table service, object store and host list.
     #[bpaf(command)]
     Platform {
         /// Address to listen on.
         listen: SocketAddr,
     },
-    /// A backend server.
+    /// Run a backend server.
     #[bpaf(command)]
     Backend {
         /// Address to listen on.
         listen: SocketAddr,
-        /// Its name, in its answers.
+        /// Name that it gives in its answers.
         name: String,
         /// Time to run a request, in milliseconds.
         #[bpaf(fallback(2))]
         run_ms: u64,
     },
-    /// A caller that loads and prints a report.
+    /// Generate load and print a report.
     #[bpaf(command)]
     Caller {
-        /// An entry host to ask for look-ups.
+        /// Entry host for look-ups; may be repeated.
         ask: Vec<SocketAddr>,
-        /// Where to send without look-ups.
+        /// Address to send to without look-ups; may be repeated.
         target: Vec<SocketAddr>,
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// Requests in a second.
+        /// Requests per second.
         #[bpaf(fallback(100))]
         per_second: u32,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         #[bpaf(fallback(5))]
         seconds: u64,
-        /// Sends requests that may not be repeated.
+        /// Send POST requests, which may not be repeated.
         post: bool,
-        /// Bytes of each request's body.
+        /// Size of each request's body, in bytes.
         #[bpaf(fallback(0))]
         body_bytes: usize,
     },
@@ -77,7 +77,7 @@
             backend::serve(TcpListener::bind(listen).await?, name, behaviour, stop).await
         }
         Command::Caller { ask, target, service, per_second, seconds, post, body_bytes } => {
-            let load = LoadPlan {
+            let plan = LoadPlan {
                 lookup_hosts: ask,
                 targets: target,
                 service,
@@ -88,7 +88,7 @@
                 id_prefix: format!("{:x}", std::process::id()),
                 ..LoadPlan::default()
             };
-            let report = caller::run(load).await;
+            let report = caller::run(plan).await;
             println!("{}", serde_json::to_string_pretty(&report.summary())?);
             Ok(())
         }
