--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,22 +1,22 @@
-//! Tasks of the repository.
+//! Repository tasks.
 //!
-//! `cargo run -p xtask -- generate` writes the code for `proto/`; `check` only
-//! tells whether the committed code is current.
+//! `cargo run -p xtask -- generate` generates the code of `proto/`; `check` fails
+//! if the committed code differs from what would be generated.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
 use std::{env, error::Error, fs, path::PathBuf, process::ExitCode};
 
-/// The schema.
+/// Schema of the operator RPCs.
 const SCHEMA: &str = "proto/operators.proto";
-/// Where the generated code is kept.
-const GENERATED: &str = "elmstream_proto/src/generated";
-/// The generated file.
-const FILE: &str = "elmstream.v1.rs";
+/// Folder of the committed generated code.
+const GENERATED_DIR: &str = "elmstream_proto/src/generated";
+/// Name of the generated file.
+const GENERATED_FILE: &str = "elmstream.v1.rs";
 
 fn main() -> ExitCode {
     let result = match env::args().nth(1).as_deref() {
-        Some("generate") => generate(&PathBuf::from(GENERATED)),
+        Some("generate") => generate(&PathBuf::from(GENERATED_DIR)),
         Some("check") => check(),
         _ => Err("usage: xtask generate | check".into()),
     };
@@ -29,7 +29,7 @@
     }
 }
 
-/// Generates the code into a folder.
+/// Generates the code into folder `out`, which is created if needed.
 fn generate(out: &PathBuf) -> Result<(), Box<dyn Error>> {
     fs::create_dir_all(out)?;
     let files = protox::compile([SCHEMA], ["proto"])?;
@@ -37,13 +37,14 @@
     Ok(())
 }
 
-/// Compares the committed code with what the schema gives.
+/// Returns an error if the committed code differs from newly generated code.
 fn check() -> Result<(), Box<dyn Error>> {
-    let fresh = PathBuf::from("target/xtask");
-    generate(&fresh)?;
-    let same = fs::read(fresh.join(FILE))? == fs::read(PathBuf::from(GENERATED).join(FILE))?;
-    if same {
+    let check_dir = PathBuf::from("target/xtask");
+    generate(&check_dir)?;
+    let is_current = fs::read(check_dir.join(GENERATED_FILE))?
+        == fs::read(PathBuf::from(GENERATED_DIR).join(GENERATED_FILE))?;
+    if is_current {
         return Ok(());
     }
-    Err("the generated code is not current: run `cargo run -p xtask -- generate`".into())
+    Err("the generated code is outdated: run `cargo run -p xtask -- generate`".into())
 }
