--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,22 +1,22 @@
-/* Acceptance and spread of the configuration: two operators race with changes
- * that expect the same revision; writes take effect late, answers are lost;
- * nodes restart, take pushes and fetch from each other.
+/* Acceptance and propagation of the configuration. Two operators race with
+ * changes that expect the same revision; writes take effect late and answers are
+ * lost; nodes restart, receive pushes and fetch from each other.
  *
- * Properties: `accepted_stays` (a change that was told accepted is never told
- * lost, nor replaced by another at its revision), `one_per_revision`, and
- * `no_reverting` (no node that runs takes a lower revision).
+ * Properties: `accepted_stays` (a change reported as accepted is never reported as
+ * lost, nor replaced by another one at its revision), `one_per_revision`, and
+ * `no_reverting` (no running node installs a lower revision).
  */
 #define N 2
 #define OPS 2
 mtype = { idle, sent, effective, accepted, refused, unknown };
 
-byte headRev = 0;       /* the head row: revision and who wrote it */
+byte headRev = 0;       /* head row: revision, and its writer */
 byte headBy = 0;
-byte wonBy[3];          /* who wrote the revision; 0 is nobody */
+byte wonBy[3];          /* writer of each revision; 0 if there is none */
 mtype op[OPS];          /* state of each operator's change, which expects revision 0 */
 bool onWay[OPS];        /* its write may still take effect */
-byte node[N];           /* revision in force; 0 is none */
-byte by[N];             /* whose change that is */
+byte node[N];           /* revision in force; 0 if there is none */
+byte by[N];             /* writer of that revision */
 
 #define CHECK assert(!(op[0] == accepted && op[1] == accepted)); \
   assert(op[0] != accepted || wonBy[1] == 1); assert(op[1] != accepted || wonBy[1] == 2); \
@@ -29,10 +29,10 @@
 #endif
 #define OPERATOR(o) \
   :: d_step { op[o] == idle -> op[o] = sent; onWay[o] = true } \
-  /* The write takes effect if the row is still as it was read. */ \
+  /* The write takes effect if the row has not changed since it was read. */ \
   :: d_step { onWay[o] && CONDITION(o) -> onWay[o] = false; headRev = 1; headBy = o + 1; wonBy[1] = o + 1; CHECK } \
   :: d_step { onWay[o] && headRev != 0 -> onWay[o] = false } \
-  /* Read back: ours, another's, or still the old row, and then the same write is tried again. */ \
+  /* Reading back finds this change, another one, or the old row; then the write is retried. */ \
   :: d_step { op[o] == sent && READ_BACK(o) -> op[o] = accepted; CHECK } \
   :: d_step { op[o] == sent && headRev != 0 && wonBy[1] != o + 1 -> op[o] = refused; CHECK } \
   :: d_step { op[o] == sent && headRev == 0 -> onWay[o] = true } \
@@ -64,7 +64,7 @@
   do
   OPERATOR(0)
   OPERATOR(1)
-  /* A later change, expecting revision 1, by somebody else. */
+  /* A later change by another operator, which expects revision 1. */
   :: d_step { headRev == 1 -> headRev = 2; headBy = 3; wonBy[2] = 3 }
   NODE(0, 1)
   NODE(1, 0)
--- a/spec/era.pml
+++ b/spec/era.pml
@@ -1,21 +1,21 @@
-/* A store that comes back once from a copy: it loses what it acknowledged since, gives out
- * versions again, and the operator writes its newest configuration again some time later.
- * Hosts read the store, tell each other what they know, and restart.
+/* A store that is restored once from a backup copy. It loses what it acknowledged after the
+ * copy and assigns versions a second time; later, the operator writes the newest configuration
+ * again. Hosts read the store, exchange what they know, and restart.
  *
- * Properties: `no_reverting` (no host that runs goes back to an older configuration) and
- * `in_force` (a host that reads what the operator acknowledged last goes by it).
+ * Properties: `no_reverting` (no running host returns to an older configuration) and
+ * `in_force` (a host that reads the newest acknowledged configuration installs it).
  */
 #define N 2
 #define CONFIGURATIONS 3
 #define COUNTS 6
 
-byte truth = 0;                     /* what the operator acknowledged last */
-byte era = 0; byte count = 0;       /* the store's era and counter */
-byte row = 0; byte rowCount = 0;    /* its configuration, and the version of that */
+byte truth = 0;                     /* newest configuration acknowledged to the operator */
+byte era = 0; byte count = 0;       /* the store's era and version counter */
+byte row = 0; byte rowCount = 0;    /* its configuration, and that row's version */
 byte copyRow = 0; byte copyRowCount = 0; byte copyCount = 0;
-bool again = true;                  /* nothing is lost that is not written again */
+bool again = true;                  /* every lost configuration has been written again */
 byte inForce[N];
-byte knownEra[N]; byte knownCount[N];  /* version up to which a host knows the store */
+byte knownEra[N]; byte knownCount[N];  /* watermark: version up to which a host knows the store */
 
 #ifdef BUG_COUNT_ONLY
 #define NEWER(e, c, n) ((c) > knownCount[n])
@@ -25,7 +25,7 @@
 #ifdef BUG_TAKES_COPY
 #define KEPT(n, r) false
 #else
-/* What was in force holds on against an older one. */
+/* A configuration in force is retained against an older one. */
 #define KEPT(n, r) (inForce[n] > (r))
 #endif
 #define TAKE(n, r) \
