--- a/elmstreamd/src/callers.rs
+++ b/elmstreamd/src/callers.rs
@@ -165,8 +165,8 @@
         target: target.to_owned(),
         headers: forward::end_to_end_headers(&parts.headers),
         has_body,
-        deadline,
-        patience: 0,
+        remaining_us: deadline,
+        max_wait_us: 0,
     };
     Ok(Job {
         repeatable: service.is_repeatable(parts.method.as_str(), parts.uri.path()),
@@ -311,7 +311,7 @@
     Some(Job {
         repeatable: node.service(service).is_repeatable(&head.method, path),
         service,
-        deadline: clock::now() + head.deadline,
+        deadline: clock::now() + head.remaining_us,
         body: head.has_body.then_some(body),
         head,
     })
--- a/elmstreamd/src/configuration.rs
+++ b/elmstreamd/src/configuration.rs
@@ -230,7 +230,7 @@
     let branch_count = hosts.len().min(PUSH_FANOUT);
     let branches = hosts[..branch_count].iter().enumerate().map(|(index, root)| {
         let below = hosts[branch_count..].iter().skip(index).step_by(PUSH_FANOUT);
-        let push = Push { revision, edits: edits.to_owned(), pass_on: below.cloned().collect() };
+        let push = Push { revision, edits: edits.to_owned(), forward_to: below.cloned().collect() };
         push_to_branch(daemon, root, push)
     });
     join_all(branches).await.concat()
@@ -240,10 +240,10 @@
 /// directly. Returns the hosts of the branch that did not confirm the push.
 async fn push_to_branch(daemon: &Rc<Daemon>, root: &Name, push: Push) -> Vec<Name> {
     let Some(address) = daemon.peer_address(root) else { return vec![root.clone()] };
-    let within = PUSH_TIMEOUT * levels(push.pass_on.len());
+    let within = PUSH_TIMEOUT * levels(push.forward_to.len());
     let open = Open::Push(push);
     let reply = daemon.peers.exchange(root, address, &open, within).await;
-    let Open::Push(Push { revision, edits, pass_on: below }) = open else { return Vec::new() };
+    let Open::Push(Push { revision, edits, forward_to: below }) = open else { return Vec::new() };
     match reply {
         Ok(Reply::Pushed(pushed)) => {
             let mut missing = pushed.missing;
@@ -288,7 +288,7 @@
         None if push.revision > revision => daemon.request_poll(),
         None => {}
     }
-    let missing = push_to_hosts(daemon, push.revision, &push.edits, &push.pass_on).await;
+    let missing = push_to_hosts(daemon, push.revision, &push.edits, &push.forward_to).await;
     Pushed { revision: daemon.current.borrow().revision, missing }
 }
 
--- a/elmstreamd/src/forward.rs
+++ b/elmstreamd/src/forward.rs
@@ -150,8 +150,8 @@
             last = Refusal { code: Code::DeadlineTooShort, retry_after: 0 };
             break;
         }
-        job.head.deadline = remaining;
-        job.head.patience = attempt.max_wait;
+        job.head.remaining_us = remaining;
+        job.head.max_wait_us = attempt.max_wait;
         let mut result = try_owner(daemon, job, &attempt).await;
         if let Some(pause) = cap_wait(daemon, job, &result) {
             compio::time::sleep(pause).await;
--- a/elmstreamd/src/owner.rs
+++ b/elmstreamd/src/owner.rs
@@ -87,12 +87,12 @@
 
 /// Gets a slot for a request. If none is free, waits for one for at most `head.patience`.
 pub async fn admit(daemon: &Rc<Daemon>, head: &RequestHead) -> Result<SlotGuard, Refusal> {
-    let deadline = clock::now() + head.deadline;
+    let deadline = clock::now() + head.remaining_us;
     let admission_request = OwnerRequest {
         service: &head.service,
         home: &head.home,
-        deadline: head.deadline,
-        max_wait: head.patience,
+        deadline: head.remaining_us,
+        max_wait: head.max_wait_us,
     };
     let answer = daemon.node.borrow_mut().request_slot(clock::now(), &admission_request);
     let slot = match answer {
@@ -114,11 +114,11 @@
     let (waker, woken) = oneshot::channel();
     daemon.wakers.borrow_mut().insert(number, waker);
     let queue_guard = QueueGuard { daemon: daemon.clone(), number };
-    let timeout = Duration::from_micros(head.patience.min(head.deadline));
+    let timeout = Duration::from_micros(head.max_wait_us.min(head.remaining_us));
     let _ = compio::time::timeout(timeout, woken).await;
     let granted = daemon.node.borrow_mut().take_granted_slot(number);
     drop(queue_guard);
-    granted.ok_or(Refusal { code: Code::NoCapacity, retry_after: head.patience })
+    granted.ok_or(Refusal { code: Code::NoCapacity, retry_after: head.max_wait_us })
 }
 
 /// Sends a request to the backend server of its slot and waits for the head of the answer.
--- a/elmstreamd/tests/faults.rs
+++ b/elmstreamd/tests/faults.rs
@@ -9,7 +9,7 @@
     fleet::{free_address, get, send},
     operator::{Operator, in_force, slots},
 };
-use elmstream_config::document::{Link, Once, Site};
+use elmstream_config::document::{Link, OncePolicy, Site};
 use elmstream_http::{BoxError, body};
 use elmstream_proto::{
     identity::{self, Identity},
@@ -259,7 +259,7 @@
 
 #[test]
 fn claimed_request_runs_once_and_refused_one_can_be_retried() {
-    let claim = |c: &mut elmstream_config::Configuration| c.services[1].once = Once::Claim;
+    let claim = |c: &mut elmstream_config::Configuration| c.services[1].once = OncePolicy::Claim;
     with_fleet(claim, async |running| {
         let without_request_id = with_headers(Method::POST, "release", &[]);
         assert_eq!(running.send_to(0, without_request_id).await.code(), Some(1001));
@@ -347,7 +347,7 @@
         async |running| {
             let address = running.fleet.hosts[0].settings.listen.peers;
             let within = Duration::from_secs(2);
-            let stranger = Identity::new(&identity::new_key().unwrap()).unwrap();
+            let stranger = Identity::new(&identity::generate_key().unwrap()).unwrap();
             let peers = Peers::bind(free_address(), &stranger).await.unwrap();
             let refused = peers.exchange(&"host-1".into(), address, &Open::Fetch, within).await;
             assert!(refused.is_err(), "{refused:?}");
@@ -367,7 +367,7 @@
         |_| {},
         async |running| {
             let other = running.fleet.authority.with_extension("other");
-            let pem = identity::authority_pem(&identity::new_key().unwrap()).unwrap();
+            let pem = identity::authority_pem(&identity::generate_key().unwrap()).unwrap();
             std::fs::write(&other, pem).unwrap();
             let right = std::mem::replace(&mut running.fleet.authority, other);
             let refused = Operator::connect(&running.fleet, 0).await;
--- a/elmstreamd/tests/processes.rs
+++ b/elmstreamd/tests/processes.rs
@@ -23,8 +23,8 @@
 use elmstream_http::body;
 use elmstream_proto::operators::{ServiceStatus, StatusReply};
 use elmstream_standin::{
-    backend::{Behaviour, Seen},
-    caller::{self, Load},
+    backend::{Behaviour, RequestStats},
+    caller::{self, LoadPlan},
 };
 use http::{Method, Request};
 
@@ -184,9 +184,9 @@
     /// Time from the first request to the freeze.
     freeze_delay: Duration,
     /// What each server had seen when the host was taken over.
-    before: Vec<Seen>,
+    before: Vec<RequestStats>,
     /// What each server had seen after the host had been awake for a while.
-    after: Vec<Seen>,
+    after: Vec<RequestStats>,
 }
 
 impl FreezeObservation {
@@ -235,7 +235,7 @@
     /// Checks what must hold wherever the requests were queued: nothing runs after the host woke up,
     /// no server gets more requests than it has slots, and no request runs twice.
     fn check(&self, service: &str) {
-        let runs = |seen: &[Seen]| seen.iter().map(|s| s.runs).collect::<Vec<_>>();
+        let runs = |seen: &[RequestStats]| seen.iter().map(|s| s.runs).collect::<Vec<_>>();
         let (before, after) = (runs(&self.before), runs(&self.after));
         assert_eq!(after, before, "the former owner of {service} must run nothing after waking");
         let mut runs_of = HashMap::<&String, u32>::new();
@@ -251,7 +251,7 @@
     }
 }
 
-async fn seen_by_all(fleet: &Fleet) -> Vec<Seen> {
+async fn seen_by_all(fleet: &Fleet) -> Vec<RequestStats> {
     let mut all = Vec::new();
     for index in 0..small::BACKENDS.len() {
         all.push(fleet.seen(index).await.unwrap());
@@ -327,15 +327,20 @@
         let mut processes = Processes::start().await;
         let (victim, server) = processes.choose_victim().await;
         let service = small::BACKENDS[server].1;
-        let load = Load {
-            ask: processes.fleet().hosts.iter().map(|h| h.settings.listen.callers).collect(),
+        let load = LoadPlan {
+            lookup_hosts: processes
+                .fleet()
+                .hosts
+                .iter()
+                .map(|h| h.settings.listen.callers)
+                .collect(),
             service: service.into(),
             per_second: 100,
             duration: Duration::from_secs(5),
             method: Method::POST,
             body_bytes: 1_000,
-            prefix: "stop".into(),
-            ..Load::default()
+            id_prefix: "stop".into(),
+            ..LoadPlan::default()
         };
         let loading = compio::runtime::spawn(caller::run(load));
         compio::time::sleep(Duration::from_secs(1)).await;
@@ -387,15 +392,15 @@
             let address = |&h: &usize| processes.fleet().hosts[h].settings.listen.callers;
             hosts.iter().map(address).collect::<Vec<_>>()
         };
-        let load = |prefix: &str, seconds, targets| Load {
+        let load = |prefix: &str, seconds, targets| LoadPlan {
             targets,
             service: "status".into(),
             per_second: REQUESTS_PER_SECOND,
             duration: Duration::from_secs(seconds),
             method: Method::POST,
             body_bytes: 10,
-            prefix: prefix.into(),
-            ..Load::default()
+            id_prefix: prefix.into(),
+            ..LoadPlan::default()
         };
         // Callers use the entry hosts of `south`, so that they lose the servers of `north` but none
         // of their own connections.
