--- a/elmstream_edge/src/access.rs
+++ b/elmstream_edge/src/access.rs
@@ -132,7 +132,7 @@
     let id = headers::text(&head.headers, &edge.settings.headers.request_id);
     let fields = json!({
         "id": id, "route": route.name, "code": code.number(), "status": code.http_status(),
-        "version": steer.version(), "stale_ms": steer.staleness(clock::now()) / MILLI,
+        "version": steer.configuration_version(), "stale_ms": steer.staleness(clock::now()) / MILLI,
     });
     edge.event_log.request("denied", fields);
     if denial == Denial::Stale {
@@ -158,7 +158,7 @@
         "id": id, "route": route.name, "workspace": member.workspace.name,
         "code": code.number(), "status": code.http_status(), "retry_ms": retry_ms,
         "rate_per_s": member.workspace.rate_per_s, "burst": member.workspace.burst,
-        "version": edge.steer.borrow().version(),
+        "version": edge.steer.borrow().configuration_version(),
     });
     edge.event_log.request("limited", fields);
     callers::refuse(code, retry_ms)
--- a/elmstream_edge/src/callers.rs
+++ b/elmstream_edge/src/callers.rs
@@ -199,7 +199,7 @@
 /// The route of a request, or why there is none.
 fn find(edge: &Edge, head: &request::Parts) -> Result<Rc<Route>, RouteError> {
     let steer = edge.steer.borrow();
-    if steer.version().is_none() {
+    if steer.configuration_version().is_none() {
         return Err(RouteError::Configuration);
     }
     let host = head.uri.host().or_else(|| headers::text(&head.headers, &header::HOST));
@@ -214,7 +214,7 @@
     };
     let id = headers::text(&head.headers, &edge.settings.headers.request_id);
     let fields = json!({
-        "id": id, "host": host, "path": head.uri.path(), "version": steer.version(),
+        "id": id, "host": host, "path": head.uri.path(), "version": steer.configuration_version(),
         "stale_ms": steer.staleness(now) / MILLI, "code": code.number(), "status": code.http_status(),
     });
     edge.event_log.request("no_route", fields);
--- a/elmstream_edge/src/forward.rs
+++ b/elmstream_edge/src/forward.rs
@@ -295,7 +295,7 @@
         "servers": refusal.servers, "free": refusal.free, "load_percent": refusal.load,
         "spared": refusal.spared,
         "took_ms": took / MILLI, "returning": call.returning,
-        "version": edge.steer.borrow().version(),
+        "version": edge.steer.borrow().configuration_version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
     });
     edge.event_log.request("refused", fields);
@@ -368,7 +368,7 @@
         "content": call.digests(edge).any_caller.hex(),
         "route": call.route.name, "service": call.service, "status": status.as_u16(),
         "workspace": call.workspace_name(),
-        "tried": tries, "took_ms": took / MILLI, "version": steer.version(),
+        "tried": tries, "took_ms": took / MILLI, "version": steer.configuration_version(),
         "stale_ms": steer.staleness(now) / MILLI,
     });
     edge.event_log.request(event, fields);
--- a/elmstream_edge/src/peers.rs
+++ b/elmstream_edge/src/peers.rs
@@ -69,7 +69,8 @@
         let hosts = beat(&edge, &socket, round).await;
         let pause = Duration::from_micros(members::heartbeat_interval(hosts));
         let mut waited = Duration::ZERO;
-        while waited < pause && (waited < URGENT_INTERVAL || !edge.steer.borrow().urgent()) {
+        while waited < pause && (waited < URGENT_INTERVAL || !edge.steer.borrow().has_urgent_news())
+        {
             let step = HEARTBEAT_CHECK_INTERVAL.min(pause - waited);
             compio::time::sleep(step).await;
             waited += step;
--- a/elmstream_edge/src/poison.rs
+++ b/elmstream_edge/src/poison.rs
@@ -69,7 +69,7 @@
         "workspace": call.workspace_name(), "took_ms": clock::now().since(call.received) / MILLI,
         "servers_ended": harm.servers, "generations": harm.generations, "own": harm.own,
         "last_s_ago": unix_s().saturating_sub(harm.last_s),
-        "version": edge.steer.borrow().version(),
+        "version": edge.steer.borrow().configuration_version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
     });
     edge.event_log.request("harmful", fields);
--- a/elmstream_edge/src/store_reader.rs
+++ b/elmstream_edge/src/store_reader.rs
@@ -109,7 +109,7 @@
     after: Option<StoreVersion>,
 ) -> Result<Option<StoreVersion>, SourceError> {
     let bound = edge.settings.bounds.configuration_ms as f64;
-    let wait = Duration::from_micros((bound * reader_rank::WAIT_PART) as u64 * MILLI);
+    let wait = Duration::from_micros((bound * reader_rank::LONG_POLL_FRACTION) as u64 * MILLI);
     match call(edge, source, table, (after, wait)).await {
         Err(SourceError::Unreachable { cause, kept: true }) => {
             metrics::counter!("elmstream_store_connections_lost").increment(1);
--- a/elmstream_edge/tests/access.rs
+++ b/elmstream_edge/tests/access.rs
@@ -201,7 +201,7 @@
         let key = [("authorization", "Bearer key-w")];
         assert_eq!(ask(&mut kept, "/a", &key).await.status, 200);
         store.put(RowKey::Configuration, Some(workspaces(2, |new| new.workspaces[0].keys.clear())));
-        let newer = || host.edge.steer.borrow().version() == Some(2);
+        let newer = || host.edge.steer.borrow().configuration_version() == Some(2);
         assert!(until(Duration::from_secs(2), newer).await);
         let answer = ask(&mut kept, "/a", &key).await;
         assert_eq!((answer.status, answer.code.as_str()), (401, "1004"));
@@ -258,7 +258,7 @@
         for (workspace, route, status) in cases {
             version += 1;
             store.put(RowKey::Configuration, Some(workspaces(version, homes(workspace, route))));
-            let newer = || host.edge.steer.borrow().version() == Some(version);
+            let newer = || host.edge.steer.borrow().configuration_version() == Some(version);
             assert!(until(Duration::from_secs(2), newer).await);
             let path = format!("/{version}");
             assert_eq!(once(host.callers, &path, &key).await.0, status, "{workspace:?} {route:?}");
--- a/elmstream_edge/tests/delays.rs
+++ b/elmstream_edge/tests/delays.rs
@@ -104,7 +104,7 @@
 
     /// Until a reader whose kept connection has fallen silent asks over a new one.
     fn renewed(self) -> u64 {
-        (self.bound as f64 * reader_rank::WAIT_PART) as u64 + millis(ANSWER_TIMEOUT)
+        (self.bound as f64 * reader_rank::LONG_POLL_FRACTION) as u64 + millis(ANSWER_TIMEOUT)
     }
 }
 
@@ -175,7 +175,7 @@
     for fleet in FLEETS.into_iter().filter(|fleet| fleet.hosts <= 89) {
         let asks = reader_rank::read_delay(Table::Rules, 0, fleet.bound) / MILLI
             + millis(store_reader::LOOK);
-        let waits = (fleet.bound as f64 * reader_rank::WAIT_PART) as u64;
+        let waits = (fleet.bound as f64 * reader_rank::LONG_POLL_FRACTION) as u64;
         let round = members::heartbeat_interval(fleet.hosts - 1) / MILLI;
         let second = reader_rank::read_delay(Table::Rules, 1, fleet.bound) / MILLI;
         check(fleet, "a round of readings", asks + waits + round + WAY / 2, second);
--- a/elmstream_edge/tests/hosts.rs
+++ b/elmstream_edge/tests/hosts.rs
@@ -29,7 +29,7 @@
         let second = start(ip(), &away, &[seed]);
         assert!(until(Duration::from_secs(2), || second.edge.serves()).await);
         store.put(RowKey::Configuration, Some(configuration(2, Repeatability::Safe)));
-        let knows = || second.edge.steer.borrow().version() == Some(2);
+        let knows = || second.edge.steer.borrow().configuration_version() == Some(2);
         assert!(until(Duration::from_secs(2), knows).await);
     });
 }
@@ -75,7 +75,7 @@
         store_ms: Some(1),
         tables: [TableStatus {
             version: elmstream_steer::version::StoreVersion::new(0, 1_000),
-            last_read: Some(StoreRead { reader: 1, stamp: 1 }),
+            last_read: Some(StoreRead { reader: 1, stamp_ms: 1 }),
             ..TableStatus::default()
         }; 3],
         demand: Vec::new(),
@@ -114,10 +114,10 @@
         let worst = Rc::new(Cell::new(Duration::ZERO));
         for version in 2..5 {
             store.put(RowKey::Configuration, Some(configuration(version, Repeatability::Safe)));
-            let known = || first.edge.steer.borrow().version() == Some(version);
+            let known = || first.edge.steer.borrow().configuration_version() == Some(version);
             assert!(until(Duration::from_secs(2), known).await, "the reader learns it");
             let began = std::time::Instant::now();
-            let told = || second.edge.steer.borrow().version() == Some(version);
+            let told = || second.edge.steer.borrow().configuration_version() == Some(version);
             assert!(until(Duration::from_secs(4), told).await, "the other learns it");
             worst.set(worst.get().max(began.elapsed()));
         }
@@ -152,10 +152,10 @@
         let mut took = Vec::new();
         for version in 2..6 {
             store.put(RowKey::Configuration, Some(configuration(version, Repeatability::Safe)));
-            let known = || first.edge.steer.borrow().version() == Some(version);
+            let known = || first.edge.steer.borrow().configuration_version() == Some(version);
             assert!(until(Duration::from_secs(2), known).await, "the reader learns it");
             let began = std::time::Instant::now();
-            let told = || second.edge.steer.borrow().version() == Some(version);
+            let told = || second.edge.steer.borrow().configuration_version() == Some(version);
             until(Duration::from_secs(4), told).await;
             took.push(began.elapsed());
         }
--- a/elmstream_steer/src/era.rs
+++ b/elmstream_steer/src/era.rs
@@ -21,7 +21,7 @@
 
 /// How long a server is still used that the store has lost by being away: if it lives the
 /// platform has it back within about two seconds, and after that it is to be taken as gone.
-pub(crate) const LAPSE: u64 = 2_200 * MILLI;
+pub(crate) const LAPSE_TIMEOUT: u64 = 2_200 * MILLI;
 
 /// For how long, from the first reading of a new era, what an earlier one said goes on in
 /// force against the store's copy, in microseconds.
@@ -47,7 +47,7 @@
         Retention {
             configuration: 600 * SECOND,
             evacuation: 60 * SECOND,
-            missing: LAPSE,
+            missing: LAPSE_TIMEOUT,
             outdated: 10 * SECOND,
         }
     }
--- a/elmstream_steer/src/gossip.rs
+++ b/elmstream_steer/src/gossip.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether the other hosts should hear at once of what has changed.
-    pub fn urgent(&self) -> bool {
+    pub fn has_urgent_news(&self) -> bool {
         self.urgent
     }
 
@@ -243,7 +243,7 @@
         let own = self.known_version(table);
         let behind = &mut self.pending_news[table as usize];
         if version > own && behind.is_none_or(|told| told.version <= own) {
-            *behind = Some(PendingNews { version, told_at: now });
+            *behind = Some(PendingNews { version, reported_at: now });
         }
     }
 
@@ -282,10 +282,10 @@
 
     /// Divides each service's requests among the regions anew.
     fn divide(&mut self, now: Time) {
-        if now.since(self.shares_updated) < DIVIDE {
+        if now.since(self.shares_updated_at) < DIVIDE {
             return;
         }
-        self.shares_updated = now;
+        self.shares_updated_at = now;
         let services: Vec<String> = self.servers.services().map(str::to_owned).collect();
         for service in services {
             let names = self.settings.domains.values();
@@ -313,10 +313,10 @@
 
     fn count_hosts(&mut self, now: Time) {
         self.live_hosts = self.members.live(now).count() + 1;
-        self.reachable = self.members.live_in_reachable_regions(now).count() + 1;
+        self.reachable_hosts = self.members.live_in_reachable_regions(now).count() + 1;
         let region = &self.settings.host.region;
         let near = self.members.live(now).filter(|member| member.host.region == *region);
-        self.near_live = near.count() + 1;
+        self.near_live_hosts = near.count() + 1;
         let told = self.members.live(now).map(|member| member.fleet_size as usize);
         self.fleet_size = told.max().unwrap_or(0).max(self.may_run(now));
         let places: Vec<u64> = self.address_hashes[..1]
@@ -358,7 +358,7 @@
             self.servers.all().filter(|(_, entry)| entry.lapses_at.is_some_and(|at| now >= at));
         let lapsed: Vec<String> = lapsed.map(|(_, entry)| entry.id.clone()).collect();
         for id in &lapsed {
-            self.remove(id);
+            self.remove_server(id);
         }
         changes.extend(lost.into_iter().map(StateChange::HostLost));
         changes.extend(lapsed.into_iter().map(|id| StateChange::Server(id, ServerState::Gone)));
--- a/elmstream_steer/src/heartbeat.rs
+++ b/elmstream_steer/src/heartbeat.rs
@@ -61,7 +61,7 @@
     /// Hash of the start of the host that read.
     pub reader: u64,
     /// When, in milliseconds of the reader's clock.
-    pub stamp: u64,
+    pub stamp_ms: u64,
 }
 
 /// A host that another host knows to be live.
--- a/elmstream_steer/src/limit_senders.rs
+++ b/elmstream_steer/src/limit_senders.rs
@@ -80,7 +80,8 @@
         let due: Vec<(ServerIndex, Kind)> = due
             .map(|(index, entry)| (index, (entry.server.service.clone(), entry.region.clone())))
             .collect();
-        let part = self.reachable as f64 / self.fleet_size.max(self.reachable).max(1) as f64;
+        let part =
+            self.reachable_hosts as f64 / self.fleet_size.max(self.reachable_hosts).max(1) as f64;
         let own = self.address_hashes.first().copied().unwrap_or_default();
         let mut candidates: HashMap<Kind, Vec<SenderCandidate>> = HashMap::new();
         for (index, kind) in due {
--- a/elmstream_steer/src/reader_rank.rs
+++ b/elmstream_steer/src/reader_rank.rs
@@ -21,7 +21,7 @@
 ///
 /// With [`ASK_RULES`] and the time that beats take it stays below [`SECOND_PART`], so
 /// that the second host is silent while the first one reads.
-pub const WAIT_PART: f64 = 0.1;
+pub const LONG_POLL_FRACTION: f64 = 0.1;
 /// Part of the bound on configurations after which the second host asks.
 const SECOND_PART: f64 = 0.32;
 /// Each further rank waits this much longer.
@@ -43,7 +43,7 @@
 }
 
 /// Time that a host is taken to need before it has read the store.
-pub const FAR_MS: u16 = 1_000;
+pub const UNMEASURED_READ_MS: u16 = 1_000;
 /// Shorter times count as alike.
 const NEAR_MS: u16 = 16;
 
--- a/elmstream_steer/src/restore.rs
+++ b/elmstream_steer/src/restore.rs
@@ -9,7 +9,7 @@
 };
 
 /// Servers that the store drops within this time after it was away may come back.
-pub(crate) const AFTER_OUTAGE: u64 = 2_500 * MILLI;
+pub(crate) const OUTAGE_GRACE: u64 = 2_500 * MILLI;
 
 impl Steer {
     /// The store's era, as far as it is known here.
@@ -21,7 +21,7 @@
     pub fn lacks_retained(&self, table: Table, held: u32) -> bool {
         held != 0
             && held != self.view.retained_digest(table)
-            && !self.merged_retained.contains(&held)
+            && !self.merged_retained_digests.contains(&held)
     }
 
     /// What becomes of a table that was known from an earlier era of the store.
@@ -33,7 +33,7 @@
         changes: &[StateChange],
     ) -> StateChange {
         // Servers that the store has lost write themselves down again.
-        self.lenient_until = now + AFTER_OUTAGE;
+        self.lapse_until = now + OUTAGE_GRACE;
         // What this fleet wrote since the copy is gone.
         self.registry.invalidate();
         self.urgent = true;
--- a/elmstream_steer/src/steer.rs
+++ b/elmstream_steer/src/steer.rs
@@ -24,7 +24,7 @@
     pick::{self, Pick, PickContext, PickRequest},
     poison::{PoisonChange, PoisonTracker},
     quota::{self, QuotaDecision, Quotas},
-    reader_rank::FAR_MS,
+    reader_rank::UNMEASURED_READ_MS,
     region_shares::{DecayingCount, RegionShares},
     returning_callers::ReturningCallers,
     rollout::{RolloutArm, RolloutStage},
@@ -61,7 +61,7 @@
     pub(crate) leaving_servers: LeavingServers,
     pub(crate) demand_counts: HashMap<String, DecayingCount>,
     pub(crate) region_shares: HashMap<String, RegionShares>,
-    pub(crate) shares_updated: Time,
+    pub(crate) shares_updated_at: Time,
     pub(crate) warm_keys: WarmKeys,
     pub(crate) members: Members,
     pub(crate) budgets: Budgets,
@@ -81,19 +81,19 @@
     pub(crate) read_up_to: [StoreVersion; 3],
     /// What hosts told of that holds on from an earlier era, as
     /// [`crate::heartbeat::TableStatus::retained_digest`] names it.
-    pub(crate) merged_retained: HashSet<u32>,
+    pub(crate) merged_retained_digests: HashSet<u32>,
     pub(crate) store_ms: u16,
     pub(crate) ready: bool,
     /// News that hosts must not wait for have come since the last beat.
     pub(crate) urgent: bool,
     pub(crate) leaving: bool,
-    pub(crate) lenient_until: Time,
+    pub(crate) lapse_until: Time,
     /// Hosts that are live, this one included.
     pub(crate) live_hosts: usize,
     /// Those of them whose regions are not lost.
-    pub(crate) reachable: usize,
+    pub(crate) reachable_hosts: usize,
     /// Those of them that are in this host's region.
-    pub(crate) near_live: usize,
+    pub(crate) near_live_hosts: usize,
     /// Hosts that may be running, this one included, as far as any live host knows.
     pub(crate) fleet_size: usize,
     /// Hashes of the addresses of hosts that may be running, with this one's first.
@@ -106,7 +106,7 @@
     /// Version of the table that the other host knows.
     pub(crate) version: StoreVersion,
     /// When it was first told.
-    pub(crate) told_at: Time,
+    pub(crate) reported_at: Time,
 }
 
 /// What a change of the view brought about, for logs.
@@ -210,7 +210,7 @@
             leaving_servers: LeavingServers::default(),
             demand_counts: HashMap::new(),
             region_shares: HashMap::new(),
-            shares_updated: Time(0),
+            shares_updated_at: Time(0),
             warm_keys: WarmKeys::default(),
             members,
             budgets: Budgets::new(reader),
@@ -224,15 +224,15 @@
             has_uninformed_peer: false,
             pending_news: [None; 3],
             read_up_to: [StoreVersion::default(); 3],
-            merged_retained: HashSet::new(),
-            store_ms: FAR_MS,
+            merged_retained_digests: HashSet::new(),
+            store_ms: UNMEASURED_READ_MS,
             ready: false,
             urgent: false,
             leaving: false,
-            lenient_until: Time(0),
+            lapse_until: Time(0),
             live_hosts: 1,
-            reachable: 1,
-            near_live: 1,
+            reachable_hosts: 1,
+            near_live_hosts: 1,
             fleet_size: 1,
             address_hashes: vec![place],
         }
@@ -270,7 +270,7 @@
     }
 
     /// Version of the configuration in force; none if none is known.
-    pub fn version(&self) -> Option<u64> {
+    pub fn configuration_version(&self) -> Option<u64> {
         self.view.configuration().map(|configuration| configuration.version)
     }
 
@@ -286,8 +286,8 @@
 
     /// Whether callers can be served.
     pub fn serves(&self) -> bool {
-        let knows =
-            self.version().is_some() && self.view.watermark(Table::Servers).confirmed_at.is_some();
+        let knows = self.configuration_version().is_some()
+            && self.view.watermark(Table::Servers).confirmed_at.is_some();
         // A host that starts during a roll-out does not know yet which servers are used.
         knows && !self.leaving && (self.ready || !self.awaits_rollout_progress())
     }
@@ -359,8 +359,8 @@
             bounds: &self.settings.bounds,
             fleet: FleetView {
                 possible: self.fleet_size,
-                live: self.reachable,
-                near: self.near_live,
+                live: self.reachable_hosts,
+                near: self.near_live_hosts,
             },
             hosts_known: self.registry.is_known(),
             address_hashes: &self.address_hashes,
--- a/elmstream_steer/src/store_reads.rs
+++ b/elmstream_steer/src/store_reads.rs
@@ -3,12 +3,12 @@
 use elmstream::time::{MILLI, Time};
 
 use crate::{
-    era::LAPSE,
+    era::LAPSE_TIMEOUT,
     hash,
     heartbeat::StoreRead,
     model::Server,
     reader_rank::{self, RankedReader},
-    restore::AFTER_OUTAGE,
+    restore::OUTAGE_GRACE,
     routes::RouteTable,
     startup::StartupContext,
     steer::{PendingNews, ServerState, StateChange, Steer},
@@ -71,7 +71,7 @@
         };
         let mark = self.view.watermark(table);
         let behind = self.behind(table);
-        let stamp = mark.last_read.map_or(0, |reading| reading.stamp);
+        let stamp = mark.last_read.map_or(0, |reading| reading.stamp_ms);
         // A few hosts read how far a roll-out has come when it is ordered, not all that start.
         let fresh = match table {
             Table::Rollouts => mark.confirmed_at.or(self.active_rollout_since()),
@@ -83,7 +83,7 @@
             draw: hash::unit_interval(hash::combine(self.start_hash, stamp)),
             ranked_ahead: ahead,
             live_hosts: self.live_hosts as u64,
-            behind_since: behind.map(|told| told.told_at),
+            behind_since: behind.map(|told| told.reported_at),
             bound_ms: self.settings.bounds.configuration_ms,
         }
     }
@@ -117,7 +117,7 @@
     ) {
         self.store_schedule.record_answer(table, why == ReadReason::Check);
         self.view.mark_complete(table, version);
-        let told = self.behind(table).filter(|told| told.told_at <= asked);
+        let told = self.behind(table).filter(|told| told.reported_at <= asked);
         let covered = &mut self.read_up_to[table as usize];
         let told = told.map_or(version, |told| told.version);
         *covered = version.max(*covered).max(told);
@@ -218,7 +218,7 @@
         rows: Vec<Row>,
     ) -> Vec<StateChange> {
         let changes = self.apply_rows(now, table, rows);
-        let reading = StoreRead { reader: self.start_hash, stamp: moment.0 / MILLI };
+        let reading = StoreRead { reader: self.start_hash, stamp_ms: moment.0 / MILLI };
         // The store's counter also rises with what does not matter, so the table's
         // version is that of its last row that did.
         let mark = self.view.watermark(table).version;
@@ -234,7 +234,7 @@
     ) -> Vec<StateChange> {
         let before = self.view.age(now, Table::Servers);
         if table == Table::Servers && before.is_some_and(|age| age > OUTAGE) {
-            self.lenient_until = now + AFTER_OUTAGE;
+            self.lapse_until = now + OUTAGE_GRACE;
         }
         let mut changes = Vec::new();
         for row in rows {
@@ -310,16 +310,16 @@
             }
             (RowKey::Server(id), Some(RowContent::Unreadable)) => {
                 self.urgent = true;
-                self.remove(id);
+                self.remove_server(id);
                 changes.push(StateChange::Server(id.clone(), ServerState::Unreadable));
             }
             (RowKey::Server(id), _) => {
-                if now < self.lenient_until
+                if now < self.lapse_until
                     && let Some(index) = self.servers.find(id)
                     && let Some(entry) = self.servers.get_mut(index)
                     && !entry.is_leaving()
                 {
-                    entry.lapses_at = Some(now + LAPSE);
+                    entry.lapses_at = Some(now + LAPSE_TIMEOUT);
                     changes.push(StateChange::Server(id.clone(), ServerState::Lapsed));
                 } else {
                     self.drop_server(id, changes);
@@ -341,7 +341,7 @@
 
     pub(crate) fn drop_server(&mut self, id: &str, changes: &mut Vec<StateChange>) {
         self.urgent = true;
-        self.remove(id);
+        self.remove_server(id);
         changes.push(StateChange::Server(id.to_owned(), ServerState::Gone));
     }
 
@@ -351,10 +351,10 @@
         if let Some(start) = known.map(|entry| entry.start_hash()) {
             self.leaving_servers.forget(start);
         }
-        self.remove(id);
+        self.remove_server(id);
     }
 
-    pub(crate) fn remove(&mut self, id: &str) {
+    pub(crate) fn remove_server(&mut self, id: &str) {
         if let Some(index) = self.servers.find(id) {
             self.warm_keys.remove_server(index);
         }
--- a/elmstream_steer/src/table_sync.rs
+++ b/elmstream_steer/src/table_sync.rs
@@ -154,10 +154,10 @@
         self.view.carry_over(table, status.version.era, &carried_over);
         let mut changes = self.apply_rows(now, table, rows);
         self.hold_on(now, retained, &mut changes);
-        if self.merged_retained.len() >= HELD_TAKEN {
-            self.merged_retained.clear();
+        if self.merged_retained_digests.len() >= HELD_TAKEN {
+            self.merged_retained_digests.clear();
         }
-        self.merged_retained.insert(status.retained_digest);
+        self.merged_retained_digests.insert(status.retained_digest);
         self.view.confirm(now, table, status.version, reading);
         if crossed || knew.confirmed_at.is_none() || told.keys.is_some() {
             let floor = if crossed {
--- a/elmstream_steer/src/view.rs
+++ b/elmstream_steer/src/view.rs
@@ -209,13 +209,13 @@
     pub fn confirm(&mut self, now: Time, table: Table, version: StoreVersion, reading: StoreRead) {
         let mark = &mut self.watermarks[table as usize];
         mark.version = mark.version.max(version);
-        let seems = (now.0 / MILLI) as i64 - reading.stamp as i64;
+        let seems = (now.0 / MILLI) as i64 - reading.stamp_ms as i64;
         let new = ReaderClock { stamp: 0, least: seems };
         let seen = self.seen[table as usize].entry(reading.reader).or_insert(new);
-        if seen.stamp >= reading.stamp {
+        if seen.stamp >= reading.stamp_ms {
             return;
         }
-        *seen = ReaderClock { stamp: reading.stamp, least: seen.least.min(seems) };
+        *seen = ReaderClock { stamp: reading.stamp_ms, least: seen.least.min(seems) };
         let late = (seems - seen.least) as u64 * MILLI;
         let fresh = Time(now.0.saturating_sub(late));
         if mark.confirmed_at.is_none_or(|known| fresh > known) {
@@ -505,7 +505,7 @@
     }
 
     /// All rows that are there.
-    pub fn items(&self) -> impl Iterator<Item = (&RowKey, &RowContent)> {
+    pub fn contents(&self) -> impl Iterator<Item = (&RowKey, &RowContent)> {
         self.rows.iter().filter_map(|(key, row)| Some((key, row.content.as_ref()?)))
     }
 
--- a/elmstream_steer/tests/eras.rs
+++ b/elmstream_steer/tests/eras.rs
@@ -172,7 +172,7 @@
     let Some(StateChange::StoreRestored(returned)) = changes.last() else { panic!("{changes:?}") };
     assert_eq!(returned.before, StoreVersion::new(1, 100));
     assert_eq!(returned.retained, [RowKey::Configuration, evacuation().key]);
-    assert_eq!((steer.version(), evacuated(&steer)), (Some(7), true));
+    assert_eq!((steer.configuration_version(), evacuated(&steer)), (Some(7), true));
 }
 
 #[test]
@@ -187,9 +187,9 @@
         changes.iter().any(|change| matches!(change, StateChange::RetentionEnded(_))),
         "{changes:?}"
     );
-    assert_eq!((steer.version(), evacuated(&steer)), (Some(7), false));
+    assert_eq!((steer.configuration_version(), evacuated(&steer)), (Some(7), false));
     steer.tick(ms(1_000 + configuration / MILLI));
-    assert_eq!(steer.version(), Some(5));
+    assert_eq!(steer.configuration_version(), Some(5));
 }
 
 #[test]
@@ -236,7 +236,7 @@
             Table::Rules,
             vec![of(2, count, configuration(version, 0))],
         );
-        assert_eq!(steer.version(), Some(version.max(7)));
+        assert_eq!(steer.configuration_version(), Some(version.max(7)));
     }
 }
 
@@ -279,11 +279,11 @@
     let told = other.rows_for(ms(HOUR), Table::Rules, after);
     late.on_table_rows(ms(HOUR), Table::Rules, told);
     late.tick(ms(HOUR + 100));
-    assert_eq!((late.version(), evacuated(&late)), (Some(9), false));
+    assert_eq!((late.configuration_version(), evacuated(&late)), (Some(9), false));
     let after = other.view().watermark(Table::Rules).version;
     let told = late.rows_for(ms(HOUR), Table::Rules, after);
     other.on_table_rows(ms(HOUR), Table::Rules, told);
-    assert_eq!((other.version(), evacuated(&other)), (Some(9), false));
+    assert_eq!((other.configuration_version(), evacuated(&other)), (Some(9), false));
 }
 
 /// News go from an era to a later one only.
@@ -305,7 +305,7 @@
     steer.on_full_read(ms(0), Table::Rules, at(10), vec![configuration(1, 10)]);
     steer.on_changes(ms(100), Table::Rules, vec![configuration(2, 20)]);
     steer.on_full_read(ms(200), Table::Rules, at(30), vec![configuration(3, 30)]);
-    assert_eq!((steer.version(), steer.view().retained_count()), (Some(3), 0));
+    assert_eq!((steer.configuration_version(), steer.view().retained_count()), (Some(3), 0));
 }
 
 /// A domain was emptied and taken back; that it is to be emptied again was acknowledged just
--- a/elmstream_steer/tests/harm.rs
+++ b/elmstream_steer/tests/harm.rs
@@ -356,9 +356,9 @@
     let mut one = host(0, ms(0));
     one.next_heartbeat(ms(0));
     assert_eq!(one.on_server_crash(ms(0), UNIX_S, digest(HARM), 1, 0), PoisonChange::None);
-    assert!(!one.urgent());
+    assert!(!one.has_urgent_news());
     assert_eq!(one.on_server_crash(ms(0), UNIX_S, digest(HARM), 2, 1), PoisonChange::Grown);
-    assert!(one.urgent());
+    assert!(one.has_urgent_news());
     assert!(matches!(
         one.on_server_crash(ms(0), UNIX_S, digest(HARM), 3, 2),
         PoisonChange::Refused(_)
--- a/elmstream_steer/tests/large.rs
+++ b/elmstream_steer/tests/large.rs
@@ -57,7 +57,7 @@
     fn urgent(&mut self) {
         self.round += 1;
         self.at += URGENT;
-        self.beats(|host, _| host.urgent(), |_| true);
+        self.beats(|host, _| host.has_urgent_news(), |_| true);
     }
 
     /// Beats of those that `sends` names to all that are alive.
@@ -149,7 +149,7 @@
     let begun = fleet.at;
     let behind = |fleet: &Fleet| {
         let hosts = fleet.hosts.iter();
-        hosts.filter(|host| host.version() != Some(2)).count()
+        hosts.filter(|host| host.configuration_version() != Some(2)).count()
     };
     while behind(&fleet) > 0 {
         fleet.urgent();
--- a/elmstream_steer/tests/leaving.rs
+++ b/elmstream_steer/tests/leaving.rs
@@ -62,7 +62,7 @@
 fn hosts_tell_each_other_also_those_that_start_later() {
     let mut fleet: Vec<Steer> = (0..3).map(|n| ready(n, ms(0), two())).collect();
     leaves(&mut fleet[0], 1_000, "s");
-    assert!(fleet[0].urgent(), "it is told at once");
+    assert!(fleet[0].has_urgent_news(), "it is told at once");
     beats(ms(1_050), &mut fleet, |_, _| true);
     assert!((0..3).all(|n| !used(&mut fleet[n], 1_060, "s")));
     // Whoever was answered is gone; those that were told tell on.
--- a/elmstream_steer/tests/outage.rs
+++ b/elmstream_steer/tests/outage.rs
@@ -113,7 +113,7 @@
         }
         for n in (0..self.hosts.len()).filter(|n| !self.dead.contains(n)).collect::<Vec<_>>() {
             let pause = members::heartbeat_interval(self.hosts[n].members().target_count()) / MILLI;
-            let pause = if self.hosts[n].urgent() { pause.min(URGENT) } else { pause };
+            let pause = if self.hosts[n].has_urgent_news() { pause.min(URGENT) } else { pause };
             if self.due[n].0 + pause <= at {
                 self.beat(at, n);
             }
@@ -135,7 +135,7 @@
             let others = (0..self.hosts.len()).filter(|other| *other != n).filter_map(member);
             let reader = |member: &'_ Member| RankedReader {
                 host: member.hash,
-                read_ms: member.store_ms.unwrap_or(reader_rank::FAR_MS),
+                read_ms: member.store_ms.unwrap_or(reader_rank::UNMEASURED_READ_MS),
                 location: DOMAINS
                     [DOMAINS.iter().position(|(name, _)| *name == member.host.domain).unwrap_or(0)],
             };
@@ -213,7 +213,7 @@
             fleet.stored = (2, 20);
         }
         fleet.step(at, !silences.iter().any(|silence| silence.contains(&at)));
-        if at > last.end && fleet.hosts.iter().all(|host| host.version() == Some(2)) {
+        if at > last.end && fleet.hosts.iter().all(|host| host.configuration_version() == Some(2)) {
             let calls = fleet.begun.iter().filter(|begun| last.contains(*begun));
             return (at - last.end, calls.count());
         }
@@ -263,7 +263,8 @@
 fn news_are_known_soon_if_the_store_is_silent_as_all_hosts_start() {
     for hosts in [12, 89] {
         let mut fleet = Fleet::unread(hosts);
-        let known = |fleet: &Fleet| fleet.hosts.iter().all(|host| host.version() == Some(1));
+        let known =
+            |fleet: &Fleet| fleet.hosts.iter().all(|host| host.configuration_version() == Some(1));
         let well = 200;
         let at = (0..12_000).step_by(STEP as usize).find(|at| {
             fleet.step(*at, *at >= well);
@@ -289,7 +290,8 @@
             fleet.stored = (2, 20);
         }
         fleet.step(at, true);
-        let knows = |n: usize| fleet.dead.contains(&n) || fleet.hosts[n].version() == Some(2);
+        let knows =
+            |n: usize| fleet.dead.contains(&n) || fleet.hosts[n].configuration_version() == Some(2);
         if at > died && (0..hosts).all(knows) {
             return at - died;
         }
@@ -351,7 +353,8 @@
             fleet.stored = (2, 20);
         }
         fleet.step(at, true);
-        let knows = |n: usize| fleet.dead.contains(&n) || fleet.hosts[n].version() == Some(2);
+        let knows =
+            |n: usize| fleet.dead.contains(&n) || fleet.hosts[n].configuration_version() == Some(2);
         if at > SILENT && (0..12).all(knows) {
             assert!(at - SILENT <= 700, "after {} ms", at - SILENT);
             return;
@@ -371,7 +374,7 @@
             fleet.without_fetches = cut_off.to_vec();
         }
         fleet.step(at, !(SILENT..SILENT + 6_000).contains(&at));
-        if cut_off.iter().all(|n| fleet.hosts[*n].version() == Some(2)) {
+        if cut_off.iter().all(|n| fleet.hosts[*n].configuration_version() == Some(2)) {
             assert!(at - stored <= 2_000, "after {} ms", at - stored);
             return;
         }
@@ -400,7 +403,7 @@
             fleet.without_fetches = vec![cut_off];
         }
         fleet.step(at, true);
-        let knows = |n: usize| fleet.hosts[n].version() == Some(2);
+        let knows = |n: usize| fleet.hosts[n].configuration_version() == Some(2);
         if at > SILENT && knows(cut_off) {
             assert!((0..12).all(knows), "it need not be the first one");
             assert!((500..=1_200).contains(&(at - SILENT)), "after {} ms", at - SILENT);
--- a/elmstream_steer/tests/support/eras.rs
+++ b/elmstream_steer/tests/support/eras.rs
@@ -425,7 +425,7 @@
     fn beat(&mut self, at: u64, n: usize) {
         let node = &mut self.nodes[n];
         let pause = members::heartbeat_interval(node.steer.members().target_count()) / MILLI;
-        let pause = if node.steer.urgent() { pause.min(URGENT) } else { pause };
+        let pause = if node.steer.has_urgent_news() { pause.min(URGENT) } else { pause };
         if node.beat.0 + pause > at {
             return;
         }
@@ -545,7 +545,7 @@
     fn agrees(&self, n: usize, fact: usize) -> bool {
         let steer = &self.nodes[n].steer;
         if fact == 0 {
-            return steer.version() == Some(self.truth.configuration);
+            return steer.configuration_version() == Some(self.truth.configuration);
         }
         if let Some((domain, _)) = DOMAINS.get(fact - 1) {
             let evacuated = steer.view().get(&RowKey::Evacuation((*domain).into())).is_some();
@@ -634,7 +634,7 @@
                 self.nodes[n].started,
                 self.changed[fact],
                 self.returns,
-                self.nodes[n].steer.version(),
+                self.nodes[n].steer.configuration_version(),
                 self.truth.configuration,
             )
         });
--- a/elmstream_steer/tests/support/harm.rs
+++ b/elmstream_steer/tests/support/harm.rs
@@ -310,7 +310,7 @@
         for from in 0..self.hosts.len() {
             let (round, last) = self.rounds[from];
             let waited = self.at.saturating_sub(last);
-            let due = waited >= pause || waited >= URGENT && self.hosts[from].urgent();
+            let due = waited >= pause || waited >= URGENT && self.hosts[from].has_urgent_news();
             if !due || self.apart[from] {
                 continue;
             }
--- a/elmstream_steer/tests/support/needy.rs
+++ b/elmstream_steer/tests/support/needy.rs
@@ -209,7 +209,7 @@
         for from in 0..self.hosts.len() {
             let (round, last) = self.rounds[from];
             let waited = self.at.saturating_sub(last);
-            if waited < pause && !(waited >= URGENT && self.hosts[from].urgent()) {
+            if waited < pause && !(waited >= URGENT && self.hosts[from].has_urgent_news()) {
                 continue;
             }
             self.rounds[from] = (round + 1, self.at);
--- a/elmstream_steer/tests/support/rollouts.rs
+++ b/elmstream_steer/tests/support/rollouts.rs
@@ -432,7 +432,7 @@
     fn beat(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         let pause = members::heartbeat_interval(node.steer.members().target_count()) / MILLI;
-        let pause = if node.steer.urgent() { pause.min(URGENT) } else { pause };
+        let pause = if node.steer.has_urgent_news() { pause.min(URGENT) } else { pause };
         if node.beat.0 + pause > self.at {
             return;
         }
--- a/elmstream_steer/tests/view.rs
+++ b/elmstream_steer/tests/view.rs
@@ -25,7 +25,7 @@
 }
 
 fn state(view: &View) -> Vec<String> {
-    view.items().map(|item| format!("{item:?}")).collect()
+    view.contents().map(|item| format!("{item:?}")).collect()
 }
 
 #[test]
@@ -55,11 +55,11 @@
     let mut steer = host(0, ms(0));
     steer.on_changes(ms(0), Table::Rules, vec![configuration(5, 20)]);
     steer.on_changes(ms(1), Table::Rules, vec![configuration(4, 30)]);
-    assert_eq!(steer.version(), Some(5));
+    assert_eq!(steer.configuration_version(), Some(5));
     steer.on_changes(ms(2), Table::Rules, vec![gone(RowKey::Configuration, 40)]);
-    assert_eq!(steer.version(), Some(5));
+    assert_eq!(steer.configuration_version(), Some(5));
     steer.on_changes(ms(3), Table::Rules, vec![configuration(6, 50)]);
-    assert_eq!(steer.version(), Some(6));
+    assert_eq!(steer.configuration_version(), Some(6));
 }
 
 #[test]
