--- a/elmstream_steer/src/lib.rs
+++ b/elmstream_steer/src/lib.rs
@@ -1,11 +1,12 @@
-//! Decisions of an entry host in a fleet whose hosts send to any backend server.
+//! Decision logic of an entry host in a fleet whose hosts send requests to any backend server.
 //!
-//! Pure: no I/O, no clock, no threads. Rows of the store, beats of the other
-//! hosts, requests and time come in; choices and messages go out. `view` holds
-//! what the store says, `servers` and `members` hold the entities, and `pick`,
-//! `cold_start`, `budget`, `quota`, `reader_rank`, `store_schedule`, and `rollout` with
-//! `rollout_counts`, `canary_analysis` and `rollout_steps`, are the systems over them. [`Steer`]
-//! ties them together for one host.
+//! The crate does no I/O, reads no clock and starts no threads. Its inputs are rows of the store,
+//! heartbeats of the other hosts, requests and the current time; its outputs are server picks and
+//! messages to other hosts. [`view`] holds the contents of the store. [`servers`] and [`members`]
+//! hold the backend servers and the other hosts. [`pick`], [`cold_start`], [`budget`], [`quota`],
+//! [`reader_rank`], [`store_schedule`] and [`rollout`] (with [`rollout_counts`],
+//! [`canary_analysis`] and [`rollout_steps`]) decide on top of them. [`Steer`] combines these parts
+//! for one host.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstream_steer/src/settings.rs
+++ b/elmstream_steer/src/settings.rs
@@ -1,52 +1,53 @@
-//! What a host knows of itself, and the bounds it keeps.
+//! Identity of a host and the bounds that it keeps.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use serde::{Deserialize, Serialize};
 
-/// A host, as it tells the others.
+/// A host as it describes itself to the others.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
-    /// Its name, which outlasts restarts.
+    /// Name of the host, which stays the same over restarts.
     pub name: String,
-    /// Failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Region.
+    /// Region of the host.
     pub region: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the other hosts reach it, by TCP and UDP.
+    /// Address for other hosts, over TCP and UDP.
     pub peers: SocketAddr,
 }
 
-/// Bounds that hold for the whole fleet.
+/// Bounds that apply to the whole fleet.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Time in which a configuration is in force everywhere, in milliseconds.
+    /// Time within which a configuration is in force on all hosts, in milliseconds.
     pub configuration_ms: u64,
-    /// Repeats of a service's requests, as a part of the requests.
+    /// Retries of a service's requests, as a fraction of the requests.
     pub retry_ratio: f64,
-    /// Repeats that are allowed beyond that in one window of some seconds.
+    /// Number of retries allowed beyond that fraction in a window of some seconds.
     pub retry_slack: f64,
-    /// Requests to a cold backend server, as a multiple of what it bears.
+    /// Requests a second to a cold backend server, as a multiple of the rate that it can handle.
     pub cold_overshoot: f64,
-    /// Requests a second beyond that.
+    /// Number of requests a second allowed beyond that.
     pub cold_slack: f64,
-    /// How long a caller may keep a look-up's answer, in seconds.
+    /// How long a caller may cache the answer of a lookup, in seconds.
     pub lookup_ttl_s: u64,
-    /// Window in which a workspace's requests are counted, in seconds.
+    /// Length of the window in which a workspace's requests are counted, in seconds.
     pub limit_window_s: u64,
-    /// Requests beyond a workspace's limit in a window, as a part of it.
+    /// Requests in a window beyond a workspace's limit, as a fraction of the limit.
     pub limit_overshoot: f64,
-    /// Requests in a window beyond that.
+    /// Number of requests in a window allowed beyond that.
     pub limit_slack: f64,
-    /// Part of a service's requests that a version may get until it is found to be bad.
+    /// Fraction of a service's requests that a new version may receive before it is found to be
+    /// bad.
     pub exposure_share: f64,
-    /// Requests beyond that.
+    /// Number of requests allowed beyond that.
     pub exposure_slack: f64,
-    /// Time in which a version that is bad gets nothing any more, in milliseconds.
+    /// Time within which a bad version stops receiving requests, in milliseconds.
     pub rollback_ms: u64,
 }
 
@@ -69,10 +70,10 @@
     }
 }
 
-/// What the decisions of one host rest on from its start.
+/// Settings of a host, fixed at its start except for domains and bounds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The host itself.
+    /// Identity of the host.
     pub host: Host,
     /// Number of this start; a later start has a higher one.
     pub incarnation: u64,
