--- a/elmstream_steer/src/steer.rs
+++ b/elmstream_steer/src/steer.rs
@@ -1,6 +1,7 @@
-//! The decisions of one host, and its requests.
+//! State of one host and its decisions about requests.
 //!
-//! `store_reads` takes in the store, `gossip` the other hosts.
+//! The `store_reads` module merges what the store returns, and `gossip` the messages of other
+//! hosts.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -40,15 +41,17 @@
     workspaces::{Denial, PresentedKey, WorkspaceEntry, WorkspaceTable},
 };
 
-/// Part of a rest by which it is longer at most.
-const REST_SPREAD: f64 = 0.1;
+/// Largest part by which a back-off that a server asks for is lengthened.
+const BACK_OFF_JITTER: f64 = 0.1;
 
-/// What a host decides with.
+/// State and decisions of one entry host.
+///
+/// All times are passed in by the caller, so that the state can be driven by a virtual clock.
 #[derive(Debug)]
 pub struct Steer {
     pub(crate) settings: Settings,
     pub(crate) hash: u64,
-    /// Hash of this start.
+    /// Hash of the host's name and incarnation, which differs for each start.
     pub(crate) start_hash: u64,
     pub(crate) started: Time,
     pub(crate) view: View,
@@ -71,109 +74,110 @@
     pub(crate) heartbeat_number: u64,
     pub(crate) store_schedule: StoreSchedule,
     pub(crate) registry: Registry,
-    /// Whether hosts that start ask this one first.
+    /// Whether starting hosts contact this one first.
     pub(crate) is_seed: bool,
-    /// Whether a host that this one asked could tell it nothing.
+    /// Whether a peer that this host asked could not provide any table.
     pub(crate) has_uninformed_peer: bool,
-    /// News of each table that others know and this host lacks.
+    /// For each table, a newer version that other hosts have announced and this host lacks.
     pub(crate) pending_news: [Option<PendingNews>; 3],
-    /// Version of each table that this host has itself read the store up to.
+    /// For each table, the version up to which this host has itself read the store.
     pub(crate) read_up_to: [StoreVersion; 3],
-    /// What hosts told of that holds on from an earlier era, as
-    /// [`crate::heartbeat::TableStatus::retained_digest`] names it.
+    /// Digests of retained rows that this host has already merged from others, as in
+    /// [`crate::heartbeat::TableStatus::retained_digest`].
     pub(crate) merged_retained_digests: HashSet<u32>,
     pub(crate) store_ms: u16,
     pub(crate) ready: bool,
-    /// News that hosts must not wait for have come since the last beat.
+    /// Whether a change since the last heartbeat is to be sent without waiting for the next round.
     pub(crate) urgent: bool,
     pub(crate) leaving: bool,
     pub(crate) lapse_until: Time,
-    /// Hosts that are live, this one included.
+    /// Number of live hosts, including this one.
     pub(crate) live_hosts: usize,
-    /// Those of them whose regions are not lost.
+    /// Number of live hosts in regions that are reachable, including this one.
     pub(crate) reachable_hosts: usize,
-    /// Those of them that are in this host's region.
+    /// Number of live hosts in this host's region, including this one.
     pub(crate) near_live_hosts: usize,
-    /// Hosts that may be running, this one included, as far as any live host knows.
+    /// Highest number of possibly running hosts that any live host reports, including this one.
     pub(crate) fleet_size: usize,
-    /// Hashes of the addresses of hosts that may be running, with this one's first.
+    /// Address hashes of hosts that may be running; the first one is this host's own.
     pub(crate) address_hashes: Vec<u64>,
 }
 
-/// News that another host told of.
+/// A newer table version that another host has announced.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingNews {
-    /// Version of the table that the other host knows.
+    /// Version of the table at the other host.
     pub(crate) version: StoreVersion,
-    /// When it was first told.
+    /// When the version was first announced.
     pub(crate) reported_at: Time,
 }
 
-/// What a change of the view brought about, for logs.
+/// A change of state, reported for logging.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateChange {
-    /// A configuration is in force.
+    /// The configuration with this version came into force.
     Configuration(u64),
-    /// A failure domain is evacuated, or taken back.
+    /// The evacuation of a failure domain began (`true`) or ended (`false`).
     Evacuation(String, bool),
-    /// A server came, changed, left or fell silent.
+    /// A server was added, changed, left or became unreachable.
     Server(String, ServerState),
-    /// A host is no longer heard of.
+    /// A host, given by its name, is no longer live.
     HostLost(String),
-    /// The store has come back from a copy.
+    /// The store was restored from a backup.
     StoreRestored(StoreRestored),
-    /// What held on from an earlier era of the store does no longer; what the store says is
-    /// in force.
+    /// The retention of a row from an earlier era of the store ended, and the row that the store
+    /// holds came into force.
     RetentionEnded(RowKey),
-    /// A service is to be rolled out to a version, or that has come so far.
+    /// A rollout was ordered or withdrawn, or reached another stage.
     Rollout {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The version; none if the order was taken back.
+        /// Version to roll out; `None` if the order was withdrawn.
         target: Option<String>,
-        /// How far it has come; none if it has not begun.
+        /// Stage that the rollout has reached; `None` if it has not begun.
         stage: Option<RolloutStage>,
     },
 }
 
-/// What a host found as it first knew a table of a new era of the store.
+/// Effect of a restored store on one table, reported when the host first learns the table in the
+/// new era.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreRestored {
-    /// The table.
+    /// The affected table.
     pub table: Table,
-    /// Version up to which the table was known in the era before.
+    /// Version up to which the table was known in the previous era.
     pub before: StoreVersion,
-    /// The same in the new era.
+    /// Version up to which the table is known in the new era.
     pub version: StoreVersion,
-    /// Rows that are in force in another way since.
+    /// Number of state changes that the new contents caused.
     pub changed: usize,
-    /// Rows that hold on against what the store says.
+    /// Rows of the earlier era that stay in force against the restored store.
     pub retained: Vec<RowKey>,
 }
 
-/// What a host believes of a server.
+/// State of a backend server as seen by a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServerState {
-    /// The store lists it.
+    /// Listed by the store and in use.
     Ready,
-    /// It is about to leave.
+    /// Listed by the store as about to leave.
     Draining,
-    /// The store lost it while it was away itself; it is still used for a while.
+    /// No longer listed after an outage of the store; still used for a grace period.
     Lapsed,
-    /// The store does not list it.
+    /// Not listed by the store.
     Gone,
-    /// What the store says of it cannot be read.
+    /// Listed with an entry that cannot be parsed.
     Unreadable,
-    /// Another start has come under its id.
+    /// Another instance has started under the same id.
     Restarted,
-    /// It does not answer, or takes no connection.
+    /// Does not answer, or accepts no connections.
     Silent,
-    /// It answers again.
+    /// Answers again after it was silent.
     Answers,
 }
 
 impl ServerState {
-    /// Its name in logs.
+    /// The state's name in the event log.
     pub fn name(self) -> &'static str {
         match self {
             ServerState::Ready => "ready",
@@ -189,21 +193,21 @@
 }
 
 impl Steer {
-    /// A host that has just started and knows nothing.
+    /// Creates the state of a host that has just started and has no data.
     pub fn new(settings: Settings, now: Time) -> Steer {
         let hash = hash::of(&settings.host.name);
-        let reader = hash::combine(hash, settings.incarnation);
+        let start_hash = hash::combine(hash, settings.incarnation);
         let members = Members::new(&settings.host.region);
-        let place = hash::address(settings.host.peers);
+        let own_address_hash = hash::address(settings.host.peers);
         Steer {
             settings,
             hash,
-            start_hash: reader,
+            start_hash,
             started: now,
             view: View::default(),
             routes: RouteTable::default(),
             workspaces: WorkspaceTable::default(),
-            quotas: Quotas::new(reader, now),
+            quotas: Quotas::new(start_hash, now),
             evacuated: BTreeSet::new(),
             cold_settings: HashMap::new(),
             servers: ServerTable::default(),
@@ -213,10 +217,10 @@
             shares_updated_at: Time(0),
             warm_keys: WarmKeys::default(),
             members,
-            budgets: Budgets::new(reader),
+            budgets: Budgets::new(start_hash),
             poison: PoisonTracker::default(),
             returning_callers: ReturningCallers::default(),
-            rollouts: Rollouts::new(reader),
+            rollouts: Rollouts::new(start_hash),
             heartbeat_number: 0,
             store_schedule: StoreSchedule::default(),
             registry: Registry::default(),
@@ -234,13 +238,13 @@
             reachable_hosts: 1,
             near_live_hosts: 1,
             fleet_size: 1,
-            address_hashes: vec![place],
+            address_hashes: vec![own_address_hash],
         }
     }
 
-    /// What an earlier era of the store said holds on for other times than usual.
-    pub fn set_retention(&mut self, holds: Retention) {
-        self.view.set_retention(holds);
+    /// Replaces the default retention times of rows from an earlier era of the store.
+    pub fn set_retention(&mut self, retention: Retention) {
+        self.view.set_retention(retention);
     }
 
     /// Settings of the host.
@@ -248,18 +252,18 @@
         &self.settings
     }
 
-    /// Failure domains and bounds have changed.
+    /// Applies changed failure domains and bounds.
     pub fn reconfigure(&mut self, domains: BTreeMap<String, String>, bounds: Bounds) {
         self.settings.domains = domains;
         self.settings.bounds = bounds;
     }
 
-    /// What is known of the store.
+    /// The store's contents as known to this host.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The servers.
+    /// The backend servers.
     pub fn servers(&self) -> &ServerTable {
         &self.servers
     }
@@ -269,40 +273,41 @@
         &self.members
     }
 
-    /// Version of the configuration in force; none if none is known.
+    /// Version of the configuration in force; `None` if no configuration is known.
     pub fn configuration_version(&self) -> Option<u64> {
         self.view.configuration().map(|configuration| configuration.version)
     }
 
-    /// Bounds on what callers may send.
+    /// Limits on caller requests; the defaults if no configuration is known.
     pub fn limits(&self) -> Limits {
         self.view.configuration().map(|configuration| configuration.limits).unwrap_or_default()
     }
 
-    /// The route of a request.
+    /// Finds the route for a host name and path.
     pub fn route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         self.routes.find(host, path)
     }
 
-    /// Whether callers can be served.
+    /// Whether the host can serve callers.
     pub fn serves(&self) -> bool {
         let knows = self.configuration_version().is_some()
             && self.view.watermark(Table::Servers).confirmed_at.is_some();
-        // A host that starts during a roll-out does not know yet which servers are used.
+        // During a rollout, a starting host must first learn which servers are in use.
         knows && !self.leaving && (self.ready || !self.awaits_rollout_progress())
     }
 
-    /// Hosts that start ask this one first, so it does not wait for others itself.
+    /// Marks this host as one that starting hosts contact first. It reads the store itself instead
+    /// of waiting for peers.
     pub fn mark_as_seed(&mut self) {
         self.is_seed = true;
     }
 
-    /// A host that this one asked knows nothing itself, or did not answer.
+    /// Records that a peer could not provide any table or did not answer.
     pub fn record_uninformed_peer(&mut self) {
         self.has_uninformed_peer = true;
     }
 
-    /// The host is about to stop.
+    /// Records that the host is about to stop.
     pub fn start_leaving(&mut self) {
         self.leaving = true;
     }
@@ -314,47 +319,48 @@
         &self.workspaces
     }
 
-    /// The workspace of a request; none if its route is open and no key says so.
+    /// Finds the workspace of a request; `None` if the route is open and no key was presented.
     ///
     /// # Errors
     ///
-    /// The request is not let in.
+    /// Returns the reason if the request is not admitted.
     pub fn authenticate(
         &self,
         now: Time,
         route: &Route,
-        shown: PresentedKey,
+        presented_key: PresentedKey,
     ) -> Result<Option<Rc<WorkspaceEntry>>, Denial> {
-        self.workspaces.authenticate(route, shown, self.can_deny_routes(now))
+        self.workspaces.authenticate(route, presented_key, self.can_deny_routes(now))
     }
 
-    /// Rules on a request of a workspace by its limit, and counts it if it is within.
-    pub fn admit(&mut self, now: Time, member: &WorkspaceEntry) -> QuotaDecision {
-        self.with_quotas(now, |quotas, scene, _| quotas.admit(scene, member))
+    /// Decides whether a workspace's limit admits a request, and counts the request if it does.
+    pub fn admit(&mut self, now: Time, workspace: &WorkspaceEntry) -> QuotaDecision {
+        self.with_quotas(now, |quotas, context, _| quotas.admit(context, workspace))
     }
 
-    /// A request that was within its limit is sent to one more server.
-    pub fn record_workspace_retry(&mut self, now: Time, member: &WorkspaceEntry) {
-        self.with_quotas(now, |quotas, scene, _| quotas.record_retry(scene, member));
+    /// Counts an additional attempt of an admitted request at another server.
+    pub fn record_workspace_retry(&mut self, now: Time, workspace: &WorkspaceEntry) {
+        self.with_quotas(now, |quotas, context, _| quotas.record_retry(context, workspace));
     }
 
-    /// A request that was within its limit was run by no server.
-    pub fn refund_workspace(&mut self, now: Time, member: &WorkspaceEntry) {
-        self.with_quotas(now, |quotas, scene, _| quotas.refund(scene, member));
+    /// Returns the usage of an admitted request that no server ran.
+    pub fn refund_workspace(&mut self, now: Time, workspace: &WorkspaceEntry) {
+        self.with_quotas(now, |quotas, context, _| quotas.refund(context, workspace));
     }
 
-    /// Workspaces whose requests are held back, and those that nobody sums, for metrics.
+    /// Number of throttled workspaces and of workspaces whose usage reports are unanswered, for
+    /// metrics.
     pub fn quota_counts(&self, now: Time) -> (usize, usize) {
         (self.quotas.throttled_count(now), self.quotas.unanswered_count())
     }
 
-    /// Does something with the quotas and what they rest on.
+    /// Runs `action` with the quotas, their current context and the workspaces.
     pub(crate) fn with_quotas<T>(
         &mut self,
         now: Time,
-        act: impl FnOnce(&mut Quotas, &quota::QuotaContext<'_>, &WorkspaceTable) -> T,
+        action: impl FnOnce(&mut Quotas, &quota::QuotaContext<'_>, &WorkspaceTable) -> T,
     ) -> T {
-        let scene = quota::QuotaContext {
+        let context = quota::QuotaContext {
             now,
             bounds: &self.settings.bounds,
             fleet: FleetView {
@@ -365,33 +371,36 @@
             hosts_known: self.registry.is_known(),
             address_hashes: &self.address_hashes,
         };
-        act(&mut self.quotas, &scene, &self.workspaces)
+        action(&mut self.quotas, &context, &self.workspaces)
     }
 
     // Requests.
 
-    /// Chooses the server of a request and counts it as sent.
-    pub fn pick_server(&mut self, now: Time, ask: &PickRequest<'_>) -> Pick {
-        let arm = self.pick_rollout_arm(now, ask);
-        let mut choice = self.choose(now, ask, arm);
+    /// Picks the server for a request and counts the request as sent.
+    ///
+    /// If no server of the canary or the target version accepts a request, the old version is tried
+    /// unless all traffic has shifted.
+    pub fn pick_server(&mut self, now: Time, request: &PickRequest<'_>) -> Pick {
+        let arm = self.pick_rollout_arm(now, request);
+        let mut picked = self.pick_from_arm(now, request, arm);
         let falls_back = matches!(arm, RolloutArm::Canary | RolloutArm::Target)
-            && !self.traffic_shifted(ask.service);
-        if matches!(choice, Pick::Refuse(_)) && falls_back {
-            choice = self.choose(now, ask, RolloutArm::Old);
+            && !self.traffic_shifted(request.service);
+        if matches!(picked, Pick::Refuse(_)) && falls_back {
+            picked = self.pick_from_arm(now, request, RolloutArm::Old);
         }
-        if let Pick::Send(index) = choice
+        if let Pick::Send(index) = picked
             && let Some(entry) = self.servers.get_mut(index)
         {
             entry.record_sent(now);
-            self.record_canary_request(ask.service, &ask.route.name, index);
+            self.record_canary_request(request.service, &request.route.name, index);
         }
-        choice
+        picked
     }
 
-    fn choose(&self, now: Time, ask: &PickRequest<'_>, arm: RolloutArm) -> Pick {
+    fn pick_from_arm(&self, now: Time, request: &PickRequest<'_>, arm: RolloutArm) -> Pick {
         let host = &self.settings.host;
-        let empty = RegionShares::default();
-        let scene = PickContext {
+        let no_shares = RegionShares::default();
+        let context = PickContext {
             rollout_arm: arm,
             now,
             started: self.started,
@@ -400,65 +409,69 @@
             evacuated: &self.evacuated,
             live_hosts: self.live_hosts,
             hosts_known: self.registry.is_known(),
-            region_shares: self.region_shares.get(ask.service).unwrap_or(&empty),
+            region_shares: self.region_shares.get(request.service).unwrap_or(&no_shares),
             warm_keys: &self.warm_keys,
         };
-        pick::pick_server(&scene, ask)
+        pick::pick_server(&context, request)
     }
 
-    /// Takes in what became of a request that was sent.
+    /// Records the outcome of a request that was sent to a server.
     pub fn record_outcome(&mut self, now: Time, index: ServerIndex, outcome: Outcome) {
         self.servers.record_outcome(now, index, outcome);
     }
 
-    /// Takes in what a server said of its load.
+    /// Records the load that a server reported, in requests.
     pub fn record_server_load(&mut self, now: Time, index: ServerIndex, requests: u32) {
         if let Some(entry) = self.servers.get_mut(index) {
             entry.record_load(now, requests);
         }
     }
 
-    /// A server said in an answer that it is about to leave; whether that is new.
+    /// Records that a server announced in an answer that it is leaving. Returns whether this is
+    /// new.
     pub fn on_server_leaving(&mut self, now: Time, index: ServerIndex) -> bool {
         let start = self.servers.get(index).map(|entry| entry.start_hash());
         start.is_some_and(|start| self.record_leaving(now, start).is_some())
     }
 
-    /// Whether what a server has said since it was chosen still lets a request go there.
+    /// Whether a server still accepts a request that was assigned to it earlier.
     ///
-    /// A connection may take 0.4 s to come up.
+    /// It may have announced that it is leaving or asked for a back-off since, as opening a
+    /// connection can take 0.4 s.
     pub fn still_accepts(&self, now: Time, index: ServerIndex) -> bool {
         self.servers.get(index).is_some_and(|entry| !entry.leaving && !entry.is_backing_off(now))
     }
 
-    /// A server turned a request away and wants nothing from this host for a time; whether
-    /// it was not at rest before.
-    pub fn on_server_backoff(&mut self, now: Time, index: ServerIndex, rest: Duration) -> bool {
+    /// Records that a server refused a request and asked this host to back off for `pause`. Returns
+    /// whether the server was not already in a back-off.
+    pub fn on_server_backoff(&mut self, now: Time, index: ServerIndex, pause: Duration) -> bool {
         let Some(entry) = self.servers.get_mut(index) else { return false };
-        // Servers that turn all hosts away at once do not get them all back at once.
-        let draw = hash::unit_interval(hash::combine(self.hash, entry.hash ^ now.0));
-        let spread = 1.0 + REST_SPREAD * draw;
-        entry.back_off(now, (rest.as_micros() as f64 * spread) as u64)
+        // Spreads the end of the back-off over hosts, so that a server that refused all of them is
+        // not sent all their requests at once.
+        let fraction = hash::unit_interval(hash::combine(self.hash, entry.hash ^ now.0));
+        let stretch = 1.0 + BACK_OFF_JITTER * fraction;
+        entry.back_off(now, (pause.as_micros() as f64 * stretch) as u64)
     }
 
-    /// A server works on a request of a key; whether it was taken to know it.
+    /// Marks a server as warm for a key that it is processing. Returns whether it was warm before.
     ///
-    /// It counts as knowing it from then on, so that the key's next requests, from
-    /// other hosts too, do not meet yet another server.
+    /// The mark is set before the answer arrives, so that the key's next requests, including those
+    /// at other hosts, go to this server instead of warming another one.
     pub fn record_warm_key(&mut self, now: Time, index: ServerIndex, key: u64) -> bool {
-        let knew = self.warm_keys.is_warm(now, index, key);
+        let was_warm = self.warm_keys.is_warm(now, index, key);
         if let Some(entry) = self.servers.get(index) {
             self.warm_keys.record(now, (index, entry.hash as u32), key);
         }
-        knew
+        was_warm
     }
 
-    /// Whether a server is taken to know a key.
+    /// Whether a server is considered warm for a key.
     pub fn is_warm(&self, now: Time, index: ServerIndex, key: u64) -> bool {
         self.warm_keys.is_warm(now, index, key)
     }
 
-    /// A request of a service came, which earns a part of a repeat.
+    /// Counts a request of a service, which deposits a fraction of a retry into the service's
+    /// budget.
     pub fn deposit_retry(&mut self, now: Time, service: &str) {
         if let Some(count) = self.demand_counts.get_mut(service) {
             count.add(now);
@@ -474,53 +487,54 @@
         );
     }
 
-    /// Whether a request of a route, whose caller waits so many milliseconds, most
-    /// likely comes from one who was refused before.
-    pub fn is_returning(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
-        self.returning_callers.is_returning(now, route, left_ms)
+    /// Whether a request, whose caller waits `remaining_ms` milliseconds for an answer, most likely
+    /// comes from a caller that was refused before.
+    pub fn is_returning(&mut self, now: Time, route: &str, remaining_ms: u64) -> bool {
+        self.returning_callers.is_returning(now, route, remaining_ms)
     }
 
-    /// Whether the budget has a repeat left for a service.
+    /// Whether a service's retry budget allows a retry.
     pub fn can_retry(&mut self, service: &str) -> bool {
         self.budgets.can_withdraw(service)
     }
 
-    /// Spends a repeat of a service's budget, if there is one.
+    /// Takes one retry from a service's budget. Returns whether one was available.
     pub fn withdraw_retry(&mut self, service: &str) -> bool {
         self.budgets.withdraw(service)
     }
 
-    // Requests under which servers end.
+    // Requests that crash servers.
 
-    /// What is known of them.
+    /// Crashes of servers and the requests suspected of causing them.
     pub fn poison(&self) -> &PoisonTracker {
         &self.poison
     }
 
-    /// The same, to be changed; what other hosts must know is told by [`Steer::on_server_crash`].
+    /// Mutable access to [`Steer::poison`]. Crashes go through [`Steer::on_server_crash`], which
+    /// also informs the other hosts.
     pub fn poison_mut(&mut self) -> &mut PoisonTracker {
         &mut self.poison
     }
 
-    /// A server ended under a request, which was sent when so many generations of
-    /// endings were `known`.
+    /// Records that a server crashed while it ran a request. `known_generations` is the number of
+    /// crash generations that were known when the request was sent.
     pub fn on_server_crash(
         &mut self,
         now: Time,
         unix_s: u64,
         digest: RequestDigest,
         server: u64,
-        known: u8,
+        known_generations: u8,
     ) -> PoisonChange {
         self.mark_server_crashed(now, server);
-        let turn = self.poison.record_crash(now, unix_s, digest, server, known);
-        self.urgent |= turn != PoisonChange::None;
-        turn
+        let change = self.poison.record_crash(now, unix_s, digest, server, known_generations);
+        self.urgent |= change != PoisonChange::None;
+        change
     }
 
-    // Look-ups.
+    // Lookups.
 
-    /// Entry hosts for callers of a failure domain who want a host name.
+    /// Addresses of entry hosts for callers in a failure domain that look up a host name.
     pub fn lookup(&self, now: Time, name: &str, domain: &str, region: &str) -> Vec<SocketAddr> {
         let own = &self.settings.host;
         let mut hosts: Vec<ReadyHost<'_>> = Vec::new();
@@ -540,7 +554,8 @@
         lookup::entry_hosts(&hosts, domain, region, &homes)
     }
 
-    /// How old what is known of the store is, in microseconds.
+    /// Age of this host's knowledge of the store in microseconds: that of its oldest required
+    /// table.
     pub fn staleness(&self, now: Time) -> u64 {
         let ages = REQUIRED_TABLES.map(|table| self.view.age(now, table).unwrap_or(60 * SECOND));
         ages[0].max(ages[1])
