--- a/elmstream_steer/src/gossip.rs
+++ b/elmstream_steer/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Tells the other hosts what this one knows and does, and takes in what they say.
+//! Builds the messages to other hosts and merges theirs.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -22,59 +22,60 @@
     view::{TABLES, Table},
 };
 
-/// Time between two divisions of the requests among regions.
-const DIVIDE: u64 = SECOND;
-/// Silent servers of one host from which on it is asked whether most are.
-const DOUBTED: usize = 4;
+/// Interval between two calculations of the region shares.
+const SHARES_INTERVAL: u64 = SECOND;
+/// Smallest number of silent servers at one host for which its own connectivity is doubted.
+const MASS_SILENCE_SERVERS_MIN: usize = 4;
 
 impl Steer {
-    /// An address at which another host may be.
+    /// Adds an address at which another host may run.
     pub fn add_peer_address(&mut self, now: Time, address: SocketAddr) {
         if address != self.settings.host.peers {
             self.members.add_unconfirmed(now, address);
         }
     }
 
-    /// Where the beats of a round go.
+    /// Addresses that receive the heartbeats of a round.
     pub fn targets(&mut self, now: Time, round: u64) -> Targets {
         self.members.targets(now, round, self.hash)
     }
 
-    /// How far the tables are known.
+    /// How far this host knows each table.
     pub fn table_statuses(&self) -> [TableStatus; 3] {
         TABLES.map(|table| {
-            let mark = self.view.watermark(table);
+            let watermark = self.view.watermark(table);
             TableStatus {
-                version: mark.version,
-                last_read: mark.last_read,
+                version: watermark.version,
+                last_read: watermark.last_read,
                 retained_digest: self.view.retained_digest(table),
-                tombstone_floor: mark.tombstone_floor,
+                tombstone_floor: watermark.tombstone_floor,
                 keys_digest: self.view.keys_digest(table),
             }
         })
     }
 
-    /// Whether the other hosts should hear at once of what has changed.
+    /// Whether a change should reach the other hosts before the next regular round.
     pub fn has_urgent_news(&self) -> bool {
         self.urgent
     }
 
-    /// The next beat.
+    /// Builds the next heartbeat and advances the heartbeat number.
     pub fn next_heartbeat(&mut self, now: Time) -> Heartbeat {
         self.heartbeat_number += 1;
         self.urgent = false;
         self.ready = self.serves();
         let loads = self.servers.all().filter_map(|(_, entry)| {
-            let hears = hears(now, entry, self.servers.answer_times(&entry.server.service));
+            let reachability =
+                reachability(now, entry, self.servers.answer_times(&entry.server.service));
             let load = ServerLoad {
                 server: entry.hash as u32,
                 in_flight: entry.own_in_flight.min(u16::MAX as u32) as u16,
-                reachability: hears,
+                reachability,
             };
-            (entry.own_in_flight > 0 || hears != Reachability::Unreported).then_some(load)
+            (entry.own_in_flight > 0 || reachability != Reachability::Unreported).then_some(load)
         });
         let loads = loads.collect();
-        let known = self.table_statuses();
+        let tables = self.table_statuses();
         let counts = self.demand_counts.iter();
         let demand = counts.map(|(name, count)| (hash::of(name) as u32, count.value(now) as u32));
         let demand = demand.collect();
@@ -85,150 +86,155 @@
             number: self.heartbeat_number,
             ready: self.ready,
             leaving: self.leaving,
-            // The next one takes over at once from a host that is about to stop.
+            // A host about to stop no longer counts as a reader, so that the next one takes over at
+            // once.
             store_ms: (self.store_schedule.is_served() && !self.leaving).then_some(self.store_ms),
-            tables: known,
+            tables,
             loads,
             warm_keys: self.warm_keys.next_updates(),
             liveness: self.members.liveness_updates(now),
-            fleet_size: self.may_run(now) as u32,
+            fleet_size: self.possibly_running(now) as u32,
             crashes: self.poison.next_reports(now),
             limits: self.limit_notices(now),
             leaving_servers: self.leaving_notices(now),
         }
     }
 
-    /// Hosts that may be running, this one included, as far as this host itself knows.
-    fn may_run(&self, now: Time) -> usize {
+    /// Number of hosts, including this one, that this host itself considers possibly running.
+    fn possibly_running(&self, now: Time) -> usize {
         self.members.possibly_running(now) + 1
     }
 
-    /// Reports of what workspaces asked of this host and of what it counted of roll-outs, and
-    /// where they go; called each 100 ms.
+    /// Usage reports, admit fractions and rollout counts that are due, with their receivers. Called
+    /// every 100 ms.
     pub fn due_messages(&mut self, now: Time) -> Vec<(SocketAddr, Message)> {
-        let due = self.with_quotas(now, |quotas, scene, table| quotas.due_reports(scene, table));
+        let due_reports =
+            self.with_quotas(now, |quotas, context, table| quotas.due_reports(context, table));
         let reports =
-            due.into_iter().map(|due| (due.address_hash, Message::UsageReport(due.report)));
-        let mut messages = self.addressed(reports.collect());
+            due_reports.into_iter().map(|due| (due.address_hash, Message::UsageReport(due.report)));
+        let mut messages = self.resolve_addresses(reports.collect());
         messages.extend(self.due_broadcasts(now));
         messages.extend(self.rollout_reports(now));
         messages
     }
 
-    /// What all hosts have to know of workspaces now, and where this host sends it.
+    /// Admit fractions that this host has to broadcast now, with their receivers.
     pub fn due_broadcasts(&mut self, now: Time) -> Vec<(SocketAddr, Message)> {
-        let due = self.with_quotas(now, |quotas, scene, _| quotas.due_broadcasts(scene));
-        self.spreading(due)
+        let broadcasts = self.with_quotas(now, |quotas, context, _| quotas.due_broadcasts(context));
+        self.address_broadcasts(broadcasts)
     }
 
-    /// Takes in what all hosts have to know; where this host passes it on.
+    /// Merges a broadcast of admit fractions. Returns the messages that forward it.
     pub fn on_broadcast(
         &mut self,
         now: Time,
-        spread: &FractionBroadcast,
+        broadcast: &FractionBroadcast,
     ) -> Vec<(SocketAddr, Message)> {
-        let due = self.with_quotas(now, |quotas, scene, _| quotas.on_broadcast(scene, spread));
-        self.spreading(due)
+        let onward =
+            self.with_quotas(now, |quotas, context, _| quotas.on_broadcast(context, broadcast));
+        self.address_broadcasts(onward)
     }
 
-    fn spreading(&self, due: Vec<AddressedBroadcast>) -> Vec<(SocketAddr, Message)> {
-        self.addressed(
-            due.into_iter()
+    fn address_broadcasts(
+        &self,
+        broadcasts: Vec<AddressedBroadcast>,
+    ) -> Vec<(SocketAddr, Message)> {
+        self.resolve_addresses(
+            broadcasts
+                .into_iter()
                 .map(|due| (due.address_hash, Message::FractionBroadcast(due.broadcast)))
                 .collect(),
         )
     }
 
-    /// Messages with the addresses that they go to, by the hashes of those.
-    fn addressed(&self, messages: Vec<(u64, Message)>) -> Vec<(SocketAddr, Message)> {
+    /// Replaces address hashes by addresses, dropping messages to unknown addresses.
+    fn resolve_addresses(&self, messages: Vec<(u64, Message)>) -> Vec<(SocketAddr, Message)> {
         if messages.is_empty() {
             return Vec::new();
         }
         let addresses = self.members.by_address_hash();
         let messages = messages.into_iter();
-        messages.filter_map(|(place, message)| Some((*addresses.get(&place)?, message))).collect()
+        messages
+            .filter_map(|(address_hash, message)| Some((*addresses.get(&address_hash)?, message)))
+            .collect()
     }
 
-    /// Takes in a host's report; the answer to it.
+    /// Merges a host's usage report and returns the reply.
     pub fn on_usage_report(&mut self, now: Time, report: &UsageReport) -> UsageReply {
-        self.with_quotas(now, |quotas, scene, table| quotas.on_report(scene, table, report))
+        self.with_quotas(now, |quotas, context, table| quotas.on_report(context, table, report))
     }
 
-    /// Takes in the answer to a report.
-    pub fn on_usage_reply(&mut self, now: Time, verdict: &UsageReply) {
-        self.quotas.on_reply(now, verdict);
+    /// Merges the reply to a usage report.
+    pub fn on_usage_reply(&mut self, now: Time, reply: &UsageReply) {
+        self.quotas.on_reply(now, reply);
     }
 
-    /// Takes a beat in; the tables that its sender knows better.
-    pub fn on_heartbeat(&mut self, now: Time, beat: &Heartbeat) -> Option<HeartbeatNews> {
-        if beat.host.peers == self.settings.host.peers {
+    /// Merges a heartbeat. Returns what the caller has to act on, or `None` if the heartbeat is
+    /// outdated or this host's own.
+    pub fn on_heartbeat(&mut self, now: Time, heartbeat: &Heartbeat) -> Option<HeartbeatNews> {
+        if heartbeat.host.peers == self.settings.host.peers {
             return None;
         }
-        let heard = self.members.on_heartbeat(now, beat)?;
-        self.count(&heard.previous_loads, false);
-        self.count(&beat.loads, true);
-        for word in beat.liveness.iter().filter(|word| word.host != self.hash as u32) {
-            self.members.on_liveness_update(now, word);
+        let effect = self.members.on_heartbeat(now, heartbeat)?;
+        self.apply_loads(&effect.previous_loads, false);
+        self.apply_loads(&heartbeat.loads, true);
+        for update in heartbeat.liveness.iter().filter(|update| update.host != self.hash as u32) {
+            self.members.on_liveness_update(now, update);
         }
-        for lesson in &beat.warm_keys {
-            if let Some(index) = self.servers.index_by_hash(lesson.server) {
-                self.warm_keys.merge(now, index, lesson.key);
+        for warm_key in &heartbeat.warm_keys {
+            if let Some(index) = self.servers.index_by_hash(warm_key.server) {
+                self.warm_keys.merge(now, index, warm_key.key);
             }
         }
-        let mut wanted = Vec::new();
-        for (table, known) in TABLES.into_iter().zip(beat.tables) {
-            let mark = self.view.watermark(table);
-            let Some(reading) = known.last_read else { continue };
-            if self.needs_sync(table, &known) {
-                wanted.push((table, self.sync_request(table)));
+        let mut outdated_tables = Vec::new();
+        for (table, status) in TABLES.into_iter().zip(heartbeat.tables) {
+            let watermark = self.view.watermark(table);
+            let Some(last_read) = status.last_read else { continue };
+            if self.needs_sync(table, &status) {
+                outdated_tables.push((table, self.sync_request(table)));
             }
-            if mark.confirmed_at.is_none() || known.version > mark.version {
-                self.lacks(now, table, known.version);
-            } else if known.version == mark.version {
-                self.view.confirm(now, table, known.version, reading);
-                self.view.confirm_keys(table, &known);
+            if watermark.confirmed_at.is_none() || status.version > watermark.version {
+                self.record_pending_news(now, table, status.version);
+            } else if status.version == watermark.version {
+                self.view.confirm(now, table, status.version, last_read);
+                self.view.confirm_keys(table, &status);
             }
         }
-        if heard.joined {
+        if effect.joined {
             self.poison.rebroadcast(now);
         }
-        let refused = self.merge_crashes(now, &beat.crashes);
-        let limits = self.merge_limit_notices(now, &beat.limits);
-        let leaving = &beat.leaving_servers;
+        let refused = self.merge_crashes(now, &heartbeat.crashes);
+        let limits = self.merge_limit_notices(now, &heartbeat.limits);
+        let leaving = &heartbeat.leaving_servers;
         let leaving =
-            leaving.iter().filter_map(|told| self.on_leaving_notice(now, *told)).collect();
-        Some(HeartbeatNews {
-            joined: heard.joined,
-            outdated_tables: wanted,
-            refused,
-            limits,
-            leaving,
-        })
+            leaving.iter().filter_map(|notice| self.on_leaving_notice(now, *notice)).collect();
+        Some(HeartbeatNews { joined: effect.joined, outdated_tables, refused, limits, leaving })
     }
 
-    /// Takes in ends of servers under requests; the requests that are refused from now on.
+    /// Merges crashes reported by another host. Returns the requests that are refused from now on.
     pub fn merge_crashes(
         &mut self,
         now: Time,
-        endings: &[ServerCrash],
+        crashes: &[ServerCrash],
     ) -> Vec<(RequestDigest, PoisonEvidence)> {
         let mut refused = Vec::new();
-        for ending in endings {
-            self.mark_server_crashed(now, ending.server);
-            let turn = self.poison.merge(now, ending);
-            // Each host tells it on at once, so that it takes a few hops in any fleet.
-            self.urgent |= turn != PoisonChange::None;
-            if let PoisonChange::Refused(harm) = turn {
-                refused.push((ending.digest, harm));
+        for crash in crashes {
+            self.mark_server_crashed(now, crash.server);
+            let change = self.poison.merge(now, crash);
+            // Each host repeats the report at once, so that it spreads over a fleet of any size in
+            // a few hops.
+            self.urgent |= change != PoisonChange::None;
+            if let PoisonChange::Refused(evidence) = change {
+                refused.push((crash.digest, evidence));
             }
         }
         refused
     }
 
-    /// Leaves a server whose start has ended, the first time that this is heard.
+    /// Stops using a server instance that crashed, when its crash is first reported.
     ///
-    /// Its entry stays in the store for some seconds; until then each host would find out
-    /// by a failed connection of its own, which uses up a try of a request.
+    /// The store keeps the server's entry for some seconds. Without this, each host would discover
+    /// the crash by a failed connection of its own, which costs a request one of its attempts.
     pub(crate) fn mark_server_crashed(&mut self, now: Time, server: u64) {
         if self.poison.knows_crash(server) {
             return;
@@ -238,36 +244,36 @@
         }
     }
 
-    /// Remembers since when others have known more, until this host knows as much.
-    fn lacks(&mut self, now: Time, table: Table, version: StoreVersion) {
+    /// Records when other hosts first announced a newer version than this host knows.
+    fn record_pending_news(&mut self, now: Time, table: Table, version: StoreVersion) {
         let own = self.known_version(table);
-        let behind = &mut self.pending_news[table as usize];
-        if version > own && behind.is_none_or(|told| told.version <= own) {
-            *behind = Some(PendingNews { version, reported_at: now });
+        let pending = &mut self.pending_news[table as usize];
+        if version > own && pending.is_none_or(|pending| pending.version <= own) {
+            *pending = Some(PendingNews { version, reported_at: now });
         }
     }
 
-    fn count(&mut self, loads: &[ServerLoad], add: bool) {
-        let believed = !hears_little(loads);
+    fn apply_loads(&mut self, loads: &[ServerLoad], add: bool) {
+        let is_believed = !reports_mass_silence(loads);
         for load in loads {
             let Some(entry) = self.servers.get_mut_by_hash(load.server) else { continue };
             let in_flight = u32::from(load.in_flight);
-            let silent = u32::from(believed && load.reachability == Reachability::Silent);
-            let answers = u32::from(load.reachability == Reachability::Answering);
+            let silent = u32::from(is_believed && load.reachability == Reachability::Silent);
+            let answering = u32::from(load.reachability == Reachability::Answering);
             if add {
                 entry.others_in_flight += in_flight;
                 entry.silent_elsewhere += silent;
-                entry.answers_elsewhere += answers;
+                entry.answers_elsewhere += answering;
             } else {
                 entry.others_in_flight = entry.others_in_flight.saturating_sub(in_flight);
                 entry.silent_elsewhere = entry.silent_elsewhere.saturating_sub(silent);
-                entry.answers_elsewhere = entry.answers_elsewhere.saturating_sub(answers);
+                entry.answers_elsewhere = entry.answers_elsewhere.saturating_sub(answering);
             }
         }
     }
 
-    /// Counts the others' requests anew, as servers and hosts come and go.
-    fn recount(&mut self) {
+    /// Recalculates the other hosts' load on each server, as both servers and hosts come and go.
+    fn recount_loads(&mut self) {
         for entry in self.servers.all_mut() {
             entry.others_in_flight = 0;
             entry.silent_elsewhere = 0;
@@ -275,14 +281,14 @@
         }
         let members = std::mem::take(&mut self.members);
         for member in members.all() {
-            self.count(&member.loads, true);
+            self.apply_loads(&member.loads, true);
         }
         self.members = members;
     }
 
-    /// Divides each service's requests among the regions anew.
-    fn divide(&mut self, now: Time) {
-        if now.since(self.shares_updated_at) < DIVIDE {
+    /// Recalculates how each service's requests are shared among the regions.
+    fn update_region_shares(&mut self, now: Time) {
+        if now.since(self.shares_updated_at) < SHARES_INTERVAL {
             return;
         }
         self.shares_updated_at = now;
@@ -299,9 +305,9 @@
             }
             let hash = hash::of(&service) as u32;
             for member in self.members.all() {
-                let told = member.demand.iter().find(|(service, _)| *service == hash);
+                let reported = member.demand.iter().find(|(service, _)| *service == hash);
                 let region = regions.entry(member.host.region.clone()).or_default();
-                region.demand += told.map_or(0.0, |(_, requests)| f64::from(*requests));
+                region.demand += reported.map_or(0.0, |(_, requests)| f64::from(*requests));
             }
             if let Some(count) = self.demand_counts.get(&service) {
                 let region = regions.entry(self.settings.host.region.clone()).or_default();
@@ -311,27 +317,27 @@
         }
     }
 
-    fn count_hosts(&mut self, now: Time) {
+    fn update_host_counts(&mut self, now: Time) {
         self.live_hosts = self.members.live(now).count() + 1;
         self.reachable_hosts = self.members.live_in_reachable_regions(now).count() + 1;
         let region = &self.settings.host.region;
-        let near = self.members.live(now).filter(|member| member.host.region == *region);
-        self.near_live_hosts = near.count() + 1;
-        let told = self.members.live(now).map(|member| member.fleet_size as usize);
-        self.fleet_size = told.max().unwrap_or(0).max(self.may_run(now));
-        let places: Vec<u64> = self.address_hashes[..1]
+        let near_live = self.members.live(now).filter(|member| member.host.region == *region);
+        self.near_live_hosts = near_live.count() + 1;
+        let reported = self.members.live(now).map(|member| member.fleet_size as usize);
+        self.fleet_size = reported.max().unwrap_or(0).max(self.possibly_running(now));
+        let address_hashes: Vec<u64> = self.address_hashes[..1]
             .iter()
             .copied()
             .chain(self.members.address_hashes(now))
             .collect();
-        if places != self.address_hashes {
-            self.address_hashes = places;
+        if address_hashes != self.address_hashes {
+            self.address_hashes = address_hashes;
             self.invalidate_limit_senders();
         }
     }
 
-    /// Finds out which cold servers this host may send to. Not at each request, as it
-    /// takes a look at all hosts.
+    /// Updates which cold servers this host may send to. This considers all hosts and is therefore
+    /// not done for each request.
     pub(crate) fn elect_cold_senders(&mut self, now: Time) {
         for entry in self.servers.all_mut().filter(|entry| entry.is_cold(now)) {
             let per_s =
@@ -341,14 +347,14 @@
         }
     }
 
-    /// What time alone brings about; called every 100 ms or so.
+    /// Applies the effects of time; called about every 100 ms.
     pub fn tick(&mut self, now: Time) -> Vec<StateChange> {
         let lost = self.members.expire(now);
-        self.recount();
-        self.count_hosts(now);
+        self.recount_loads();
+        self.update_host_counts(now);
         self.elect_cold_senders(now);
         self.elect_limit_senders(now);
-        self.divide(now);
+        self.update_region_shares(now);
         self.assign_rollout_roles(now);
         self.view.expire_tombstones(now);
         self.expire_leaving(now);
@@ -362,18 +368,17 @@
         }
         changes.extend(lost.into_iter().map(StateChange::HostLost));
         changes.extend(lapsed.into_iter().map(|id| StateChange::Server(id, ServerState::Gone)));
-        let turned = self.servers.silence_changes(now).into_iter();
-        changes.extend(turned.map(|(id, silent)| {
+        let silence_changes = self.servers.silence_changes(now).into_iter();
+        changes.extend(silence_changes.map(|(id, silent)| {
             StateChange::Server(id, if silent { ServerState::Silent } else { ServerState::Answers })
         }));
         changes
     }
 }
 
-/// What a host tells the others of a server: its silence, or that it answers if
-/// others take it to be silent.
-fn hears(now: Time, entry: &ServerEntry, pace: AnswerTimes) -> Reachability {
-    if entry.is_silent(now, pace) {
+/// Reachability of a server to report: silent, or answering if other hosts consider it silent.
+fn reachability(now: Time, entry: &ServerEntry, answer_times: AnswerTimes) -> Reachability {
+    if entry.is_silent(now, answer_times) {
         return Reachability::Silent;
     }
     match entry.silent_elsewhere > 0 && entry.answered_recently(now) {
@@ -382,24 +387,24 @@
     }
 }
 
-/// Whether most servers are silent to the host that told this: its own ways are
-/// more likely at fault than they are.
-fn hears_little(loads: &[ServerLoad]) -> bool {
+/// Whether most servers are silent to the reporting host, in which case its own connectivity is the
+/// more likely fault.
+fn reports_mass_silence(loads: &[ServerLoad]) -> bool {
     let silent = loads.iter().filter(|load| load.reachability == Reachability::Silent).count();
-    silent >= DOUBTED && silent * 2 > loads.len()
+    silent >= MASS_SILENCE_SERVERS_MIN && silent * 2 > loads.len()
 }
 
-/// What a beat calls for.
+/// Results of a heartbeat that the caller has to act on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatNews {
-    /// The host is new, or back.
+    /// The sender was unknown or not live before.
     pub joined: bool,
-    /// Tables that its sender knows better, with what is known here.
+    /// Tables that the sender knows better, with the request to fetch the difference.
     pub outdated_tables: Vec<(Table, SyncRequest)>,
     /// Requests that are refused from now on.
     pub refused: Vec<(RequestDigest, PoisonEvidence)>,
-    /// Servers that name another limit, or none any more.
+    /// Servers that named another limit, or withdrew theirs (`None`).
     pub limits: Vec<(String, Option<RequestRate>)>,
-    /// Servers that are about to leave.
+    /// Ids of servers that are about to leave.
     pub leaving: Vec<String>,
 }
--- a/elmstream_steer/src/heartbeat.rs
+++ b/elmstream_steer/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other many times a second.
+//! Messages that hosts exchange several times a second.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,120 +13,120 @@
     warm_keys::WarmKey,
 };
 
-/// One host's requests at one backend server.
+/// One host's load on one backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServerLoad {
-    /// Hash of the server's id, cut to 32 bits.
+    /// Hash of the server's id, truncated to 32 bits.
     pub server: u32,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u16,
-    /// What the host hears of it.
+    /// Whether the server answers the sending host.
     pub reachability: Reachability,
 }
 
-/// What a host hears of a backend server.
+/// Reachability of a backend server as seen by one host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reachability {
-    /// Nothing that others must know.
+    /// Nothing to report.
     Unreported,
-    /// It waits for answers in vain.
+    /// Requests to the server stay unanswered.
     Silent,
-    /// Answers, while others wait in vain.
+    /// The server answers this host, although others report it as silent.
     Answering,
 }
 
-/// How far a table of the store is known to the sender.
+/// How far the sender knows a table of the store.
 ///
-/// Hosts pass on who read the store last and when by that host's own clock, never
-/// an age: an age would lose the time on the way with each host that passes it on,
-/// and what goes in circles would never grow old.
+/// The age of the data is given as the last confirming read, stamped by the reader's own clock. If
+/// hosts passed on ages instead, each hop would lose the transmission time, and data passed around
+/// in a cycle would never age.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TableStatus {
-    /// The store's version; 0 for nothing.
+    /// Watermark of the table; the default version if the table is unknown.
     pub version: StoreVersion,
-    /// The last reading that confirmed it; none if nothing is known.
+    /// Last store read that confirmed the version; `None` if the table is unknown.
     pub last_read: Option<StoreRead>,
-    /// Tells the rows in which an earlier era of the store holds on against this one from
-    /// others; 0 if there are none.
+    /// Digest of the rows retained from an earlier era of the store; 0 if there are none.
     pub retained_digest: u32,
-    /// Removals since this version of the store are known.
+    /// Lowest version from which all tombstones are known.
     pub tombstone_floor: StoreVersion,
-    /// Tells the keys of the rows that are there from others.
+    /// Digest of the keys of all rows that exist in the store.
     pub keys_digest: u32,
 }
 
-/// A reading of the store.
+/// A read of the store.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoreRead {
-    /// Hash of the start of the host that read.
+    /// Hash that identifies the start of the host that read.
     pub reader: u64,
-    /// When, in milliseconds of the reader's clock.
+    /// Time of the read in milliseconds of the reader's clock.
     pub stamp_ms: u64,
 }
 
-/// A host that another host knows to be live.
+/// Notice that another host is live.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LivenessUpdate {
-    /// Hash of its name, cut to 32 bits.
+    /// Hash of the host's name, truncated to 32 bits.
     pub host: u32,
-    /// Number of its start, cut to 32 bits.
+    /// Incarnation of the host, truncated to 32 bits.
     pub incarnation: u32,
-    /// Highest number of a beat that it is known to have sent.
+    /// Highest heartbeat number that the host is known to have sent.
     pub number: u64,
-    /// Whether it serves callers.
+    /// Whether the host serves callers.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether the host is about to stop.
     pub leaving: bool,
 }
 
-/// A host's message to the others.
+/// Periodic message of a host to the others.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
     /// The sender.
     pub host: Host,
-    /// Number of its start.
+    /// Number of the sender's start; a later start has a higher one.
     pub incarnation: u64,
-    /// Rises with each beat of the start.
+    /// Sequence number, increasing with each heartbeat of one incarnation.
     pub number: u64,
-    /// Whether it serves callers.
+    /// Whether the sender serves callers.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether the sender is about to stop.
     pub leaving: bool,
-    /// Shortest time in which it read all servers, in milliseconds; none if the
-    /// store does not serve it now.
+    /// Shortest time in which the sender read all servers, in milliseconds; `None` if the store
+    /// does not currently serve it.
     pub store_ms: Option<u16>,
-    /// How far it knows the tables, in the order of [`crate::view::TABLES`].
+    /// How far the sender knows each table, in the order of [`crate::view::TABLES`].
     pub tables: [TableStatus; 3],
-    /// Requests that it took lately, by hash of the service, cut to 32 bits.
+    /// Recent requests per service, with the hash of the service truncated to 32 bits.
     pub demand: Vec<(u32, u32)>,
-    /// Its requests in flight; servers without any, and nothing to say of, are left out.
+    /// The sender's requests in flight per server. Servers without requests and with nothing to
+    /// report are omitted.
     pub loads: Vec<ServerLoad>,
-    /// Keys that servers have lately worked on; told in the sender's region only.
+    /// Keys for which servers have recently become warm. Sent only within the sender's region.
     pub warm_keys: Vec<WarmKey>,
-    /// Other hosts that are live; told in the sender's region only, and in large
-    /// fleets only.
+    /// Other hosts that are live. Sent only within the sender's region, and only in large fleets.
     pub liveness: Vec<LivenessUpdate>,
-    /// Hosts that the sender itself knows to be running or not to have stopped.
+    /// Number of hosts, including the sender, that the sender has not known to stop.
     pub fleet_size: u32,
-    /// Ends of servers under requests, told for a while by all who learn of them.
+    /// Crashes of servers while they ran requests. Every host that learns of a crash repeats it for
+    /// a while.
     pub crashes: Vec<ServerCrash>,
-    /// Limits that servers named to the sender, or no longer do.
+    /// Request limits that servers named to the sender, and those withdrawn.
     pub limits: Vec<LimitNotice>,
-    /// Starts of servers that said in answers that they are about to leave.
+    /// Instances of servers that announced in answers that they are leaving.
     pub leaving_servers: Vec<LeavingNotice>,
 }
 
 /// A datagram between hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// What a host knows and does.
+    /// Periodic state of the sender.
     Heartbeat(Box<Heartbeat>),
-    /// What workspaces asked of a host.
+    /// Usage of workspaces at the sender.
     UsageReport(UsageReport),
-    /// The answer to a report.
+    /// Answer to a usage report.
     UsageReply(UsageReply),
-    /// What all hosts have to know of workspaces.
+    /// Admit fractions of workspaces, for all hosts.
     FractionBroadcast(FractionBroadcast),
-    /// What a host counted of a roll-out.
+    /// Counts of a rollout at the sender.
     RolloutReport(Box<RolloutReport>),
 }
