--- a/elmstream_steer/src/members.rs
+++ b/elmstream_steer/src/members.rs
@@ -1,8 +1,8 @@
-//! The other hosts, as their beats and those of others show them.
+//! The other hosts of the fleet, as known from heartbeats and liveness updates.
 //!
-//! A round of beats goes to a bounded number of hosts, so that what a host spends
-//! does not grow with the fleet. In a small fleet that is all of them. In a larger
-//! one hosts take turns, and beats also tell which other hosts are live.
+//! A round of heartbeats goes to a bounded number of hosts, so that the cost per host does not grow
+//! with the fleet. In a small fleet that is every host. In a larger one the targets rotate, and
+//! heartbeats also carry liveness updates about further hosts.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,187 +18,194 @@
     settings::Host,
 };
 
-/// A host is live for this long after its last beat, if each round reaches it.
+/// How long a host counts as live after its last heartbeat if each round reaches all hosts.
 pub const LIVE_TIMEOUT: u64 = 1_200 * MILLI;
-/// The same if rounds take turns.
-const LIVE_IN_TURNS: u64 = 3_000 * MILLI;
-/// How long the requests that a host told of count.
-const LOADS: u64 = 1_200 * MILLI;
-/// A region of which no host was heard for this long is lost: even in the largest fleet a
-/// host hears some host of each region several times a second.
+/// How long a host counts as live after its last heartbeat if the targets rotate.
+const ROTATING_LIVE_TIMEOUT: u64 = 3_000 * MILLI;
+/// How long the loads that a host reported count.
+const LOADS_TIMEOUT: u64 = 1_200 * MILLI;
+/// A region counts as lost when none of its hosts was heard for this long. Even in the largest
+/// fleet a host receives heartbeats from each region several times a second.
 pub const REGION_LOST_TIMEOUT: u64 = 1_200 * MILLI;
-/// Hosts of the own region that a round of beats goes to at most.
+/// Largest number of hosts of the own region in a round of heartbeats.
 pub const NEAR_FANOUT: usize = 32;
-/// Hosts of other regions that a round of beats goes to at most, and how often.
+/// Largest number of hosts of other regions in a round of heartbeats. Only one of
+/// [`ROUNDS_PER_FAR_ROUND`] rounds goes to other regions.
 pub const FAR_FANOUT: usize = 24;
-const FAR_EVERY: u64 = 2;
-/// Hosts that one beat says are live at most.
-const WORDS: usize = 24;
-/// Time between two beats of a host in a small fleet, and for each host beyond.
-const PAUSE: u64 = 50 * MILLI;
-const PAUSE_STEP: u64 = 3 * MILLI;
-const PAUSE_MAX: u64 = 900 * MILLI;
-/// Hosts of a small fleet.
-const SMALL: u64 = 12;
-
-/// A silent host is tried only now and then after this long.
-const LOST: u64 = 20 * SECOND;
-/// One of so many rounds of beats goes to hosts that are lost.
-const LOST_EVERY: u64 = 40;
-/// A host that has been silent for this long is forgotten: regions may lose each
-/// other for hours, and have to find each other again.
-const FORGET: u64 = 24 * 3_600 * SECOND;
-/// A silent host may be cut off and running for this long, as regions lose each other for
-/// an hour now and then.
-const CUT: u64 = 2 * 3_600 * SECOND;
-/// Known addresses that never answered are tried for this long.
-const TRY: u64 = 15 * SECOND;
-
-/// Time between two beats of a host that knows so many others, in microseconds.
+const ROUNDS_PER_FAR_ROUND: u64 = 2;
+/// Largest number of liveness updates in a heartbeat.
+const LIVENESS_UPDATES_MAX: usize = 24;
+/// Interval between heartbeats in a small fleet, its increase for each further host, and its upper
+/// limit.
+const HEARTBEAT_INTERVAL_MIN: u64 = 50 * MILLI;
+const HEARTBEAT_INTERVAL_PER_HOST: u64 = 3 * MILLI;
+const HEARTBEAT_INTERVAL_MAX: u64 = 900 * MILLI;
+/// Largest number of other hosts in a small fleet.
+const SMALL_FLEET_HOSTS: u64 = 12;
+
+/// Hosts silent for this long count as unreachable and get heartbeats only in some rounds.
+const UNREACHABLE_TIMEOUT: u64 = 20 * SECOND;
+/// One in this many rounds also goes to unreachable hosts.
+const ROUNDS_PER_UNREACHABLE_ROUND: u64 = 40;
+/// Hosts silent for this long are forgotten. Regions may lose each other for hours and have to find
+/// each other afterwards.
+const FORGET_TIMEOUT: u64 = 24 * 3_600 * SECOND;
+/// How long a silent host counts as possibly running, since regions can be partitioned for an hour.
+const PARTITION_MAX: u64 = 2 * 3_600 * SECOND;
+/// How long addresses that never answered are contacted.
+const UNCONFIRMED_TIMEOUT: u64 = 15 * SECOND;
+
+/// Interval between heartbeats of a host with `hosts` other hosts as targets, in microseconds.
 pub fn heartbeat_interval(hosts: usize) -> u64 {
-    (PAUSE + PAUSE_STEP * (hosts as u64).saturating_sub(SMALL)).min(PAUSE_MAX)
+    (HEARTBEAT_INTERVAL_MIN
+        + HEARTBEAT_INTERVAL_PER_HOST * (hosts as u64).saturating_sub(SMALL_FLEET_HOSTS))
+    .min(HEARTBEAT_INTERVAL_MAX)
 }
 
-/// A host of the fleet other than this one.
+/// Another host of the fleet.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// As it tells of itself.
+    /// The host's description of itself.
     pub host: Host,
-    /// Hash of its name.
+    /// Hash of the host's name.
     pub hash: u64,
-    /// Hash of its address for hosts.
+    /// Hash of the address at which the host receives messages of other hosts.
     pub address_hash: u64,
-    /// Number of its present start.
+    /// Number of the host's current start.
     pub incarnation: u64,
-    /// Number of its last beat that came here.
+    /// Number of the last heartbeat received directly.
     pub heartbeat_number: u64,
-    /// When that came.
+    /// When the last heartbeat was received directly.
     pub last_heartbeat: Time,
-    /// Highest number of a beat that it is known to have sent.
+    /// Highest heartbeat number that the host is known to have sent.
     pub newest_number: u64,
-    /// When that was learned.
+    /// When the highest heartbeat number was learned.
     pub last_seen: Time,
-    /// How long it is live after that.
+    /// How long the host counts as live after `last_seen`, in microseconds.
     live_timeout: u64,
-    /// Last beat that went there.
+    /// When this host last sent it a heartbeat.
     last_sent: Time,
-    /// Whether it was live when time was last looked at.
+    /// Whether the host was live at the last call of [`Members::expire`].
     was_live: bool,
-    /// Whether it serves callers.
+    /// Whether the host serves callers.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether the host is about to stop.
     pub leaving: bool,
-    /// Shortest time in which it read all servers, in milliseconds; none if the
-    /// store does not serve it now.
+    /// Shortest time in which the host read all servers, in milliseconds; `None` if the store does
+    /// not currently serve it.
     pub store_ms: Option<u16>,
-    /// Its requests in flight by server.
+    /// The host's requests in flight per server.
     pub loads: Vec<ServerLoad>,
-    /// Requests that it took lately, by hash of the service.
+    /// The host's recent requests, by hash of the service.
     pub demand: Vec<(u32, u32)>,
-    /// Hosts that it knows to be running or not to have stopped.
+    /// Number of hosts that it considers possibly running.
     pub fleet_size: u32,
 }
 
-/// All hosts that are known, by address for hosts.
+/// All known hosts, by their address for messages of other hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     region: String,
     members: BTreeMap<SocketAddr, Member>,
     by_hash: HashMap<u32, SocketAddr>,
-    /// When a host of each region was last heard itself.
-    regions: HashMap<String, Time>,
+    /// When a heartbeat of any host of a region was last received directly.
+    region_last_seen: HashMap<String, Time>,
     unconfirmed: BTreeMap<SocketAddr, UnconfirmedHost>,
-    /// Hosts of the own region, and of the others, that beats go to.
+    /// Number of heartbeat targets in the own region and in others.
     near: usize,
     far: usize,
-    /// When the last beat's words were picked, and where the next one's begin.
-    worded: Time,
-    cursor: usize,
+    /// When liveness updates were last picked, and where the next selection begins.
+    updates_picked_at: Time,
+    update_cursor: usize,
 }
 
-/// An address that may be a host's.
+/// An address at which a host may run.
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedHost {
     /// Hash of the address.
     address_hash: u64,
-    /// Since when it has been tried.
-    since: Time,
-    /// Last beat that went there.
-    sent: Time,
+    /// When the address was added.
+    added_at: Time,
+    /// When a heartbeat was last sent there.
+    last_sent: Time,
 }
 
-/// Where a round of beats goes.
+/// Receivers of a round of heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
-    /// Hosts of the own region, and addresses that may be hosts'.
+    /// Hosts of the own region, and unconfirmed addresses.
     pub near: Vec<SocketAddr>,
     /// Hosts of other regions.
     pub far: Vec<SocketAddr>,
 }
 
-/// What a beat changed.
+/// Effect of a heartbeat.
 #[derive(Debug, Default)]
 pub struct HeartbeatEffect {
-    /// The host was not known, or not live.
+    /// Whether the host was unknown or not live before.
     pub joined: bool,
-    /// Loads that no longer count.
+    /// Loads from the host's previous heartbeat, which the new ones replace.
     pub previous_loads: Vec<ServerLoad>,
 }
 
 impl Members {
-    /// No hosts, as seen from a region.
+    /// Creates an empty set as seen from a region.
     pub fn new(region: &str) -> Members {
         Members { region: region.to_owned(), ..Members::default() }
     }
 
-    /// An address that may be a host's.
+    /// Adds an address at which a host may run, unless a host is known there.
     pub fn add_unconfirmed(&mut self, now: Time, address: SocketAddr) {
         if !self.members.contains_key(&address) {
-            let new =
-                UnconfirmedHost { address_hash: hash::address(address), since: now, sent: Time(0) };
-            self.unconfirmed.entry(address).or_insert(new);
+            let unconfirmed = UnconfirmedHost {
+                address_hash: hash::address(address),
+                added_at: now,
+                last_sent: Time(0),
+            };
+            self.unconfirmed.entry(address).or_insert(unconfirmed);
         }
     }
 
-    /// Takes a beat in; none if it is older than what is known.
-    pub fn on_heartbeat(&mut self, now: Time, beat: &Heartbeat) -> Option<HeartbeatEffect> {
-        let address = beat.host.peers;
+    /// Merges a heartbeat. Returns `None` if it is older than the last one received.
+    pub fn on_heartbeat(&mut self, now: Time, heartbeat: &Heartbeat) -> Option<HeartbeatEffect> {
+        let address = heartbeat.host.peers;
         self.unconfirmed.remove(&address);
         let known = self.members.get(&address);
-        let order = (beat.incarnation, beat.number);
+        let order = (heartbeat.incarnation, heartbeat.number);
         if known.is_some_and(|known| (known.incarnation, known.heartbeat_number) >= order) {
             return None;
         }
-        match self.regions.get_mut(&beat.host.region) {
-            Some(heard) => *heard = now,
-            None => drop(self.regions.insert(beat.host.region.clone(), now)),
+        match self.region_last_seen.get_mut(&heartbeat.host.region) {
+            Some(seen_at) => *seen_at = now,
+            None => drop(self.region_last_seen.insert(heartbeat.host.region.clone(), now)),
         }
         let joined = known.is_none_or(|known| !known.is_live(now));
-        let restarted = known.is_none_or(|known| known.incarnation != beat.incarnation);
-        // Others may have told of a newer beat than this one, which then says more.
-        let newer = known.filter(|known| !restarted && known.newest_number > beat.number);
+        let restarted = known.is_none_or(|known| known.incarnation != heartbeat.incarnation);
+        // A liveness update may have announced a later heartbeat than this one; its state is then
+        // the newer one.
+        let newer = known.filter(|known| !restarted && known.newest_number > heartbeat.number);
         let newer =
             newer.map(|known| (known.newest_number, known.last_seen, known.ready, known.leaving));
         let (newest_number, last_seen, ready, leaving) =
-            newer.unwrap_or((beat.number, now, beat.ready, beat.leaving));
+            newer.unwrap_or((heartbeat.number, now, heartbeat.ready, heartbeat.leaving));
         let member = Member {
-            host: beat.host.clone(),
-            hash: hash::of(&beat.host.name),
+            host: heartbeat.host.clone(),
+            hash: hash::of(&heartbeat.host.name),
             address_hash: known.map_or_else(|| hash::address(address), |known| known.address_hash),
-            incarnation: beat.incarnation,
-            heartbeat_number: beat.number,
+            incarnation: heartbeat.incarnation,
+            heartbeat_number: heartbeat.number,
             last_heartbeat: now,
             newest_number,
             last_seen,
-            live_timeout: self.patience(&beat.host.region),
+            live_timeout: self.region_live_timeout(&heartbeat.host.region),
             last_sent: known.map_or(Time(0), |known| known.last_sent),
             was_live: true,
             ready,
             leaving,
-            store_ms: beat.store_ms,
-            loads: beat.loads.clone(),
-            demand: beat.demand.clone(),
-            fleet_size: beat.fleet_size,
+            store_ms: heartbeat.store_ms,
+            loads: heartbeat.loads.clone(),
+            demand: heartbeat.demand.clone(),
+            fleet_size: heartbeat.fleet_size,
         };
         if known.is_none() {
             match member.host.region == self.region {
@@ -207,61 +214,62 @@
             }
             self.by_hash.insert(member.hash as u32, address);
         }
-        let before = self.members.insert(address, member).map(|old| old.loads);
-        Some(HeartbeatEffect { joined, previous_loads: before.unwrap_or_default() })
+        let previous = self.members.insert(address, member).map(|old| old.loads);
+        Some(HeartbeatEffect { joined, previous_loads: previous.unwrap_or_default() })
     }
 
-    /// Takes in that another host heard of a host; one that is not known, or has
-    /// started anew meanwhile, must be heard itself first.
-    pub fn on_liveness_update(&mut self, now: Time, word: &LivenessUpdate) {
-        let address = self.by_hash.get(&word.host);
+    /// Merges a liveness update from another host. It is ignored for hosts that are unknown or have
+    /// another incarnation, which must be heard directly first.
+    pub fn on_liveness_update(&mut self, now: Time, update: &LivenessUpdate) {
+        let address = self.by_hash.get(&update.host);
         let Some(member) = address.and_then(|address| self.members.get_mut(address)) else {
             return;
         };
-        if member.incarnation as u32 == word.incarnation && member.newest_number < word.number {
-            member.newest_number = word.number;
+        if member.incarnation as u32 == update.incarnation && member.newest_number < update.number {
+            member.newest_number = update.number;
             member.last_seen = now;
-            member.ready = word.ready;
-            member.leaving = word.leaving;
+            member.ready = update.ready;
+            member.leaving = update.leaving;
         }
     }
 
-    /// Which hosts the next beat says are live; none if each round reaches all.
+    /// Liveness updates for the next heartbeat; empty if each round reaches all hosts.
     ///
-    /// Only those that told so themselves since the last beat: what is passed on from
-    /// hand to hand is old.
+    /// Only hosts heard directly since the last heartbeat are included, as information relayed over
+    /// several hops is old.
     pub fn liveness_updates(&mut self, now: Time) -> Vec<LivenessUpdate> {
         if self.near <= NEAR_FANOUT && self.far <= FAR_FANOUT {
             return Vec::new();
         }
-        let fresh = self.members.values().filter(|member| member.last_heartbeat >= self.worded);
-        let fresh: Vec<&Member> = fresh.collect();
-        let begin = self.cursor % fresh.len().max(1);
-        let turn = fresh.iter().cycle().skip(begin).take(fresh.len().min(WORDS));
-        let words = turn.map(|member| LivenessUpdate {
+        let recent =
+            self.members.values().filter(|member| member.last_heartbeat >= self.updates_picked_at);
+        let recent: Vec<&Member> = recent.collect();
+        let start = self.update_cursor % recent.len().max(1);
+        let picked = recent.iter().cycle().skip(start).take(recent.len().min(LIVENESS_UPDATES_MAX));
+        let updates = picked.map(|member| LivenessUpdate {
             host: member.hash as u32,
             incarnation: member.incarnation as u32,
             number: member.newest_number,
             ready: member.ready,
             leaving: member.leaving,
         });
-        let words = words.collect();
-        self.worded = now;
-        self.cursor = self.cursor.wrapping_add(WORDS);
-        words
+        let updates = updates.collect();
+        self.updates_picked_at = now;
+        self.update_cursor = self.update_cursor.wrapping_add(LIVENESS_UPDATES_MAX);
+        updates
     }
 
-    /// How long hosts of a region are live after they were last heard of.
-    fn patience(&self, region: &str) -> u64 {
+    /// How long hosts of a region count as live after they were last seen, in microseconds.
+    fn region_live_timeout(&self, region: &str) -> u64 {
         let all = match region == self.region {
             true => self.near <= NEAR_FANOUT,
             false => self.far <= FAR_FANOUT,
         };
-        if all { LIVE_TIMEOUT } else { LIVE_IN_TURNS }
+        if all { LIVE_TIMEOUT } else { ROTATING_LIVE_TIMEOUT }
     }
 
-    /// Drops the loads of silent hosts, and forgets those that are long silent; names
-    /// of hosts that are no longer live.
+    /// Drops the loads of silent hosts and forgets hosts that have been silent for long. Returns
+    /// the names of hosts that are no longer live.
     pub fn expire(&mut self, now: Time) -> Vec<String> {
         let mut lost = Vec::new();
         for member in self.members.values_mut() {
@@ -271,146 +279,168 @@
             }
             member.was_live = live;
         }
-        for member in
-            self.members.values_mut().filter(|member| now.since(member.last_heartbeat) >= LOADS)
+        for member in self
+            .members
+            .values_mut()
+            .filter(|member| now.since(member.last_heartbeat) >= LOADS_TIMEOUT)
         {
             member.loads.clear();
         }
-        self.members.retain(|_, member| now.since(member.last_seen) < FORGET);
+        self.members.retain(|_, member| now.since(member.last_seen) < FORGET_TIMEOUT);
         let members = &self.members;
         self.by_hash.retain(|_, address| members.contains_key(address));
-        // Hosts that were replaced are remembered for long, but count no more.
-        let due = self.members.values().filter(|member| now.since(member.last_seen) < LOST);
+        // Replaced hosts are remembered for long but are no longer counted as targets.
+        let due = self
+            .members
+            .values()
+            .filter(|member| now.since(member.last_seen) < UNREACHABLE_TIMEOUT);
         let (near, far): (Vec<&Member>, Vec<&Member>) =
             due.partition(|member| member.host.region == self.region);
         (self.near, self.far) = (near.len(), far.len());
-        self.unconfirmed.retain(|_, tried| now.since(tried.since) < TRY);
+        self.unconfirmed
+            .retain(|_, unconfirmed| now.since(unconfirmed.added_at) < UNCONFIRMED_TIMEOUT);
         lost
     }
 
-    /// Hosts that were heard lately.
+    /// Live hosts.
     pub fn live(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
         self.members.values().filter(move |member| member.is_live(now))
     }
 
-    /// Hosts that were heard lately in regions that are not lost.
+    /// Live hosts in regions that are not lost.
     pub fn live_in_reachable_regions(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
-        let lost = move |region: &str| {
-            self.regions.get(region).is_none_or(|heard| now.since(*heard) >= REGION_LOST_TIMEOUT)
+        let is_lost = move |region: &str| {
+            self.region_last_seen
+                .get(region)
+                .is_none_or(|seen_at| now.since(*seen_at) >= REGION_LOST_TIMEOUT)
         };
-        self.live(now)
-            .filter(move |member| member.host.region == self.region || !lost(&member.host.region))
+        self.live(now).filter(move |member| {
+            member.host.region == self.region || !is_lost(&member.host.region)
+        })
     }
 
-    /// Hashes of the addresses of hosts that may be running: those that were heard lately
-    /// and those that were named lately and not heard yet.
+    /// Address hashes of hosts that may be running: live hosts and unconfirmed ones.
     ///
-    /// A host that has just started is told at once where the others are, but it takes
-    /// seconds until it has heard them.
+    /// A host that has just started learns at once where the others are, but it takes seconds until
+    /// it has heard from all of them.
     pub fn address_hashes(&self, now: Time) -> impl Iterator<Item = u64> {
         let live = self.live(now).map(|member| member.address_hash);
         live.chain(self.unconfirmed_hashes())
     }
 
-    /// Hashes of the addresses of hosts that were named lately and not heard yet.
+    /// Address hashes of unconfirmed hosts.
     pub fn unconfirmed_hashes(&self) -> impl Iterator<Item = u64> {
-        self.unconfirmed.values().map(|tried| tried.address_hash)
+        self.unconfirmed.values().map(|unconfirmed| unconfirmed.address_hash)
     }
 
-    /// Other hosts that may be running: all that did not say that they stop, for as long as
-    /// a host that is silent may only be cut off, and those named lately.
+    /// Number of other hosts that may be running: those that did not announce a stop, for as long
+    /// as their silence may be due to a partition, and unconfirmed ones.
     pub fn possibly_running(&self, now: Time) -> usize {
-        let heard = self.members.values().filter(|member| {
-            member.is_live(now) || (!member.leaving && now.since(member.last_seen) < CUT)
+        let running = self.members.values().filter(|member| {
+            member.is_live(now) || (!member.leaving && now.since(member.last_seen) < PARTITION_MAX)
         });
-        heard.count() + self.unconfirmed.len()
+        running.count() + self.unconfirmed.len()
     }
 
-    /// Addresses of hosts by the hashes of those.
+    /// Addresses of all known hosts by address hash.
     pub fn by_address_hash(&self) -> FxHashMap<u64, SocketAddr> {
-        let heard = self.members.iter().map(|(address, member)| (member.address_hash, *address));
-        let tried = self.unconfirmed.iter().map(|(address, tried)| (tried.address_hash, *address));
-        heard.chain(tried).collect()
+        let members = self.members.iter().map(|(address, member)| (member.address_hash, *address));
+        let unconfirmed = self
+            .unconfirmed
+            .iter()
+            .map(|(address, unconfirmed)| (unconfirmed.address_hash, *address));
+        members.chain(unconfirmed).collect()
     }
 
-    /// Whether no other host has been named or heard.
+    /// Whether no other host is known or suspected.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty() && self.unconfirmed.is_empty()
     }
 
-    /// Addresses of all hosts that were heard lately, or named lately and not heard yet.
+    /// Addresses of all hosts that are reachable or unconfirmed.
     pub fn contact_addresses(&self, now: Time) -> Vec<SocketAddr> {
-        let heard = self.members.iter().filter(|(_, member)| now.since(member.last_seen) < LOST);
-        heard.map(|(address, _)| *address).chain(self.unconfirmed.keys().copied()).collect()
+        let members = self
+            .members
+            .iter()
+            .filter(|(_, member)| now.since(member.last_seen) < UNREACHABLE_TIMEOUT);
+        members.map(|(address, _)| *address).chain(self.unconfirmed.keys().copied()).collect()
     }
 
-    /// Hosts that beats go to.
+    /// Number of hosts that regularly get heartbeats.
     pub fn target_count(&self) -> usize {
         self.near + self.far
     }
 
-    /// All hosts that are known.
+    /// All known hosts.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// A host by its address.
+    /// Finds a host by its address.
     pub fn get(&self, address: &SocketAddr) -> Option<&Member> {
         self.members.get(address)
     }
 
-    /// Where the beats of a round go: those that have waited longest come first.
+    /// Picks the receivers of a round of heartbeats, those first that have waited longest.
     ///
-    /// `own` tells hosts apart, so that not all of them turn to the same ones.
-    pub fn targets(&mut self, now: Time, round: u64, own: u64) -> Targets {
-        let all = round.is_multiple_of(LOST_EVERY);
+    /// `own_hash` differs by host, so that hosts do not all pick the same receivers.
+    pub fn targets(&mut self, now: Time, round: u64, own_hash: u64) -> Targets {
+        let includes_unreachable = round.is_multiple_of(ROUNDS_PER_UNREACHABLE_ROUND);
         let (mut near, mut far) = (Vec::new(), Vec::new());
         for (address, member) in &self.members {
-            if all || now.since(member.last_seen) < LOST {
+            if includes_unreachable || now.since(member.last_seen) < UNREACHABLE_TIMEOUT {
                 let list = if member.host.region == self.region { &mut near } else { &mut far };
-                list.push((member.last_sent, hash::combine(own, member.hash), *address));
+                list.push((member.last_sent, hash::combine(own_hash, member.hash), *address));
             }
         }
-        let place = |tried: &UnconfirmedHost| hash::combine(own, tried.address_hash);
-        near.extend(self.unconfirmed.iter().map(|(a, tried)| (tried.sent, place(tried), *a)));
+        let order =
+            |unconfirmed: &UnconfirmedHost| hash::combine(own_hash, unconfirmed.address_hash);
+        near.extend(
+            self.unconfirmed
+                .iter()
+                .map(|(a, unconfirmed)| (unconfirmed.last_sent, order(unconfirmed), *a)),
+        );
         let near = self.pick(now, near, NEAR_FANOUT);
-        // Each second round goes to the own region only.
-        let far =
-            if round.is_multiple_of(FAR_EVERY) { self.pick(now, far, FAR_FANOUT) } else { vec![] };
+        // The other rounds stay within the own region.
+        let far = if round.is_multiple_of(ROUNDS_PER_FAR_ROUND) {
+            self.pick(now, far, FAR_FANOUT)
+        } else {
+            vec![]
+        };
         Targets { near, far }
     }
 
     fn pick(
         &mut self,
         now: Time,
-        mut list: Vec<(Time, u64, SocketAddr)>,
-        most: usize,
+        mut candidates: Vec<(Time, u64, SocketAddr)>,
+        max: usize,
     ) -> Vec<SocketAddr> {
-        if list.len() > most {
-            list.sort_unstable();
-            list.truncate(most);
+        if candidates.len() > max {
+            candidates.sort_unstable();
+            candidates.truncate(max);
         }
-        let picked: Vec<SocketAddr> = list.into_iter().map(|(.., address)| address).collect();
+        let picked: Vec<SocketAddr> = candidates.into_iter().map(|(.., address)| address).collect();
         for address in &picked {
             if let Some(member) = self.members.get_mut(address) {
                 member.last_sent = now;
-            } else if let Some(tried) = self.unconfirmed.get_mut(address) {
-                tried.sent = now;
+            } else if let Some(unconfirmed) = self.unconfirmed.get_mut(address) {
+                unconfirmed.last_sent = now;
             }
         }
         picked
     }
 
-    /// Some of the known hosts' addresses, others for each `turn`.
-    pub fn sample(&self, turn: usize, most: usize) -> Vec<SocketAddr> {
+    /// Addresses of up to `max` known hosts, rotated by `turn`.
+    pub fn sample(&self, turn: usize, max: usize) -> Vec<SocketAddr> {
         let count = self.members.len();
-        let turned = self.members.keys().cycle().skip(turn % count.max(1));
-        turned.take(count.min(most)).copied().collect()
+        let rotated = self.members.keys().cycle().skip(turn % count.max(1));
+        rotated.take(count.min(max)).copied().collect()
     }
 }
 
 impl Member {
-    /// Whether it was heard lately.
+    /// Whether the host was last seen within its timeout.
     pub fn is_live(&self, now: Time) -> bool {
         now.since(self.last_seen) < self.live_timeout
     }
