--- a/elmstream_steer/src/era.rs
+++ b/elmstream_steer/src/era.rs
@@ -1,14 +1,15 @@
-//! Eras of the store: what holds on when it comes back from a copy.
+//! Retention of rows when the store is restored from a backup.
 //!
-//! A store that comes back from a copy says at first what held some seconds ago, until the
-//! operator and the servers have written again. A host that acted on something newer must
-//! not go back, so where the two differ it goes by the content's own order, if there is one:
-//! configurations and the entries of a server count themselves. Otherwise what the store has
-//! written since its return wins, and what may be of the copy waits for a known time.
+//! A restored store first returns contents that are some seconds old, until the operator and the
+//! servers have written again. A host that has acted on something newer must not revert. Where the
+//! two differ, the contents' own order decides if there is one: configurations carry a version, and
+//! servers count their entries. Otherwise, rows that the store has written since it was restored
+//! win, and rows that may come from the backup take effect after a retention time.
 //!
-//! Against taking the copy at once, in virtual time with eight drills of 12 hosts and an
-//! operator who writes again after 4 s (`tests/eras.rs`, `each_rule_is_needed`): 223 facts at
-//! hosts went back and 20 were late if the copy is taken at once, none if it is not.
+//! If hosts adopt the backup at once, evacuations, configurations and server states revert or take
+//! effect late; the test `each_rule_is_needed` in `tests/eras.rs` shows this in virtual time: with
+//! 12 hosts and an operator who writes again after 4 s, 223 states revert and 20 are late over
+//! eight runs, against none with retention.
 
 use elmstream::time::{MILLI, SECOND, Time};
 
@@ -19,26 +20,27 @@
     view::{RemovedCounters, RowContent, RowKey},
 };
 
-/// How long a server is still used that the store has lost by being away: if it lives the
-/// platform has it back within about two seconds, and after that it is to be taken as gone.
+/// How long a server stays in use after the store dropped it because of its own outage. A server
+/// that runs is listed again within about two seconds; after that it has to be considered gone.
 pub(crate) const LAPSE_TIMEOUT: u64 = 2_200 * MILLI;
 
-/// For how long, from the first reading of a new era, what an earlier one said goes on in
-/// force against the store's copy, in microseconds.
+/// How long rows of an earlier era stay in force against the restored store, in microseconds from
+/// the first read of the new era.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Retention {
-    /// A configuration whose own version is higher than the copy's, and the verdict on a
-    /// roll-out. The operator's tools
-    /// write it again within seconds; somebody who has to be called takes minutes. After
-    /// that the store's word is the one that operators see.
+    /// For a configuration with a higher version than the backup's, and for the decision on a
+    /// rollout. The operator's tools write them again within seconds, but a person who has to be
+    /// called takes minutes. After that the store's contents apply, as these are what operators
+    /// see.
     pub configuration: u64,
-    /// An evacuation that the copy lacks, or that it has though it was lifted: the same,
-    /// but a failure domain that is left without need costs its whole room.
+    /// For an evacuation that the backup lacks, or still contains although it was ended. The
+    /// operator's tools write it again within seconds; the time is shorter than for configurations
+    /// because needlessly evacuating a failure domain costs all its capacity.
     pub evacuation: u64,
-    /// A server that the copy lacks.
+    /// For a server that the backup lacks.
     pub missing: u64,
-    /// A server that has left, or whose entry the copy has as it was before: it writes again
-    /// within one heartbeat of 1.5 s, or the store drops it after three.
+    /// For a server that has left or whose entry in the backup is outdated. The server writes again
+    /// within its heartbeat interval of 1.5 s, or the store drops it after three intervals.
     pub outdated: u64,
 }
 
@@ -54,103 +56,105 @@
 }
 
 impl Retention {
-    /// The copy is taken at once.
+    /// No retention: the backup takes effect at once.
     pub const NONE: Retention =
         Retention { configuration: 0, evacuation: 0, missing: 0, outdated: 0 };
 }
 
-/// What an earlier era said of a row.
+/// A row as known from an earlier era.
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierRow<'a> {
-    /// Names the row.
+    /// Key of the row.
     pub key: &'a RowKey,
-    /// Its content; none if it was removed.
+    /// Its content; `None` if it was deleted.
     pub content: Option<&'a RowContent>,
-    /// The counters at which it was there before, if it was removed and they are known.
+    /// Counters at which the row existed before its deletion, if it was deleted and they are known.
     pub removed_counters: RemovedCounters,
 }
 
 impl EarlierRow<'_> {
-    /// Whether a removed row was not written at a counter, so that a copy cannot have it
-    /// from there. An operator may ask again for what was taken back before hosts first
-    /// read the new era. Below the counters that are known it may have been there before.
-    fn never_at(&self, count: u64) -> bool {
+    /// Whether a deleted evacuation is known not to have existed at a counter, so that a row with
+    /// this counter cannot come from the backup. The operator may have requested it again before
+    /// hosts first read the new era. Below the known counters the row may have existed earlier.
+    fn never_existed_at(&self, count: u64) -> bool {
         let evacuation = matches!(self.key, RowKey::Evacuation(_));
-        let never = |counts: [u64; 2]| count > counts[0] && !counts.contains(&count);
-        evacuation && self.removed_counters.is_some_and(never)
+        let is_absent = |counts: [u64; 2]| count > counts[0] && !counts.contains(&count);
+        evacuation && self.removed_counters.is_some_and(is_absent)
     }
 }
 
-/// An era of the store, as a host knows of it.
+/// An era of the store as known to a host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Era {
-    /// Its number.
+    /// Number of the era.
     pub number: u64,
-    /// The store's counter in the first reading of the era that is known of: what was
-    /// written above it is not of the copy.
+    /// Lowest counter of the store in a known read of the era. Rows with higher counters do not
+    /// come from the backup.
     pub first_count: u64,
-    /// When it was first known of; none if no earlier one is.
+    /// When the era became known; `None` if no earlier era is known.
     pub known_since: Option<Time>,
 }
 
 impl Era {
-    /// Until when what an earlier era said goes on in force against what this one says;
-    /// none if it does not.
+    /// Until when a row of an earlier era stays in force against the store's row, given as its
+    /// version and content; `None` if the store's row applies at once.
     pub fn retained_until(
         &self,
-        holds: &Retention,
+        retention: &Retention,
         earlier: EarlierRow<'_>,
         (version, copy): (StoreVersion, Option<&RowContent>),
     ) -> Option<Time> {
-        let began = self.known_since?;
-        let written = version.count > self.first_count || earlier.never_at(version.count);
-        Some(began + hold(holds, &earlier, copy, written)?)
+        let known_since = self.known_since?;
+        let written_since_restore =
+            version.count > self.first_count || earlier.never_existed_at(version.count);
+        Some(known_since + retention_time(retention, &earlier, copy, written_since_restore)?)
     }
 }
 
-/// For how long one holds on against the other; none if it does not. `written` says whether
-/// the other one was written since the store's return.
-fn hold(
-    holds: &Retention,
+/// How long the row of an earlier era is retained against the store's content, in microseconds;
+/// `None` if it is not. `written_since_restore` tells whether the store's row was written after the
+/// restore.
+fn retention_time(
+    retention: &Retention,
     earlier: &EarlierRow<'_>,
     copy: Option<&RowContent>,
-    written: bool,
+    written_since_restore: bool,
 ) -> Option<u64> {
     if same_content(earlier.content, copy) {
         return None;
     }
     match (earlier.content, copy) {
-        // Also if it was written since: an operator may write again all that was lost, one
-        // configuration after the other.
+        // Applies to rows written since the restore too: an operator may write all lost
+        // configurations again, one after the other.
         (Some(RowContent::Configuration(earlier)), Some(RowContent::Configuration(copy))) => {
-            (earlier.version > copy.version).then_some(holds.configuration)
+            (earlier.version > copy.version).then_some(retention.configuration)
         }
-        (Some(RowContent::Configuration(_)), _) => Some(holds.configuration),
-        // Nor does a copy take a verdict back.
+        (Some(RowContent::Configuration(_)), _) => Some(retention.configuration),
+        // A backup does not undo the decision on a rollout either.
         (Some(RowContent::Progress(earlier)), copy) if earlier.outranks(progress(copy)) => {
-            Some(holds.configuration)
+            Some(retention.configuration)
         }
         (Some(RowContent::Server(earlier)), Some(RowContent::Server(copy)))
-            if counted(earlier, copy) =>
+            if differ_in_entry_count(earlier, copy) =>
         {
-            (earlier.entries > copy.entries).then_some(holds.outdated)
+            (earlier.entries > copy.entries).then_some(retention.outdated)
         }
-        _ if written => None,
-        (Some(RowContent::Server(_)), None) => Some(holds.missing),
-        _ if matches!(earlier.key, RowKey::Evacuation(_)) => Some(holds.evacuation),
-        _ => Some(holds.outdated),
+        _ if written_since_restore => None,
+        (Some(RowContent::Server(_)), None) => Some(retention.missing),
+        _ if matches!(earlier.key, RowKey::Evacuation(_)) => Some(retention.evacuation),
+        _ => Some(retention.outdated),
     }
 }
 
-/// The progress of a roll-out, if that is what a row says.
-fn progress(item: Option<&RowContent>) -> Option<&RolloutProgress> {
-    match item {
+/// The rollout progress in a row's content, if it has any.
+fn progress(content: Option<&RowContent>) -> Option<&RolloutProgress> {
+    match content {
         Some(RowContent::Progress(progress)) => Some(progress),
         _ => None,
     }
 }
 
-/// Whether two contents say the same.
+/// Whether two contents have the same meaning.
 pub(crate) fn same_content(one: Option<&RowContent>, other: Option<&RowContent>) -> bool {
     match (one, other) {
         (Some(RowContent::Server(one)), Some(RowContent::Server(other))) => one.alike(other),
@@ -158,7 +162,7 @@
     }
 }
 
-/// Whether the numbers of two entries tell which one is the newer.
-fn counted(earlier: &Server, copy: &Server) -> bool {
+/// Whether two entries of the same server instance can be ordered by their entry counts.
+fn differ_in_entry_count(earlier: &Server, copy: &Server) -> bool {
     earlier.born == copy.born && earlier.entries != copy.entries
 }
--- a/elmstream_steer/src/restore.rs
+++ b/elmstream_steer/src/restore.rs
@@ -1,4 +1,4 @@
-//! What becomes of a host's decisions when the store has come back from a copy.
+//! Effects of a store that was restored from a backup.
 
 use elmstream::time::{MILLI, Time};
 
@@ -8,23 +8,25 @@
     view::{RowKey, Table},
 };
 
-/// Servers that the store drops within this time after it was away may come back.
+/// How long after an outage servers that the store drops are kept for a grace period, as they may
+/// be listed again.
 pub(crate) const OUTAGE_GRACE: u64 = 2_500 * MILLI;
 
 impl Steer {
-    /// The store's era, as far as it is known here.
+    /// The newest known era of the store.
     pub fn era(&self) -> u64 {
         self.view.era().number
     }
 
-    /// Whether a host holds on to something from an earlier era that this one was not told.
-    pub fn lacks_retained(&self, table: Table, held: u32) -> bool {
-        held != 0
-            && held != self.view.retained_digest(table)
-            && !self.merged_retained_digests.contains(&held)
+    /// Whether another host retains rows, identified by their digest, that this host has not
+    /// merged.
+    pub fn lacks_retained(&self, table: Table, digest: u32) -> bool {
+        digest != 0
+            && digest != self.view.retained_digest(table)
+            && !self.merged_retained_digests.contains(&digest)
     }
 
-    /// What becomes of a table that was known from an earlier era of the store.
+    /// Updates the host's state after a table entered a new era of the store.
     pub(crate) fn store_restored(
         &mut self,
         now: Time,
@@ -32,9 +34,9 @@
         before: StoreVersion,
         changes: &[StateChange],
     ) -> StateChange {
-        // Servers that the store has lost write themselves down again.
+        // Servers that are missing in the backup will register again.
         self.lapse_until = now + OUTAGE_GRACE;
-        // What this fleet wrote since the copy is gone.
+        // Entries added since the backup was made are lost.
         self.registry.invalidate();
         self.urgent = true;
         StateChange::StoreRestored(StoreRestored {
@@ -46,7 +48,7 @@
         })
     }
 
-    /// Ends what has held on for long enough against what the store says.
+    /// Ends the retention of rows whose time is over, and applies the store's rows instead.
     pub(crate) fn end_retention(&mut self, now: Time) -> Vec<StateChange> {
         let mut changes = Vec::new();
         for key in self.view.end_retention(now) {
