--- a/elmstream_steer/src/store_reads.rs
+++ b/elmstream_steer/src/store_reads.rs
@@ -1,4 +1,4 @@
-//! Takes in what the store and the other hosts say of its tables.
+//! Scheduling of store reads, and merging of their results.
 
 use elmstream::time::{MILLI, Time};
 
@@ -18,35 +18,37 @@
     workspaces::WorkspaceTable,
 };
 
-/// A store that told nothing for this long was away.
-const OUTAGE: u64 = 2_500 * MILLI;
-/// Part of the bound on configurations for which a host can say that a route is not
-/// there. News reach all hosts in a fleet that is well within half of it, and take up to
-/// a quarter on their way.
-const VOUCH_PART: f64 = 0.6;
-/// Seed of the draw that a host makes at its start.
+/// Age of the servers table above which the store is considered to have been away.
+const OUTAGE_AGE: u64 = 2_500 * MILLI;
+/// Fraction of the configuration bound during which a host can state with certainty that a route
+/// does not exist. In a working fleet, updates reach all hosts within half the bound, of which they
+/// spend up to a quarter in transit.
+const DENY_AGE_FRACTION: f64 = 0.6;
+/// Seed of the random number that a host draws at its start.
 const START_SEED: u64 = 0x7374_6172;
 /// Added to the cold time of servers whose evacuation ends.
-const RETURN_MARGIN_MS: u64 = 1_000;
+const EVACUATION_END_COLD_MS: u64 = 1_000;
 
 impl Steer {
-    /// Whether this host has to ask the store for a table now, and why.
+    /// Whether this host has to read a table now, and why.
     pub fn due_read(&self, now: Time, table: Table) -> Option<ReadReason> {
-        if self.rests(now, table) || table == Table::Rollouts && !self.has_active_rollouts() {
+        if self.is_read_premature(now, table)
+            || table == Table::Rollouts && !self.has_active_rollouts()
+        {
             return None;
         }
         self.store_schedule.due_read(now, table, &self.read_context(now, table))
     }
 
-    /// Whether no host has a reason to ask yet, whatever its rank. That is so most of the
-    /// time, and a rank takes a look at all hosts.
-    fn rests(&self, now: Time, table: Table) -> bool {
+    /// Whether no host has a reason to read yet, whatever its rank. This holds most of the time and
+    /// is cheap to check, whereas ranking considers all hosts.
+    fn is_read_premature(&self, now: Time, table: Table) -> bool {
         let first = reader_rank::read_delay(table, 0, self.settings.bounds.configuration_ms);
-        let young = self.view.age(now, table).is_some_and(|age| age < first);
-        young && self.store_schedule.is_served() && self.behind(table).is_none()
+        let is_recent = self.view.age(now, table).is_some_and(|age| age < first);
+        is_recent && self.store_schedule.is_served() && self.missing_update(table).is_none()
     }
 
-    /// What the host goes by as long as it knows nothing.
+    /// The context for a host that has no data yet.
     pub(crate) fn startup(&self) -> StartupContext {
         StartupContext {
             started_at: self.started,
@@ -60,76 +62,79 @@
     pub(crate) fn read_context(&self, now: Time, table: Table) -> ReadContext {
         let staying = self.members.live(now).filter(|member| !member.leaving);
         let served = staying.filter_map(|member| {
-            let place = (member.host.domain.as_str(), member.host.region.as_str());
-            Some(RankedReader { host: member.hash, read_ms: member.store_ms?, location: place })
+            let location = (member.host.domain.as_str(), member.host.region.as_str());
+            Some(RankedReader { host: member.hash, read_ms: member.store_ms?, location })
         });
-        let place = (self.settings.host.domain.as_str(), self.settings.host.region.as_str());
-        let own = RankedReader { host: self.hash, read_ms: self.store_ms, location: place };
-        let ahead = match self.store_schedule.is_served() && !self.leaving {
+        let location = (self.settings.host.domain.as_str(), self.settings.host.region.as_str());
+        let own = RankedReader { host: self.hash, read_ms: self.store_ms, location };
+        let ranked_ahead = match self.store_schedule.is_served() && !self.leaving {
             true => reader_rank::rank(own, served),
             false => served.count() as u64,
         };
-        let mark = self.view.watermark(table);
-        let behind = self.behind(table);
-        let stamp = mark.last_read.map_or(0, |reading| reading.stamp_ms);
-        // A few hosts read how far a roll-out has come when it is ordered, not all that start.
-        let fresh = match table {
-            Table::Rollouts => mark.confirmed_at.or(self.active_rollout_since()),
-            Table::Rules | Table::Servers => mark.confirmed_at,
+        let watermark = self.view.watermark(table);
+        let missing_update = self.missing_update(table);
+        let stamp_ms = watermark.last_read.map_or(0, |last_read| last_read.stamp_ms);
+        // When a rollout is ordered, a few hosts read its progress first, not all hosts as at
+        // startup.
+        let confirmed_at = match table {
+            Table::Rollouts => watermark.confirmed_at.or(self.active_rollout_since()),
+            Table::Rules | Table::Servers => watermark.confirmed_at,
         };
         ReadContext {
-            confirmed_at: fresh,
+            confirmed_at,
             startup: self.startup(),
-            draw: hash::unit_interval(hash::combine(self.start_hash, stamp)),
-            ranked_ahead: ahead,
+            draw: hash::unit_interval(hash::combine(self.start_hash, stamp_ms)),
+            ranked_ahead,
             live_hosts: self.live_hosts as u64,
-            behind_since: behind.map(|told| told.reported_at),
+            behind_since: missing_update.map(|update| update.reported_at),
             bound_ms: self.settings.bounds.configuration_ms,
         }
     }
 
-    /// Whether this host can say that a route is not there.
+    /// Whether this host can answer that a route does not exist.
     ///
-    /// A caller takes that for the last word. So a host says it only while its own
-    /// knowledge is young, and none has told it of more.
+    /// Callers take such an answer as final. It is given only while this host's knowledge is recent
+    /// and no other host has announced a newer version.
     pub fn can_deny_routes(&self, now: Time) -> bool {
         let bound = self.settings.bounds.configuration_ms * MILLI;
-        let most = (bound as f64 * VOUCH_PART) as u64;
-        let young = self.view.age(now, Table::Rules).is_some_and(|age| age < most);
-        young && self.behind(Table::Rules).is_none()
+        let max_age = (bound as f64 * DENY_AGE_FRACTION) as u64;
+        let is_recent = self.view.age(now, Table::Rules).is_some_and(|age| age < max_age);
+        is_recent && self.missing_update(Table::Rules).is_none()
     }
 
-    /// News of a table that this host was told of and still lacks.
-    fn behind(&self, table: Table) -> Option<PendingNews> {
-        self.pending_news[table as usize].filter(|told| told.version > self.known_version(table))
+    /// A version of a table that another host announced and this host lacks.
+    fn missing_update(&self, table: Table) -> Option<PendingNews> {
+        self.pending_news[table as usize]
+            .filter(|update| update.version > self.known_version(table))
     }
 
-    /// The store answered this host's call for a table, which began at `asked`, with all
-    /// up to `version`.
+    /// Records that the store answered a read of this host, begun at `began`, with everything up to
+    /// `version`.
     ///
-    /// That covers whatever other hosts told of before: they have it from the store.
+    /// The read covers whatever other hosts announced before it began, as they have it from the
+    /// store.
     pub fn record_store_answer(
         &mut self,
         table: Table,
-        why: ReadReason,
-        asked: Time,
+        reason: ReadReason,
+        began: Time,
         version: StoreVersion,
     ) {
-        self.store_schedule.record_answer(table, why == ReadReason::Check);
+        self.store_schedule.record_answer(table, reason == ReadReason::Check);
         self.view.mark_complete(table, version);
-        let told = self.behind(table).filter(|told| told.reported_at <= asked);
-        let covered = &mut self.read_up_to[table as usize];
-        let told = told.map_or(version, |told| told.version);
-        *covered = version.max(*covered).max(told);
+        let update = self.missing_update(table).filter(|update| update.reported_at <= began);
+        let read_up_to = &mut self.read_up_to[table as usize];
+        let update = update.map_or(version, |update| update.version);
+        *read_up_to = version.max(*read_up_to).max(update);
     }
 
-    /// A call of this host for a table failed.
+    /// Records that a read of this host failed.
     pub fn record_store_failure(&mut self, now: Time, table: Table) {
         let draw = self.draw(now);
         self.store_schedule.record_failure(now, table, draw);
     }
 
-    /// How long this host waits before it asks the store once more, in microseconds.
+    /// Pause of this host before it calls the store again after a failure, in microseconds.
     pub fn store_retry_pause(&self, now: Time) -> u64 {
         store_schedule::retry_pause(self.live_hosts as u64, self.draw(now))
     }
@@ -139,17 +144,17 @@
         hash::unit_interval(hash::combine(self.start_hash, now.0))
     }
 
-    /// Version of a table up to which this host knows all that matters.
+    /// Version of a table up to which this host knows all significant changes.
     pub(crate) fn known_version(&self, table: Table) -> StoreVersion {
         self.view.watermark(table).version.max(self.read_up_to[table as usize])
     }
 
-    /// All servers were read in this time.
-    pub fn record_read_time(&mut self, millis: u64) {
-        self.store_ms = self.store_ms.min(millis.min(u64::from(u16::MAX)) as u16);
+    /// Records the duration of a read of all servers, in milliseconds.
+    pub fn record_read_time(&mut self, read_ms: u64) {
+        self.store_ms = self.store_ms.min(read_ms.min(u64::from(u16::MAX)) as u16);
     }
 
-    /// All rows of a table as the store has them; what is not among them is gone.
+    /// Merges a full read of a table. Rows that are not in it are deleted.
     pub fn on_full_read(
         &mut self,
         now: Time,
@@ -160,11 +165,11 @@
         self.on_full_read_at(now, now, table, version, rows)
     }
 
-    /// The same as the store had them at a moment.
+    /// Merges a full read that shows the store's state at `read_at`.
     pub fn on_full_read_at(
         &mut self,
         now: Time,
-        moment: Time,
+        read_at: Time,
         table: Table,
         version: StoreVersion,
         rows: Vec<Row>,
@@ -174,12 +179,12 @@
             return Vec::new();
         }
         self.view.learn_era(version.era, version.count, None);
-        let first = self.view.watermark(table).confirmed_at.is_none();
+        let is_first = self.view.watermark(table).confirmed_at.is_none();
         let crossed = self.view.enter_era(now, table, version.era);
-        let gone = if crossed { StoreVersion::absent(version.era) } else { version };
-        let rows = self.with_tombstones(table, gone, rows);
-        let mut changes = self.on_changes_at(now, moment, table, rows);
-        if crossed || first {
+        let tombstone_version = if crossed { StoreVersion::absent(version.era) } else { version };
+        let rows = self.with_tombstones(table, tombstone_version, rows);
+        let mut changes = self.on_changes_at(now, read_at, table, rows);
+        if crossed || is_first {
             self.view.set_tombstone_floor(table, version);
         }
         self.view.mark_complete(table, version);
@@ -189,7 +194,7 @@
         changes
     }
 
-    /// Rows of a whole table, and removals of what is not among them.
+    /// Adds tombstones for all rows of the table that are not in `rows`.
     pub(crate) fn with_tombstones(
         &self,
         table: Table,
@@ -198,31 +203,31 @@
     ) -> Vec<Row> {
         let mut present: Vec<RowKey> = rows.iter().map(|row| row.key.clone()).collect();
         present.sort();
-        let gone = self.view.unlisted_keys(table, &present);
-        rows.extend(gone.into_iter().map(|key| Row::new(key, version, None)));
+        let deleted = self.view.unlisted_keys(table, &present);
+        rows.extend(deleted.into_iter().map(|key| Row::new(key, version, None)));
         rows
     }
 
-    /// Rows that the store says have changed.
+    /// Merges rows that changed since the previous read.
     pub fn on_changes(&mut self, now: Time, table: Table, rows: Vec<Row>) -> Vec<StateChange> {
         self.on_changes_at(now, now, table, rows)
     }
 
-    /// The same up to a moment. A host that stood still takes an answer in long after
-    /// the store gave it, and must not pass it on as fresh.
+    /// Merges changes up to `read_at`. A host that was suspended may process an answer long after
+    /// the store sent it, and must not pass it on as recent.
     pub fn on_changes_at(
         &mut self,
         now: Time,
-        moment: Time,
+        read_at: Time,
         table: Table,
         rows: Vec<Row>,
     ) -> Vec<StateChange> {
         let changes = self.apply_rows(now, table, rows);
-        let reading = StoreRead { reader: self.start_hash, stamp_ms: moment.0 / MILLI };
-        // The store's counter also rises with what does not matter, so the table's
-        // version is that of its last row that did.
-        let mark = self.view.watermark(table).version;
-        self.view.confirm(now, table, mark, reading);
+        let read = StoreRead { reader: self.start_hash, stamp_ms: read_at.0 / MILLI };
+        // Insignificant changes also advance the store's counter, so the version of the last
+        // significant row is used.
+        let version = self.view.watermark(table).version;
+        self.view.confirm(now, table, version, read);
         changes
     }
 
@@ -233,7 +238,7 @@
         rows: Vec<Row>,
     ) -> Vec<StateChange> {
         let before = self.view.age(now, Table::Servers);
-        if table == Table::Servers && before.is_some_and(|age| age > OUTAGE) {
+        if table == Table::Servers && before.is_some_and(|age| age > OUTAGE_AGE) {
             self.lapse_until = now + OUTAGE_GRACE;
         }
         let mut changes = Vec::new();
@@ -248,10 +253,10 @@
         changes
     }
 
-    /// Brings the tables in line with a row of the view.
+    /// Updates the host's state after a row of the view changed.
     pub(crate) fn apply_row(&mut self, now: Time, key: &RowKey, changes: &mut Vec<StateChange>) {
-        let item = self.view.get(key).cloned();
-        match (key, item) {
+        let content = self.view.get(key).cloned();
+        match (key, content) {
             (RowKey::Configuration, Some(RowContent::Configuration(configuration))) => {
                 self.routes = RouteTable::new(&configuration);
                 let workspaces = WorkspaceTable::new(&configuration);
@@ -263,18 +268,18 @@
                 self.urgent = true;
                 changes.push(StateChange::Configuration(configuration.version));
             }
-            (RowKey::Evacuation(domain), item) => {
-                let begins = item.is_some();
+            (RowKey::Evacuation(domain), content) => {
+                let is_evacuated = content.is_some();
                 self.urgent = true;
-                if begins {
+                if is_evacuated {
                     self.evacuated.insert(domain.clone());
                 } else if self.evacuated.remove(domain) {
-                    self.take_back(now, domain);
+                    self.extend_cold_times(now, domain);
                 }
-                changes.push(StateChange::Evacuation(domain.clone(), begins));
+                changes.push(StateChange::Evacuation(domain.clone(), is_evacuated));
             }
-            (RowKey::Rollout(service), item) => {
-                let order = match &item {
+            (RowKey::Rollout(service), content) => {
+                let order = match &content {
                     Some(RowContent::Rollout(order)) => Some(order),
                     _ => None,
                 };
@@ -293,14 +298,14 @@
                 self.record_version(now, &server.service, &server.version);
                 let region = self.settings.domains.get(&server.domain);
                 let region = region.cloned().unwrap_or_default();
-                if self.started_anew(id, &server) {
-                    // Nothing that was learned of the one before holds for this one.
-                    self.forget_start(id);
+                if self.is_other_instance(id, &server) {
+                    // What was learned about the previous instance does not apply to this one.
+                    self.remove_previous_instance(id);
                     changes.push(StateChange::Server(id.clone(), ServerState::Restarted));
                 }
                 let index = self.servers.insert(now, id, &server, &region);
                 if let Some(entry) = self.servers.get_mut(index) {
-                    // Its entry may have gone and come back, or be older than its word.
+                    // The entry may have been deleted and added again, or predate the announcement.
                     entry.leaving = self.leaving_servers.knows(entry.start_hash());
                 }
                 let state =
@@ -329,8 +334,8 @@
         }
     }
 
-    /// Whether a server is another one than is known under its id.
-    fn started_anew(&self, id: &str, server: &Server) -> bool {
+    /// Whether an entry describes another server instance than the one known under its id.
+    fn is_other_instance(&self, id: &str, server: &Server) -> bool {
         let known = self.servers.find(id).and_then(|index| self.servers.get(index));
         known.is_some_and(|known| {
             let known = &known.server;
@@ -345,11 +350,11 @@
         changes.push(StateChange::Server(id.to_owned(), ServerState::Gone));
     }
 
-    /// Another start has come under a server's id.
-    fn forget_start(&mut self, id: &str) {
+    /// Removes the previous instance of a server that was replaced under its id.
+    fn remove_previous_instance(&mut self, id: &str) {
         let known = self.servers.find(id).and_then(|index| self.servers.get(index));
-        if let Some(start) = known.map(|entry| entry.start_hash()) {
-            self.leaving_servers.forget(start);
+        if let Some(start_hash) = known.map(|entry| entry.start_hash()) {
+            self.leaving_servers.forget(start_hash);
         }
         self.remove_server(id);
     }
@@ -361,12 +366,13 @@
         self.servers.remove(id);
     }
 
-    /// Servers of a failure domain that is taken back may have turned cold.
-    fn take_back(&mut self, now: Time, domain: &str) {
-        let cold = &self.cold_settings;
+    /// Extends the cold time of a failure domain's servers, which may have become cold during the
+    /// evacuation.
+    fn extend_cold_times(&mut self, now: Time, domain: &str) {
+        let settings = &self.cold_settings;
         for entry in self.servers.all_mut().filter(|entry| entry.server.domain == domain) {
-            let millis = cold.get(&entry.server.service).map_or(0, |(millis, _)| *millis);
-            entry.extend_cold(now, millis + RETURN_MARGIN_MS);
+            let cold_ms = settings.get(&entry.server.service).map_or(0, |(cold_ms, _)| *cold_ms);
+            entry.extend_cold(now, cold_ms + EVACUATION_END_COLD_MS);
         }
     }
 }
--- a/elmstream_steer/src/store_schedule.rs
+++ b/elmstream_steer/src/store_schedule.rs
@@ -1,10 +1,10 @@
-//! A host's own calls to the store: when the next one is due.
+//! When a host makes its next call to the store.
 //!
-//! A few ranks take over one after the other. All further hosts, and those whose last
-//! call failed, ask at times of their own, drawn so that the fleet as a whole asks once in
-//! a [`FLEET_READ_SLOT`] on average, whatever its size. The draws have no memory: hosts that failed
-//! together do not pause together. So a store that comes back is found within a few
-//! slots, by whichever host asks next, and is not crowded.
+//! The first hosts by rank take over from each other. All others, and those whose last call failed,
+//! call at random times such that the fleet as a whole makes one call per [`FLEET_READ_SLOT`] on
+//! average, whatever its size. The exponential distribution has no memory, so hosts that failed
+//! together do not retry together. A store that recovers is thus found within a few slots, by
+//! whichever host calls next, and is not overloaded.
 
 use elmstream::time::{MILLI, Time};
 
@@ -14,62 +14,62 @@
     view::Table,
 };
 
-/// Time between two calls of the whole fleet for a table that nobody gets.
+/// Average interval between calls of the whole fleet for a table that no host can read.
 pub const FLEET_READ_SLOT: u64 = 100 * MILLI;
-/// Longest time that a draw may come to, as a multiple of a slot for each host; a draw of
-/// more than that is one of 55.
-const DRAW_MOST: f64 = 4.0;
-/// Least pause of one host after a failed call.
-const PAUSE_LEAST: u64 = 500 * MILLI;
-/// Time between two calls by which the hosts of a fleet find out whether the store
-/// serves them again, while others read it.
-const CHECK_SLOT: u64 = 500 * MILLI;
-/// Least time between two such calls of one host.
-const CHECK_LEAST: u64 = 5_000 * MILLI;
-/// Time after which a host that was told of news, but could not get them from the
-/// others, asks the store itself.
+/// Upper limit of a random wait, as a multiple of the mean. One draw in 55 exceeds it.
+const WAIT_MULTIPLE_MAX: f64 = 4.0;
+/// Shortest pause of a host after a failed call.
+const RETRY_PAUSE_MIN: u64 = 500 * MILLI;
+/// Average interval between the fleet's calls that check whether the store serves a host again,
+/// while others read it.
+const FLEET_CHECK_SLOT: u64 = 500 * MILLI;
+/// Shortest interval between such checks of one host.
+const CHECK_PAUSE_MIN: u64 = 5_000 * MILLI;
+/// How long a host that learned of an update, but could not fetch it from others, waits before it
+/// reads the store itself.
 pub const BEHIND_WAIT: u64 = 500 * MILLI;
-/// Such hosts ask this far apart, within a time that does not grow with the fleet.
+/// Interval between the reads of such hosts. Their total spread is limited by [`BEHIND_SPREAD`], so
+/// that it does not grow with the fleet.
 pub const BEHIND_SLOT: u64 = 5 * MILLI;
-/// Longest time by which they are apart.
+/// Longest time over which such reads are spread.
 pub const BEHIND_SPREAD: u64 = 500 * MILLI;
 
-/// What a host goes by when it decides whether to ask the store for a table.
+/// Context in which a host decides whether to read a table.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadContext {
-    /// When the table was last known to be current; none if it is not known at all.
+    /// When the table was last known to be current; `None` if it is unknown.
     pub confirmed_at: Option<Time>,
-    /// What the host goes by as long as the table is not known at all.
+    /// Context that applies as long as the table is unknown.
     pub startup: StartupContext,
-    /// A draw from 0 up to 1, another one for each host and reading.
+    /// Random number from 0 up to 1 that differs for each host and read.
     pub draw: f64,
-    /// Live hosts whom the store serves, and that come before this one.
+    /// Number of live hosts that the store serves and that rank before this one.
     pub ranked_ahead: u64,
-    /// Live hosts, this one included.
+    /// Number of live hosts, including this one.
     pub live_hosts: u64,
-    /// When this host was told of news that it still lacks.
+    /// When this host learned of an update that it still lacks.
     pub behind_since: Option<Time>,
-    /// Bound on configurations, in milliseconds.
+    /// Upper bound on the age of a configuration, in milliseconds.
     pub bound_ms: u64,
 }
 
-/// Why a host asks the store.
+/// Reason for a host to read the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadReason {
-    /// It knows nothing of the table yet.
+    /// The host does not know the table yet.
     Start,
-    /// It is its turn by rank.
+    /// The host's rank makes it the reader.
     Rank,
-    /// It is its turn among the hosts that ask once in a slot.
+    /// The host's random wait is over and no other host has read the table.
     Slot,
-    /// Others know more than it can get from them.
+    /// Other hosts know an update that this host could not fetch from them.
     Behind,
-    /// It finds out whether the store serves it again.
+    /// The host checks whether the store serves it again.
     Check,
 }
 
 impl ReadReason {
-    /// Its name in logs and metrics.
+    /// The reason's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ReadReason::Start => "start",
@@ -85,104 +85,107 @@
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     at: Time,
-    /// A draw from 0 up to 1.
+    /// Random number from 0 up to 1.
     draw: f64,
 }
 
-/// What became of one host's calls to the store.
+/// Failures of a host's calls to the store, by table.
 #[derive(Clone, Debug, Default)]
 pub struct StoreSchedule {
     failures: [Option<Failure>; 3],
 }
 
 impl StoreSchedule {
-    /// Whether the store served the host's last calls.
+    /// Whether the store answered the host's last call for each table.
     pub fn is_served(&self) -> bool {
         self.failures.iter().all(Option::is_none)
     }
 
-    /// A call was answered. One that checked, while others read the store all along,
-    /// speaks for all tables.
-    pub fn record_answer(&mut self, table: Table, checked: bool) {
-        if checked {
+    /// Records an answered call. A successful check, made while others read the store, clears the
+    /// failures of all tables.
+    pub fn record_answer(&mut self, table: Table, was_check: bool) {
+        if was_check {
             self.failures = [None; 3];
         }
         self.failures[table as usize] = None;
     }
 
-    /// A call failed; `draw` is from 0 up to 1.
+    /// Records a failed call; `draw` is a random number from 0 up to 1.
     pub fn record_failure(&mut self, now: Time, table: Table, draw: f64) {
         self.failures[table as usize] = Some(Failure { at: now, draw });
     }
 
-    /// Whether the host has to ask the store for a table now, and why.
-    pub fn due_read(&self, now: Time, table: Table, scene: &ReadContext) -> Option<ReadReason> {
-        let rested = |pause: fn(&Failure, u64) -> u64| {
+    /// Whether the host has to read a table now, and why.
+    pub fn due_read(&self, now: Time, table: Table, context: &ReadContext) -> Option<ReadReason> {
+        let has_paused = |pause: fn(&Failure, u64) -> u64| {
             let failure = self.failures[table as usize];
-            failure.is_none_or(|failure| now.since(failure.at) >= pause(&failure, scene.live_hosts))
+            failure
+                .is_none_or(|failure| now.since(failure.at) >= pause(&failure, context.live_hosts))
         };
-        let Some(fresh) = scene.confirmed_at else {
-            let due = scene.startup.may_read(now) && rested(Failure::pause);
+        let Some(confirmed_at) = context.confirmed_at else {
+            let due = context.startup.may_read(now) && has_paused(Failure::read_pause);
             return due.then_some(ReadReason::Start);
         };
-        let (age, served) = (now.since(fresh), self.is_served());
-        let turn = read_delay(table, scene.ranked_ahead, scene.bound_ms);
-        if served && scene.ranked_ahead < READER_RANKS && age >= turn {
+        let (age, is_served) = (now.since(confirmed_at), self.is_served());
+        let rank_delay = read_delay(table, context.ranked_ahead, context.bound_ms);
+        if is_served && context.ranked_ahead < READER_RANKS && age >= rank_delay {
             return Some(ReadReason::Rank);
         }
-        if scene.lacks(now) && rested(Failure::behind) {
+        if context.lacks_update(now) && has_paused(Failure::update_pause) {
             return Some(ReadReason::Behind);
         }
-        let turn = read_delay(table, scene.ranked_ahead.max(1), scene.bound_ms);
-        let spread = drawn(scene.live_hosts, scene.draw);
-        if age >= turn + spread && rested(Failure::pause) {
+        let rank_delay = read_delay(table, context.ranked_ahead.max(1), context.bound_ms);
+        let extra_delay = random_wait(context.live_hosts, context.draw);
+        if age >= rank_delay + extra_delay && has_paused(Failure::read_pause) {
             return Some(ReadReason::Slot);
         }
-        // The rules are the smaller table, so they are asked for if both calls failed.
-        let asked = match table {
+        // If calls for both tables failed, only the rules are checked, as they are the smaller
+        // table.
+        let checks_table = match table {
             Table::Rules => self.failures[Table::Rules as usize].is_some(),
-            Table::Servers => self.failures[Table::Rules as usize].is_none() && !served,
+            Table::Servers => self.failures[Table::Rules as usize].is_none() && !is_served,
             Table::Rollouts => false,
         };
-        (asked && rested(Failure::check)).then_some(ReadReason::Check)
+        (checks_table && has_paused(Failure::check_pause)).then_some(ReadReason::Check)
     }
 }
 
 impl ReadContext {
-    /// Whether this host has lacked for long what others have told it of.
-    fn lacks(&self, now: Time) -> bool {
-        let apart = (self.live_hosts * BEHIND_SLOT).min(BEHIND_SPREAD) as f64 * self.draw;
-        self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_WAIT + apart as u64)
+    /// Whether this host has lacked an update for too long.
+    fn lacks_update(&self, now: Time) -> bool {
+        let delay = (self.live_hosts * BEHIND_SLOT).min(BEHIND_SPREAD) as f64 * self.draw;
+        self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_WAIT + delay as u64)
     }
 }
 
 impl Failure {
-    /// Pause before the next call for a table that nobody gets.
-    fn pause(&self, hosts: u64) -> u64 {
+    /// Pause before the next call for a table that no host can read.
+    fn read_pause(&self, hosts: u64) -> u64 {
         retry_pause(hosts, self.draw)
     }
 
-    /// Pause before the next call for news that others have got; no longer than it takes
-    /// to find out that they cannot be fetched.
-    fn behind(&self, hosts: u64) -> u64 {
-        (hosts * BEHIND_SLOT).clamp(PAUSE_LEAST, BEHIND_WAIT + BEHIND_SPREAD)
+    /// Pause before the next call for an update that others have. It does not exceed the time after
+    /// which fetching from them is given up.
+    fn update_pause(&self, hosts: u64) -> u64 {
+        (hosts * BEHIND_SLOT).clamp(RETRY_PAUSE_MIN, BEHIND_WAIT + BEHIND_SPREAD)
     }
 
-    /// Time until the host finds out whether the store serves it again.
-    fn check(&self, hosts: u64) -> u64 {
-        let slots = (hosts * CHECK_SLOT) as f64 * (0.5 + self.draw);
-        (slots as u64).max(CHECK_LEAST)
+    /// Pause before the host checks whether the store serves it again.
+    fn check_pause(&self, hosts: u64) -> u64 {
+        let slots = (hosts * FLEET_CHECK_SLOT) as f64 * (0.5 + self.draw);
+        (slots as u64).max(CHECK_PAUSE_MIN)
     }
 }
 
-/// Pause of one of so many hosts after a failed call; `draw` is from 0 up to 1.
+/// Pause of one of `hosts` hosts after a failed call, in microseconds; `draw` is a random number
+/// from 0 up to 1.
 pub fn retry_pause(hosts: u64, draw: f64) -> u64 {
-    drawn(hosts, draw).max(PAUSE_LEAST)
+    random_wait(hosts, draw).max(RETRY_PAUSE_MIN)
 }
 
-/// A time by which one of so many hosts waits, so that together they act once in a slot
-/// on average, from any moment on and whatever they did before: an exponential draw.
-fn drawn(hosts: u64, draw: f64) -> u64 {
-    let part = (-(1.0 - draw).ln()).min(DRAW_MOST);
-    ((hosts * FLEET_READ_SLOT) as f64 * part) as u64
+/// Exponentially distributed wait of one of `hosts` hosts, in microseconds. Together they act once
+/// per slot on average, from any moment on and independent of their earlier calls.
+fn random_wait(hosts: u64, draw: f64) -> u64 {
+    let multiple = (-(1.0 - draw).ln()).min(WAIT_MULTIPLE_MAX);
+    ((hosts * FLEET_READ_SLOT) as f64 * multiple) as u64
 }
