--- a/elmstream_steer/tests/choose.rs
+++ b/elmstream_steer/tests/choose.rs
@@ -11,7 +11,7 @@
     servers::{Outcome, ServerIndex},
     view::{Row, RowContent, RowKey, Table},
 };
-use support::{at, beats, id, ms, ready, route, send, server, servers};
+use support::{at, exchange_heartbeats, id, ms, ready, route, send, server, servers};
 
 fn sent(steer: &mut Steer, at: u64, key: u64) -> Option<ServerIndex> {
     match send(steer, ms(at), &route(Repeatability::Safe, &[]), key) {
@@ -28,7 +28,7 @@
 #[test]
 fn a_key_stays_with_its_server_and_all_hosts_of_a_region_agree() {
     let mut fleet: Vec<Steer> = (0..8).map(|n| ready(n, ms(0), servers(3))).collect();
-    beats(ms(0), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(0), &mut fleet, |_, _| true);
     for key in 0..60 {
         let mut met = BTreeMap::<String, BTreeSet<String>>::new();
         for host in &mut fleet {
@@ -96,7 +96,7 @@
     while sent(&mut fleet[0], 10, taken).is_some() {
         taken += 1;
     }
-    beats(ms(20), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(20), &mut fleet, |_, _| true);
     assert!(sent(&mut fleet[1], 30, 1).is_none(), "the server is full for both");
     // Once the first host is silent, its requests are no longer counted.
     for at in (100..1_500).step_by(100) {
@@ -151,14 +151,14 @@
         let index = fleet[host].servers().find(&name).expect("it is known");
         fleet[host].is_warm(ms(at), index, key)
     };
-    beats(ms(20), &mut fleet, |from, to| from == 0 && to == 1);
+    exchange_heartbeats(ms(20), &mut fleet, |from, to| from == 0 && to == 1);
     assert!(knows(&fleet, 1, 30));
     assert!(!knows(&fleet, 2, 30));
     // The beats that tell it may be lost, but not all of them.
     let mut fleet: Vec<Steer> = (0..2).map(|n| ready(n, ms(0), servers(1))).collect();
     answered(&mut fleet[0], 12, second, key);
     for (count, at) in (20..80).step_by(20).enumerate() {
-        beats(ms(at), &mut fleet, |_, _| count == 2);
+        exchange_heartbeats(ms(at), &mut fleet, |_, _| count == 2);
     }
     assert!(knows(&fleet, 1, 90));
 }
--- a/elmstream_steer/tests/cold.rs
+++ b/elmstream_steer/tests/cold.rs
@@ -4,7 +4,7 @@
 
 use elmstream_steer::{Bounds, Pick, model::Repeatability, servers::Outcome};
 use quickcheck::{QuickCheck, TestResult};
-use support::{COLD_PER_S, beats, ms, ready, route, send, server, with};
+use support::{COLD_PER_S, exchange_heartbeats, ms, ready, route, send, server, with};
 
 /// Most requests to the cold server in any second, with hosts in `groups` that do
 /// not hear each other.
@@ -18,7 +18,7 @@
             fleet = (0..hosts).map(|n| ready(n, ms(at), vec![row.clone()])).collect();
         }
         if at % 100 == 0 {
-            beats(ms(at), &mut fleet, |from, to| from % groups == to % groups);
+            exchange_heartbeats(ms(at), &mut fleet, |from, to| from % groups == to % groups);
         }
         for (n, host) in fleet.iter_mut().enumerate() {
             if let Pick::Send(index) = send(host, ms(at), &route, (at + n as u64) % 7) {
--- a/elmstream_steer/tests/leaving.rs
+++ b/elmstream_steer/tests/leaving.rs
@@ -7,7 +7,7 @@
     model::Repeatability,
     view::{RowKey, Table},
 };
-use support::{at, beats, gone, ms, ready, route, send, server, with};
+use support::{at, exchange_heartbeats, ms, ready, route, send, server, tombstone, with};
 
 /// Whether a server gets any of many keys' requests.
 fn used(host: &mut Steer, now: u64, id: &str) -> bool {
@@ -63,13 +63,13 @@
     let mut fleet: Vec<Steer> = (0..3).map(|n| ready(n, ms(0), two())).collect();
     leaves(&mut fleet[0], 1_000, "s");
     assert!(fleet[0].has_urgent_news(), "it is told at once");
-    beats(ms(1_050), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(1_050), &mut fleet, |_, _| true);
     assert!((0..3).all(|n| !used(&mut fleet[n], 1_060, "s")));
     // Whoever was answered is gone; those that were told tell on.
-    fleet[0] = support::started(0, ms(60_000), 2);
+    fleet[0] = support::host_with_incarnation(0, ms(60_000), 2);
     fleet[0].on_full_read(ms(60_000), Table::Rules, at(10), vec![support::configuration(1, 10)]);
     fleet[0].on_full_read(ms(60_000), Table::Servers, at(10), two());
-    beats(ms(60_050), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(60_050), &mut fleet, |_, _| true);
     assert!(!used(&mut fleet[0], 60_060, "s"));
 }
 
@@ -78,7 +78,7 @@
     let mut host = ready(0, ms(0), two());
     leaves(&mut host, 1_000, "s");
     // The store was away for long, so entries that went are kept for a while.
-    host.on_changes(ms(9_000), Table::Servers, vec![gone(RowKey::Server("s".into()), 20)]);
+    host.on_changes(ms(9_000), Table::Servers, vec![tombstone(RowKey::Server("s".into()), 20)]);
     assert!(host.servers().find("s").is_none());
 }
 
@@ -89,11 +89,11 @@
     let mut fleet: Vec<Steer> = (0..3).map(|n| ready(n, ms(0), two())).collect();
     leaves(&mut fleet[0], 1_000, "s");
     for at in (1..3_500).step_by(10) {
-        beats(ms(at * 1_000), &mut fleet, |_, _| true);
+        exchange_heartbeats(ms(at * 1_000), &mut fleet, |_, _| true);
     }
     assert!((0..3).all(|n| !used(&mut fleet[n], 3_500_000, "s")));
     for at in (3_500..3_800).step_by(10) {
-        beats(ms(at * 1_000), &mut fleet, |_, _| true);
+        exchange_heartbeats(ms(at * 1_000), &mut fleet, |_, _| true);
     }
     assert!((0..3).all(|n| used(&mut fleet[n], 3_800_000, "s")));
 }
--- a/elmstream_steer/tests/members.rs
+++ b/elmstream_steer/tests/members.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use elmstream_steer::{Steer, hash, heartbeat::LivenessUpdate};
-use support::{address, beats, host, ms, ready, servers};
+use support::{address, exchange_heartbeats, host, ms, ready, servers};
 
 fn fleet() -> Vec<Steer> {
     fleet_of(8)
@@ -11,9 +11,9 @@
 
 fn fleet_of(hosts: usize) -> Vec<Steer> {
     let mut fleet: Vec<Steer> = (0..hosts).map(|n| ready(n, ms(0), servers(1))).collect();
-    beats(ms(0), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(0), &mut fleet, |_, _| true);
     // The second round tells that all are ready.
-    beats(ms(50), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(50), &mut fleet, |_, _| true);
     fleet
 }
 
@@ -35,7 +35,7 @@
 fn a_silent_host_is_soon_named_no_more() {
     let mut fleet = fleet();
     for at in (100..1_600).step_by(50) {
-        beats(ms(at), &mut fleet, |from, _| from != 4);
+        exchange_heartbeats(ms(at), &mut fleet, |from, _| from != 4);
     }
     let named = fleet[1].lookup(ms(1_600), "shop.example", "a1", "a");
     assert!(!named.contains(&address(1_004)), "{named:?}");
@@ -45,7 +45,7 @@
 fn a_host_that_leaves_is_named_no_more_after_its_next_beat() {
     let mut fleet = fleet();
     fleet[4].start_leaving();
-    beats(ms(100), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(100), &mut fleet, |_, _| true);
     for host in &fleet {
         assert!(!host.lookup(ms(110), "shop.example", "a1", "a").contains(&address(1_004)));
     }
@@ -55,7 +55,7 @@
 fn callers_of_a_domain_without_hosts_get_those_of_the_region_then_any() {
     let mut fleet = fleet();
     for at in (100..1_600).step_by(50) {
-        beats(ms(at), &mut fleet, |from, _| ![1, 5].contains(&from));
+        exchange_heartbeats(ms(at), &mut fleet, |from, _| ![1, 5].contains(&from));
     }
     let named = fleet[2].lookup(ms(1_600), "shop.example", "a2", "a");
     assert_eq!(named, [address(1_000), address(1_004)]);
@@ -105,11 +105,11 @@
         fleet[0].on_heartbeat(ms(100), &beat);
     }
     for at in (100..60_000).step_by(500) {
-        beats(ms(at), &mut fleet, |_, _| true);
+        exchange_heartbeats(ms(at), &mut fleet, |_, _| true);
     }
     assert_eq!(fleet[0].members().target_count(), 7);
     for at in (60_000..61_600).step_by(50) {
-        beats(ms(at), &mut fleet, |from, _| from != 4);
+        exchange_heartbeats(ms(at), &mut fleet, |from, _| from != 4);
     }
     let named = fleet[0].lookup(ms(61_600), "shop.example", "a1", "a");
     assert!(!named.contains(&address(1_004)), "{named:?}");
--- a/elmstream_steer/tests/readers.rs
+++ b/elmstream_steer/tests/readers.rs
@@ -4,7 +4,7 @@
 
 use elmstream::time::MILLI;
 use elmstream_steer::{Steer, store_schedule::ReadReason, view::Table};
-use support::{at, beats, configuration, host, ms, ready, server, servers, store};
+use support::{at, configuration, exchange_heartbeats, host, ms, ready, server, servers, store};
 
 const HOSTS: usize = 12;
 
@@ -20,7 +20,7 @@
     let (mut calls, mut oldest) = (0, 0);
     for at in (0..until).step_by(20) {
         if at % 60 == 0 {
-            beats(ms(at), &mut fleet, |from, to| heard(from, to, at));
+            exchange_heartbeats(ms(at), &mut fleet, |from, to| heard(from, to, at));
         }
         for (n, host) in fleet.iter_mut().enumerate() {
             let tables = [Table::Rules, Table::Servers];
@@ -80,7 +80,7 @@
         for (n, host) in fleet.iter_mut().enumerate() {
             host.record_read_time(if n == near { 4 } else { 75 });
         }
-        beats(ms(50), &mut fleet, |_, _| true);
+        exchange_heartbeats(ms(50), &mut fleet, |_, _| true);
         let reads = |n: &usize| fleet[*n].due_read(ms(700), Table::Servers).is_some();
         assert_eq!((0..HOSTS).filter(reads).collect::<Vec<_>>(), [near]);
     }
@@ -146,7 +146,7 @@
     late.on_full_read(ms(100), Table::Servers, at(66), vec![server("s", "a1", 62)]);
     let mut fleet = [early, late];
     for now in (200..10_000).step_by(100) {
-        beats(ms(now), &mut fleet, |_, _| true);
+        exchange_heartbeats(ms(now), &mut fleet, |_, _| true);
         for (to, from) in [(0, 1), (1, 0)] {
             let beat = fleet[from].next_heartbeat(ms(now));
             let Some(news) = fleet[to].on_heartbeat(ms(now), &beat) else { continue };
--- a/elmstream_steer/tests/registry.rs
+++ b/elmstream_steer/tests/registry.rs
@@ -9,7 +9,7 @@
         FIRST_UPDATE_AFTER, REMOVE_AFTER, RegisteredHost, RegistryEdit, UPDATE_INTERVAL,
     },
 };
-use support::{address, beats, host, ms, ready, servers};
+use support::{address, exchange_heartbeats, host, ms, ready, servers};
 
 const HOSTS: usize = 12;
 
@@ -19,14 +19,14 @@
 
 fn fleet() -> Vec<Steer> {
     let mut fleet: Vec<Steer> = (0..HOSTS).map(|n| ready(n, ms(0), servers(1))).collect();
-    beats(ms(0), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(0), &mut fleet, |_, _| true);
     fleet
 }
 
 /// Lets the fleet beat until a time after `from`, in milliseconds.
 fn rest(fleet: &mut [Steer], from: u64, until: u64, heard: impl Fn(usize) -> bool) {
     for at in (from..until).step_by(100) {
-        beats(ms(at), fleet, |a, b| heard(a) && heard(b));
+        exchange_heartbeats(ms(at), fleet, |a, b| heard(a) && heard(b));
     }
 }
 
--- a/elmstream_steer/tests/rest.rs
+++ b/elmstream_steer/tests/rest.rs
@@ -10,7 +10,7 @@
     pick::RefusalReason,
     servers::{Outcome, ServerIndex},
 };
-use support::{beats, ms, ready, route, send, server};
+use support::{exchange_heartbeats, ms, ready, route, send, server};
 
 /// Whether a server gets any of many keys' requests.
 fn used(host: &mut Steer, now: u64, id: &str) -> bool {
@@ -44,7 +44,7 @@
     assert!(!used(&mut host, 3_900, "s"), "a shorter rest ends nothing early");
     assert!(used(&mut host, 4_400, "s"));
     let mut fleet = vec![host, ready(1, ms(0), vec![server("s", "a1", 10), server("t", "a1", 10)])];
-    beats(ms(1_200), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(1_200), &mut fleet, |_, _| true);
     assert!(used(&mut fleet[1], 1_300, "s"), "the other host may send");
 }
 
--- a/elmstream_steer/tests/rollouts.rs
+++ b/elmstream_steer/tests/rollouts.rs
@@ -229,7 +229,7 @@
         rollout::{RolloutOrder, RolloutProgress},
         view::{Row, RowContent, RowKey, Table},
     };
-    use support::{at, gone, id, ms, ready, route, send, server, with};
+    use support::{at, id, ms, ready, route, send, server, tombstone, with};
     let of = |name: &str, version: &str| {
         with(server(name, "a1", 10), 10, |server| server.version = version.into())
     };
@@ -247,7 +247,7 @@
         let row = RowKey::Progress(support::SERVICE.into());
         let row = Row::new(row, at(30), Some(RowContent::Progress(progress)));
         steer.on_full_read(ms(20), Table::Rollouts, at(30), vec![row]);
-        steer.on_changes(ms(30), Table::Rules, vec![gone(key, 40)]);
+        steer.on_changes(ms(30), Table::Rules, vec![tombstone(key, 40)]);
         steer.tick(ms(100));
         let mut reached = 0;
         for key in 0..200 {
--- a/elmstream_steer/tests/server_limits.rs
+++ b/elmstream_steer/tests/server_limits.rs
@@ -13,7 +13,7 @@
 };
 use needy::{CONTACT, Need, OVERSHOOT, SLACK, WINDOW, World};
 use quickcheck::{QuickCheck, TestResult};
-use support::{DOMAINS, beats, ms, ready, route, send, server};
+use support::{DOMAINS, exchange_heartbeats, ms, ready, route, send, server};
 
 /// Callers' requests a second for each server, when none is in need.
 const USUAL: f64 = 15.0;
@@ -180,10 +180,10 @@
     let mut fleet: Vec<_> = (0..3).map(|n| ready(n, ms(0), rows.clone())).collect();
     let index = fleet[0].servers().find("s").expect("it is known");
     fleet[0].on_server_limit(ms(1_000), index, RequestRate::parse("2"));
-    beats(ms(1_050), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(1_050), &mut fleet, |_, _| true);
     assert!(fleet.iter().all(|host| host.limited_servers() == 1));
     fleet[0].on_server_limit(ms(2_000), index, None);
-    beats(ms(2_050), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(2_050), &mut fleet, |_, _| true);
     assert!(fleet.iter().all(|host| host.limited_servers() == 0));
 }
 
--- a/elmstream_steer/tests/silence.rs
+++ b/elmstream_steer/tests/silence.rs
@@ -8,7 +8,7 @@
     servers::{Outcome, ServerIndex},
     view::Row,
 };
-use support::{beats, id, ms, ready, route, send, server};
+use support::{exchange_heartbeats, id, ms, ready, route, send, server};
 
 /// Hosts of the fleet; some more than must agree that a server is silent.
 const HOSTS: usize = 12;
@@ -21,7 +21,7 @@
 
 fn fleet() -> Vec<Steer> {
     let mut fleet: Vec<Steer> = (0..HOSTS).map(|n| ready(n, ms(0), rows())).collect();
-    beats(ms(0), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(0), &mut fleet, |_, _| true);
     fleet
 }
 
@@ -63,7 +63,7 @@
     let mut fleet = fleet();
     let key = key_of(&mut fleet[0], 5, "mute");
     unanswered(&mut fleet[0], 10, key);
-    beats(ms(820), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(820), &mut fleet, |_, _| true);
     for (number, host) in fleet.iter_mut().enumerate().skip(1) {
         assert!(goes_to(host, 830, key, "mute"), "host {number} left it");
     }
@@ -76,7 +76,7 @@
     for host in &mut fleet[..3] {
         unanswered(host, 10, key);
     }
-    beats(ms(820), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(820), &mut fleet, |_, _| true);
     for host in &mut fleet {
         assert!(!goes_to(host, 830, key, "mute"));
     }
@@ -90,10 +90,10 @@
     for host in &mut fleet[..3] {
         unanswered(host, 10, key);
     }
-    beats(ms(820), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(820), &mut fleet, |_, _| true);
     assert!(!goes_to(&mut fleet[8], 830, key, "mute"));
     fleet[5].record_outcome(ms(840), late, Outcome::Answered { micros: 240_000, was_warm: true });
-    beats(ms(870), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(870), &mut fleet, |_, _| true);
     for (number, host) in fleet.iter_mut().enumerate() {
         assert!(goes_to(host, 930, key, "mute"), "host {number} still leaves it");
     }
@@ -165,6 +165,6 @@
             host.record_outcome(ms(810), index, Outcome::Silent);
         }
     }
-    beats(ms(820), &mut fleet, |_, _| true);
+    exchange_heartbeats(ms(820), &mut fleet, |_, _| true);
     assert!(goes_to(&mut fleet[6], 830, keys[0], "mute"));
 }
--- a/elmstream_steer/tests/starts.rs
+++ b/elmstream_steer/tests/starts.rs
@@ -8,7 +8,7 @@
     steer::{ServerState, StateChange},
     view::{Row, RowContent, RowKey, Table},
 };
-use support::{address, at, gone, id, ms, ready, route, send, server, servers, with};
+use support::{address, at, id, ms, ready, route, send, server, servers, tombstone, with};
 
 const KEY: u64 = 7;
 
@@ -90,6 +90,6 @@
     // Once it can be read again it is used again, and its end is told as ever.
     host.on_changes(ms(3), Table::Servers, vec![server("s-a1-0", "a1", 12)]);
     assert_eq!(host.servers().all().count(), all);
-    host.on_changes(ms(4), Table::Servers, vec![gone(key, 13)]);
+    host.on_changes(ms(4), Table::Servers, vec![tombstone(key, 13)]);
     assert_eq!(host.servers().all().count(), all - 1);
 }
--- a/elmstream_steer/tests/support/eras.rs
+++ b/elmstream_steer/tests/support/eras.rs
@@ -18,7 +18,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use crate::support::{DOMAINS, address, configuration, ms, server, started, with};
+use crate::support::{DOMAINS, address, configuration, host_with_incarnation, ms, server, with};
 
 /// Time between two steps, in milliseconds.
 const STEP: u64 = 20;
@@ -643,7 +643,7 @@
 
 /// A host of a fleet, whose addresses it knows.
 fn node(n: usize, at: u64, hosts: usize, without: Without) -> Node {
-    let mut steer = started(n, ms(at), at);
+    let mut steer = host_with_incarnation(n, ms(at), at);
     // Some read the store themselves before others can tell them anything.
     if n.is_multiple_of(2) {
         steer.mark_as_seed();
--- a/elmstream_steer/tests/support/harm.rs
+++ b/elmstream_steer/tests/support/harm.rs
@@ -5,7 +5,7 @@
 use elmstream::time::{MILLI, Time};
 use elmstream_steer::{Steer, digest::RequestDigest, hash, heartbeat::Heartbeat, members};
 
-use super::support::{address, ms, place, ready, servers};
+use super::support::{address, host_number, ms, ready, servers};
 
 /// Time between two steps, in milliseconds.
 pub const STEP: u64 = 10;
@@ -319,7 +319,7 @@
             let beat = self.hosts[from].next_heartbeat(now);
             let targets = self.hosts[from].targets(now, round + 1);
             for to in targets.near.iter().chain(&targets.far) {
-                let to = place(*to);
+                let to = host_number(*to);
                 self.later(WAY, to, Event::Beat(Box::new(beat.clone())));
             }
         }
--- a/elmstream_steer/tests/support/mod.rs
+++ b/elmstream_steer/tests/support/mod.rs
@@ -30,7 +30,7 @@
 }
 
 /// The number of the host that others reach at an address.
-pub fn place(address: SocketAddr) -> usize {
+pub fn host_number(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => {
             let [_, _, high, low] = ip.octets();
@@ -42,11 +42,11 @@
 
 /// A host's decisions, by its number.
 pub fn host(number: usize, now: Time) -> Steer {
-    started(number, now, 1)
+    host_with_incarnation(number, now, 1)
 }
 
 /// The same of a start by its number.
-pub fn started(number: usize, now: Time, incarnation: u64) -> Steer {
+pub fn host_with_incarnation(number: usize, now: Time, incarnation: u64) -> Steer {
     let (domain, region) = DOMAINS[number % DOMAINS.len()];
     let settings = Settings {
         host: Host {
@@ -126,7 +126,7 @@
 }
 
 /// A removal.
-pub fn gone(key: RowKey, stored: u64) -> Row {
+pub fn tombstone(key: RowKey, stored: u64) -> Row {
     Row::new(key, at(stored), None)
 }
 
@@ -146,7 +146,7 @@
 }
 
 /// Lets hosts hear each other if `heard` says so.
-pub fn beats(now: Time, hosts: &mut [Steer], heard: impl Fn(usize, usize) -> bool) {
+pub fn exchange_heartbeats(now: Time, hosts: &mut [Steer], heard: impl Fn(usize, usize) -> bool) {
     let all: Vec<_> = hosts.iter_mut().map(|host| host.next_heartbeat(now)).collect();
     for (to, host) in hosts.iter_mut().enumerate() {
         for (from, beat) in all.iter().enumerate() {
--- a/elmstream_steer/tests/support/needy.rs
+++ b/elmstream_steer/tests/support/needy.rs
@@ -13,7 +13,9 @@
     view::{Row, Table},
 };
 
-use super::support::{self, address, configuration, id, ms, place, ready, route, servers, started};
+use super::support::{
+    self, address, configuration, host_number, host_with_incarnation, id, ms, ready, route, servers,
+};
 
 /// Time between two steps, in milliseconds.
 pub const STEP: u64 = 10;
@@ -121,7 +123,7 @@
     pub fn restart(&mut self, host: usize) {
         let now = ms(self.at);
         let rows = self.rows.clone();
-        let mut steer = started(host, now, 1 + self.at);
+        let mut steer = host_with_incarnation(host, now, 1 + self.at);
         steer.on_full_read(now, Table::Rules, support::at(10), vec![configuration(1, 10)]);
         steer.on_full_read(now, Table::Servers, support::at(10), rows);
         self.hosts[host] = steer;
@@ -217,7 +219,7 @@
             let beat = self.hosts[from].next_heartbeat(now);
             let targets = self.hosts[from].targets(now, round + 1);
             for to in targets.near.iter().chain(&targets.far) {
-                let to = place(*to);
+                let to = host_number(*to);
                 if self.part[from] == self.part[to] {
                     self.later(WAY, to, Event::Beat(Box::new(beat.clone())));
                 }
--- a/elmstream_steer/tests/support/rollouts.rs
+++ b/elmstream_steer/tests/support/rollouts.rs
@@ -19,7 +19,9 @@
     view::{Row, RowContent, RowKey, TABLES, Table},
 };
 
-use super::support::{DOMAINS, SERVICE, address, ms, place, server, started, with};
+use super::support::{
+    DOMAINS, SERVICE, address, host_number, host_with_incarnation, ms, server, with,
+};
 
 /// Time between two steps, in milliseconds.
 const STEP: u64 = 20;
@@ -249,7 +251,7 @@
     }
 
     fn node(&self, n: usize, at: u64) -> Node {
-        let mut steer = started(n, ms(at), 1 + at);
+        let mut steer = host_with_incarnation(n, ms(at), 1 + at);
         (0..self.play.hosts)
             .for_each(|other| steer.add_peer_address(ms(at), address(2_000 + other)));
         let unjudged = self.play.without == Without::Verdict;
@@ -369,7 +371,7 @@
         if self.at.is_multiple_of(100) {
             self.nodes[n].steer.tick(now);
             for (to, message) in self.nodes[n].steer.due_messages(now) {
-                let to = place(to);
+                let to = host_number(to);
                 if !self.apart(n, to) {
                     self.later(WAY, to, Event::Report(message));
                 }
@@ -440,7 +442,7 @@
         let targets = node.steer.targets(ms(self.at), node.beat.1);
         node.beat = (self.at, node.beat.1 + 1);
         for to in targets.near.iter().chain(&targets.far) {
-            let to = place(*to);
+            let to = host_number(*to);
             if to < self.nodes.len() && !self.apart(n, to) {
                 self.later(WAY, to, Event::Beat(Box::new(beat.clone())));
             }
@@ -451,7 +453,7 @@
         let now = ms(self.at);
         match event {
             Event::Beat(beat) => {
-                let from = place(beat.host.peers);
+                let from = host_number(beat.host.peers);
                 let Some(news) = self.nodes[n].steer.on_heartbeat(now, &beat) else { return };
                 for (table, asked) in news.outdated_tables {
                     if !self.apart(n, from) {
--- a/elmstream_steer/tests/view.rs
+++ b/elmstream_steer/tests/view.rs
@@ -8,14 +8,14 @@
     view::{Row, RowKey, Table, View},
 };
 use quickcheck::{QuickCheck, TestResult};
-use support::{at, configuration, gone, host, ms, ready, route, send, server, servers, with};
+use support::{at, configuration, host, ms, ready, route, send, server, servers, tombstone, with};
 
 /// Rows of a history in which each version is one change.
 fn history(changes: &[u8]) -> Vec<Row> {
     let row = |(n, change): (usize, &u8)| {
         let (stored, id) = (n as u64 + 1, format!("s{}", change % 3));
         match change % 5 {
-            0 => gone(RowKey::Server(id), stored),
+            0 => tombstone(RowKey::Server(id), stored),
             1 => with(server(&id, "a1", stored), stored, |server| server.draining = true),
             2 => Row { key: RowKey::Configuration, ..configuration(stored, stored) },
             _ => server(&id, "a1", stored),
@@ -56,7 +56,7 @@
     steer.on_changes(ms(0), Table::Rules, vec![configuration(5, 20)]);
     steer.on_changes(ms(1), Table::Rules, vec![configuration(4, 30)]);
     assert_eq!(steer.configuration_version(), Some(5));
-    steer.on_changes(ms(2), Table::Rules, vec![gone(RowKey::Configuration, 40)]);
+    steer.on_changes(ms(2), Table::Rules, vec![tombstone(RowKey::Configuration, 40)]);
     assert_eq!(steer.configuration_version(), Some(5));
     steer.on_changes(ms(3), Table::Rules, vec![configuration(6, 50)]);
     assert_eq!(steer.configuration_version(), Some(6));
@@ -80,7 +80,7 @@
     assert!(matches!(send(&mut steer, ms(3), &route, 1), Pick::Refuse(_)));
     steer.on_changes(ms(4), Table::Servers, vec![server("one", "a1", 12)]);
     assert!(matches!(send(&mut steer, ms(5), &route, 1), Pick::Send(_)));
-    steer.on_changes(ms(6), Table::Servers, vec![gone(RowKey::Server("one".into()), 13)]);
+    steer.on_changes(ms(6), Table::Servers, vec![tombstone(RowKey::Server("one".into()), 13)]);
     assert!(matches!(send(&mut steer, ms(7), &route, 1), Pick::Refuse(_)));
 }
 
@@ -107,6 +107,6 @@
 fn a_server_that_leaves_on_a_calm_day_is_gone_at_once() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
     steer.on_changes(ms(1_000), Table::Servers, Vec::new());
-    steer.on_changes(ms(1_500), Table::Servers, vec![gone(RowKey::Server("one".into()), 12)]);
+    steer.on_changes(ms(1_500), Table::Servers, vec![tombstone(RowKey::Server("one".into()), 12)]);
     assert!(steer.servers().find("one").is_none());
 }
