--- a/elmstream_steer/tests/support/mod.rs
+++ b/elmstream_steer/tests/support/mod.rs
@@ -21,15 +21,15 @@
 pub const DOMAINS: [(&str, &str); 4] = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b")];
 /// The only service.
 pub const SERVICE: &str = "shop";
-/// Requests a second that a cold server bears.
+/// Requests a second that a cold server can handle.
 pub const COLD_PER_S: f64 = 9.0;
 
-/// An address by a number.
+/// An address derived from a number.
 pub fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 80))
 }
 
-/// The number of the host that others reach at an address.
+/// The number of the host with a peer address.
 pub fn host_number(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -40,12 +40,12 @@
     }
 }
 
-/// A host's decisions, by its number.
+/// The state of a host, by its number.
 pub fn host(number: usize, now: Time) -> Steer {
     host_with_incarnation(number, now, 1)
 }
 
-/// The same of a start by its number.
+/// The state of a host's start with a given incarnation.
 pub fn host_with_incarnation(number: usize, now: Time, incarnation: u64) -> Steer {
     let (domain, region) = DOMAINS[number % DOMAINS.len()];
     let settings = Settings {
@@ -86,7 +86,7 @@
     }
 }
 
-/// The row of a configuration.
+/// A configuration row.
 pub fn configuration(version: u64, stored: u64) -> Row {
     let service = Service { name: SERVICE.into(), cold_ms: 3_000, cold_per_s: COLD_PER_S };
     let configuration = Configuration {
@@ -96,11 +96,11 @@
         limits: Limits::default(),
         workspaces: Vec::new(),
     };
-    let item = Some(RowContent::Configuration(configuration));
-    Row::new(RowKey::Configuration, at(stored), item)
+    let content = Some(RowContent::Configuration(configuration));
+    Row::new(RowKey::Configuration, at(stored), content)
 }
 
-/// The row of a server.
+/// A server row.
 pub fn server(id: &str, domain: &str, stored: u64) -> Row {
     let server = Server {
         service: SERVICE.into(),
@@ -116,7 +116,7 @@
     Row::new(RowKey::Server(id.into()), at(stored), Some(RowContent::Server(server)))
 }
 
-/// The same row, changed.
+/// A server row with a changed server and version.
 pub fn with(mut row: Row, stored: u64, change: impl Fn(&mut Server)) -> Row {
     if let Some(RowContent::Server(server)) = &mut row.content {
         change(server);
@@ -125,18 +125,18 @@
     row
 }
 
-/// A removal.
+/// A tombstone.
 pub fn tombstone(key: RowKey, stored: u64) -> Row {
     Row::new(key, at(stored), None)
 }
 
-/// Servers, some in each failure domain.
-pub fn servers(each: usize) -> Vec<Row> {
-    let ids = (0..each).flat_map(|n| DOMAINS.map(|(domain, _)| (n, domain)));
+/// Server rows, `per_domain` of them in each failure domain.
+pub fn servers(per_domain: usize) -> Vec<Row> {
+    let ids = (0..per_domain).flat_map(|n| DOMAINS.map(|(domain, _)| (n, domain)));
     ids.map(|(n, domain)| server(&format!("s-{domain}-{n}"), domain, 10)).collect()
 }
 
-/// A host that knows a configuration and servers.
+/// A host that has read a configuration and servers.
 pub fn ready(number: usize, now: Time, rows: Vec<Row>) -> Steer {
     let mut steer = host(number, now);
     steer.on_full_read(now, Table::Rules, at(10), vec![configuration(1, 10)]);
@@ -145,20 +145,24 @@
     steer
 }
 
-/// Lets hosts hear each other if `heard` says so.
-pub fn exchange_heartbeats(now: Time, hosts: &mut [Steer], heard: impl Fn(usize, usize) -> bool) {
-    let all: Vec<_> = hosts.iter_mut().map(|host| host.next_heartbeat(now)).collect();
+/// Exchanges one heartbeat between all pairs of hosts for which `is_received` holds.
+pub fn exchange_heartbeats(
+    now: Time,
+    hosts: &mut [Steer],
+    is_received: impl Fn(usize, usize) -> bool,
+) {
+    let heartbeats: Vec<_> = hosts.iter_mut().map(|host| host.next_heartbeat(now)).collect();
     for (to, host) in hosts.iter_mut().enumerate() {
-        for (from, beat) in all.iter().enumerate() {
-            if from != to && heard(from, to) {
-                host.on_heartbeat(now, beat);
+        for (from, heartbeat) in heartbeats.iter().enumerate() {
+            if from != to && is_received(from, to) {
+                host.on_heartbeat(now, heartbeat);
             }
         }
         host.tick(now);
     }
 }
 
-/// Sends a request of a key.
+/// Picks a server for a request with a key.
 pub fn send(steer: &mut Steer, now: Time, route: &Route, key: u64) -> Pick {
     steer.pick_server(
         now,
@@ -171,7 +175,7 @@
     steer.servers().get(index).expect("it was just chosen").id.clone()
 }
 
-/// A version of a store that names no era.
+/// A version of a store that reports no era.
 pub fn at(count: u64) -> StoreVersion {
     StoreVersion::new(0, count)
 }
@@ -181,20 +185,20 @@
     Time(1_000_000 * MILLI + millis * MILLI)
 }
 
-/// What becomes of a host's calls to the store.
+/// Results of a host's calls to the store.
 pub mod store {
     use super::*;
 
-    /// The store answered with these rows.
+    /// The store answered with changed rows.
     pub fn answered(
         host: &mut Steer,
         now: Time,
-        (table, why): (Table, ReadReason),
+        (table, reason): (Table, ReadReason),
         rows: Vec<Row>,
     ) {
         let version = rows.iter().map(|row| row.version).max().unwrap_or_default();
         host.on_changes(now, table, rows);
-        host.record_store_answer(table, why, now, version);
+        host.record_store_answer(table, reason, now, version);
     }
 
     /// A call failed.
