--- a/elmstream_steer/tests/members.rs
+++ b/elmstream_steer/tests/members.rs
@@ -1,4 +1,4 @@
-//! Which hosts are named to callers.
+//! Which hosts a lookup returns to callers.
 
 mod support;
 
@@ -12,37 +12,37 @@
 fn fleet_of(hosts: usize) -> Vec<Steer> {
     let mut fleet: Vec<Steer> = (0..hosts).map(|n| ready(n, ms(0), servers(1))).collect();
     exchange_heartbeats(ms(0), &mut fleet, |_, _| true);
-    // The second round tells that all are ready.
+    // The second round reports that all hosts are ready.
     exchange_heartbeats(ms(50), &mut fleet, |_, _| true);
     fleet
 }
 
 #[test]
-fn callers_are_told_the_hosts_of_their_failure_domain_if_there_are_enough() {
+fn lookup_returns_hosts_of_the_callers_failure_domain() {
     let fleet = fleet_of(16);
-    let named = fleet[1].lookup(ms(60), "shop.example", "a1", "a");
-    assert_eq!(named, [address(1_000), address(1_004), address(1_008), address(1_012)]);
+    let found = fleet[1].lookup(ms(60), "shop.example", "a1", "a");
+    assert_eq!(found, [address(1_000), address(1_004), address(1_008), address(1_012)]);
 }
 
 #[test]
-fn callers_of_a_small_failure_domain_are_told_the_hosts_of_the_region() {
+fn lookup_for_a_small_failure_domain_returns_hosts_of_the_region() {
     let fleet = fleet();
-    let named = fleet[1].lookup(ms(60), "shop.example", "a1", "a");
-    assert_eq!(named, [address(1_000), address(1_001), address(1_004), address(1_005)]);
+    let found = fleet[1].lookup(ms(60), "shop.example", "a1", "a");
+    assert_eq!(found, [address(1_000), address(1_001), address(1_004), address(1_005)]);
 }
 
 #[test]
-fn a_silent_host_is_soon_named_no_more() {
+fn lookup_omits_a_silent_host() {
     let mut fleet = fleet();
     for at in (100..1_600).step_by(50) {
         exchange_heartbeats(ms(at), &mut fleet, |from, _| from != 4);
     }
-    let named = fleet[1].lookup(ms(1_600), "shop.example", "a1", "a");
-    assert!(!named.contains(&address(1_004)), "{named:?}");
+    let found = fleet[1].lookup(ms(1_600), "shop.example", "a1", "a");
+    assert!(!found.contains(&address(1_004)), "{found:?}");
 }
 
 #[test]
-fn a_host_that_leaves_is_named_no_more_after_its_next_beat() {
+fn lookup_omits_a_leaving_host_after_its_next_heartbeat() {
     let mut fleet = fleet();
     fleet[4].start_leaving();
     exchange_heartbeats(ms(100), &mut fleet, |_, _| true);
@@ -52,19 +52,19 @@
 }
 
 #[test]
-fn callers_of_a_domain_without_hosts_get_those_of_the_region_then_any() {
+fn lookup_for_a_domain_without_hosts_falls_back_to_region_then_fleet() {
     let mut fleet = fleet();
     for at in (100..1_600).step_by(50) {
         exchange_heartbeats(ms(at), &mut fleet, |from, _| ![1, 5].contains(&from));
     }
-    let named = fleet[2].lookup(ms(1_600), "shop.example", "a2", "a");
-    assert_eq!(named, [address(1_000), address(1_004)]);
-    let named = fleet[2].lookup(ms(1_600), "shop.example", "x", "x");
-    assert_eq!(named.len(), 6);
+    let found = fleet[2].lookup(ms(1_600), "shop.example", "a2", "a");
+    assert_eq!(found, [address(1_000), address(1_004)]);
+    let found = fleet[2].lookup(ms(1_600), "shop.example", "x", "x");
+    assert_eq!(found.len(), 6);
 }
 
 #[test]
-fn a_beat_that_comes_late_does_not_bring_back_what_was() {
+fn delayed_heartbeat_is_ignored() {
     let mut fleet = fleet();
     let late = fleet[4].next_heartbeat(ms(60));
     fleet[4].start_leaving();
@@ -75,34 +75,34 @@
 }
 
 #[test]
-fn a_late_beat_does_not_undo_what_others_said_of_newer_ones() {
+fn delayed_heartbeat_does_not_override_a_newer_liveness_update() {
     let mut fleet = fleet();
     let late = fleet[4].next_heartbeat(ms(60));
     fleet[4].start_leaving();
     let last = fleet[4].next_heartbeat(ms(70));
-    let mut told = fleet[1].next_heartbeat(ms(75));
-    told.liveness.push(LivenessUpdate {
+    let mut relayed = fleet[1].next_heartbeat(ms(75));
+    relayed.liveness.push(LivenessUpdate {
         host: hash::of(&last.host.name) as u32,
         incarnation: last.incarnation as u32,
         number: last.number,
         ready: last.ready,
         leaving: last.leaving,
     });
-    fleet[0].on_heartbeat(ms(80), &told);
-    let named = |host: &Steer| host.lookup(ms(100), "shop.example", "a1", "a");
-    assert!(!named(&fleet[0]).contains(&address(1_004)));
+    fleet[0].on_heartbeat(ms(80), &relayed);
+    let found = |host: &Steer| host.lookup(ms(100), "shop.example", "a1", "a");
+    assert!(!found(&fleet[0]).contains(&address(1_004)));
     fleet[0].on_heartbeat(ms(90), &late);
-    assert!(!named(&fleet[0]).contains(&address(1_004)));
+    assert!(!found(&fleet[0]).contains(&address(1_004)));
 }
 
 #[test]
-fn hosts_that_were_replaced_do_not_make_a_small_fleet_a_large_one() {
+fn replaced_hosts_do_not_count_as_heartbeat_targets() {
     let mut fleet = fleet();
-    // Forty hosts of the region came and went in the last hours.
+    // Forty hosts of the region were replaced in the last hours.
     for number in 100..140 {
-        let mut gone = host(number * 4, ms(0));
-        let beat = gone.next_heartbeat(ms(100));
-        fleet[0].on_heartbeat(ms(100), &beat);
+        let mut replaced = host(number * 4, ms(0));
+        let heartbeat = replaced.next_heartbeat(ms(100));
+        fleet[0].on_heartbeat(ms(100), &heartbeat);
     }
     for at in (100..60_000).step_by(500) {
         exchange_heartbeats(ms(at), &mut fleet, |_, _| true);
@@ -111,19 +111,19 @@
     for at in (60_000..61_600).step_by(50) {
         exchange_heartbeats(ms(at), &mut fleet, |from, _| from != 4);
     }
-    let named = fleet[0].lookup(ms(61_600), "shop.example", "a1", "a");
-    assert!(!named.contains(&address(1_004)), "{named:?}");
+    let found = fleet[0].lookup(ms(61_600), "shop.example", "a1", "a");
+    assert!(!found.contains(&address(1_004)), "{found:?}");
 }
 
 #[test]
-fn hosts_that_lost_each_other_for_an_hour_still_try_to_reach_each_other() {
+fn unreachable_hosts_still_get_some_heartbeats_after_an_hour() {
     let mut fleet = fleet();
     let hour = 3_600_000;
     for at in (1_000..hour).step_by(60_000) {
         fleet[0].tick(ms(at));
     }
     let lost = fleet[4].settings().host.peers;
-    let tried = (0..100).filter(|round| fleet[0].targets(ms(hour), *round).near.contains(&lost));
-    let tried = tried.count();
-    assert!((1..=5).contains(&tried), "tried in {tried} of 100 rounds");
+    let rounds = (0..100).filter(|round| fleet[0].targets(ms(hour), *round).near.contains(&lost));
+    let rounds = rounds.count();
+    assert!((1..=5).contains(&rounds), "contacted in {rounds} of 100 rounds");
 }
--- a/elmstream_steer/tests/view.rs
+++ b/elmstream_steer/tests/view.rs
@@ -1,4 +1,4 @@
-//! News in any order give the same view, and nothing goes back.
+//! Merging rows in any order gives the same view, and nothing reverts.
 
 mod support;
 
@@ -10,11 +10,11 @@
 use quickcheck::{QuickCheck, TestResult};
 use support::{at, configuration, host, ms, ready, route, send, server, servers, tombstone, with};
 
-/// Rows of a history in which each version is one change.
+/// Rows of a history with one change per version.
 fn history(changes: &[u8]) -> Vec<Row> {
-    let row = |(n, change): (usize, &u8)| {
-        let (stored, id) = (n as u64 + 1, format!("s{}", change % 3));
-        match change % 5 {
+    let row = |(n, kind): (usize, &u8)| {
+        let (stored, id) = (n as u64 + 1, format!("s{}", kind % 3));
+        match kind % 5 {
             0 => tombstone(RowKey::Server(id), stored),
             1 => with(server(&id, "a1", stored), stored, |server| server.draining = true),
             2 => Row { key: RowKey::Configuration, ..configuration(stored, stored) },
@@ -25,33 +25,33 @@
 }
 
 fn state(view: &View) -> Vec<String> {
-    view.contents().map(|item| format!("{item:?}")).collect()
+    view.contents().map(|row| format!("{row:?}")).collect()
 }
 
 #[test]
-fn rows_in_any_order_and_twice_give_the_same_view() {
+fn merging_is_idempotent_and_independent_of_order() {
     fn check(changes: Vec<u8>, order: Vec<usize>) -> TestResult {
         let rows = history(&changes);
         if rows.is_empty() {
             return TestResult::discard();
         }
-        let (mut straight, mut mixed) = (View::default(), View::default());
+        let (mut in_order, mut shuffled) = (View::default(), View::default());
         for row in &rows {
-            straight.merge(ms(0), row.clone());
+            in_order.merge(ms(0), row.clone());
         }
-        for place in &order {
-            mixed.merge(ms(0), rows[place % rows.len()].clone());
+        for index in &order {
+            shuffled.merge(ms(0), rows[index % rows.len()].clone());
         }
         for row in rows.iter().rev() {
-            mixed.merge(ms(0), row.clone());
+            shuffled.merge(ms(0), row.clone());
         }
-        TestResult::from_bool(state(&straight) == state(&mixed))
+        TestResult::from_bool(state(&in_order) == state(&shuffled))
     }
     QuickCheck::new().tests(500).quickcheck(check as fn(Vec<u8>, Vec<usize>) -> TestResult);
 }
 
 #[test]
-fn a_configuration_never_goes_back_nor_away() {
+fn configuration_is_never_reverted_or_deleted() {
     let mut steer = host(0, ms(0));
     steer.on_changes(ms(0), Table::Rules, vec![configuration(5, 20)]);
     steer.on_changes(ms(1), Table::Rules, vec![configuration(4, 30)]);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_old_reading_of_all_rows_changes_nothing() {
+fn outdated_full_read_is_ignored() {
     let mut steer = ready(0, ms(0), servers(1));
     steer.on_changes(ms(1), Table::Servers, vec![server("new", "a1", 40)]);
     steer.on_full_read(ms(2), Table::Servers, at(30), servers(1));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_server_that_drains_or_is_gone_gets_nothing() {
+fn draining_or_removed_server_gets_no_requests() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
     let route = route(Repeatability::Safe, &[]);
     assert!(matches!(send(&mut steer, ms(1), &route, 1), Pick::Send(_)));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_server_that_lapsed_while_the_store_was_away_is_used_till_it_may_be_back() {
+fn server_dropped_by_an_outage_of_the_store_stays_in_use_until_relisted() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
     let route = route(Repeatability::Safe, &[]);
     steer.on_full_read(ms(6_000), Table::Servers, at(30), Vec::new());
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_server_that_lapsed_and_stays_away_is_gone() {
+fn server_dropped_by_an_outage_of_the_store_is_removed_if_not_relisted() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
     steer.on_full_read(ms(6_000), Table::Servers, at(30), Vec::new());
     steer.tick(ms(8_300));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_on_a_calm_day_is_gone_at_once() {
+fn server_removed_without_an_outage_is_dropped_at_once() {
     let mut steer = ready(0, ms(0), vec![server("one", "a1", 10)]);
     steer.on_changes(ms(1_000), Table::Servers, Vec::new());
     steer.on_changes(ms(1_500), Table::Servers, vec![tombstone(RowKey::Server("one".into()), 12)]);
