--- a/elmstream_steer/tests/starts.rs
+++ b/elmstream_steer/tests/starts.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under their ids, and entries that cannot be read.
+//! Servers that restart under their ids, and entries that cannot be parsed.
 
 mod support;
 
@@ -12,56 +12,61 @@
 
 const KEY: u64 = 7;
 
-/// The same server, another start.
-fn reborn(row: Row, stored: u64) -> Row {
+/// The same server with another instance.
+fn next_instance(row: Row, stored: u64) -> Row {
     with(row, stored, |server| server.born += 1)
 }
 
 #[test]
-fn a_server_that_starts_again_under_its_id_knows_and_holds_nothing() {
+fn restarted_server_has_no_warm_keys_and_no_load() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
     let route = route(Repeatability::Safe, &[]);
     for _ in 0..3 {
         send(&mut host, ms(1), &route, KEY);
     }
-    let old = host.servers().find("s").expect("it is there");
+    let old = host.servers().find("s").expect("the server is listed");
     host.record_warm_key(ms(1), old, KEY);
     host.record_server_load(ms(1), old, 5);
     host.record_outcome(ms(700), old, Outcome::CallerGone);
     assert!(host.is_warm(ms(701), old, KEY));
-    assert!(host.servers().get(old).expect("it is there").is_probing());
-    let changes = host.on_changes(ms(702), Table::Servers, vec![reborn(server("s", "a1", 10), 11)]);
+    assert!(host.servers().get(old).expect("the server is listed").is_probing());
+    let changes =
+        host.on_changes(ms(702), Table::Servers, vec![next_instance(server("s", "a1", 10), 11)]);
     assert!(changes.contains(&StateChange::Server("s".into(), ServerState::Restarted)));
-    let new = host.servers().find("s").expect("it is there");
-    let entry = host.servers().get(new).expect("it is there");
+    let new = host.servers().find("s").expect("the server is listed");
+    let entry = host.servers().get(new).expect("the server is listed");
     assert_ne!(old, new);
     assert_eq!((entry.own_in_flight, entry.in_flight(ms(702)), entry.is_probing()), (0, 0, false));
     assert!(!host.is_warm(ms(702), new, KEY));
-    // What was in flight at the start before ends, and says nothing of this one.
+    // Outcomes of requests to the previous instance do not affect the new one.
     host.record_outcome(ms(703), old, Outcome::Silent);
-    assert_eq!(host.servers().get(new).expect("it is there").own_in_flight, 0);
+    assert_eq!(host.servers().get(new).expect("the server is listed").own_in_flight, 0);
     assert!(matches!(send(&mut host, ms(704), &route, KEY), elmstream_steer::Pick::Send(_)));
 }
 
 #[test]
-fn an_older_entry_that_comes_late_changes_nothing() {
+fn delayed_older_entry_is_ignored() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
-    host.on_changes(ms(1), Table::Servers, vec![reborn(server("s", "a1", 10), 12)]);
-    let index = host.servers().find("s").expect("it is there");
+    host.on_changes(ms(1), Table::Servers, vec![next_instance(server("s", "a1", 10), 12)]);
+    let index = host.servers().find("s").expect("the server is listed");
     assert!(host.on_changes(ms(2), Table::Servers, vec![server("s", "a1", 11)]).is_empty());
     assert_eq!(host.servers().find("s"), Some(index));
-    assert_eq!(host.servers().get(index).expect("it is there").server.born, 1);
+    assert_eq!(host.servers().get(index).expect("the server is listed").server.born, 1);
 }
 
 #[test]
-fn a_server_of_another_service_or_address_is_another_one() {
+fn changed_service_or_address_means_another_instance() {
     let mut host = ready(0, ms(0), vec![server("s", "a1", 10)]);
     host.on_changes(
         ms(1),
         Table::Servers,
         vec![with(server("s", "a1", 10), 11, |server| server.service = "other".into())],
     );
-    assert_eq!(host.servers().of_service("shop").count(), 0, "the old service does not get it");
+    assert_eq!(
+        host.servers().of_service("shop").count(),
+        0,
+        "the server no longer belongs to the old service"
+    );
     assert_eq!(host.servers().of_service("other").count(), 1);
     let first = host.servers().find("s");
     let moved = with(server("s", "a1", 10), 12, |server| {
@@ -73,7 +78,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_is_used_no_more_and_the_others_are() {
+fn only_the_server_with_an_unreadable_entry_is_dropped() {
     let mut host = ready(0, ms(0), servers(1));
     let all = host.servers().all().count();
     let key = RowKey::Server("s-a1-0".into());
@@ -87,7 +92,7 @@
             assert_ne!(id(&host, index), "s-a1-0");
         }
     }
-    // Once it can be read again it is used again, and its end is told as ever.
+    // Once the entry is readable the server is used again, and its deletion applies as usual.
     host.on_changes(ms(3), Table::Servers, vec![server("s-a1-0", "a1", 12)]);
     assert_eq!(host.servers().all().count(), all);
     host.on_changes(ms(4), Table::Servers, vec![tombstone(key, 13)]);
