--- a/elmstream_steer/tests/large.rs
+++ b/elmstream_steer/tests/large.rs
@@ -1,4 +1,4 @@
-//! Fleets in which a round of beats does not reach all hosts.
+//! Fleets in which a round of heartbeats does not reach all hosts.
 
 mod support;
 
@@ -20,14 +20,14 @@
 };
 
 const HOSTS: usize = 240;
-/// Least time between two beats of a host with urgent news, in milliseconds.
-const URGENT: u64 = 100;
-/// Datagrams that a host sends in a round at most.
-const DATAGRAMS: usize = 64;
-/// Bytes of a beat at most.
-const BEAT: usize = 1_200;
+/// Shortest interval between two heartbeats of a host with urgent news, in milliseconds.
+const URGENT_INTERVAL_MIN: u64 = 100;
+/// Largest number of datagrams that a host sends in a round.
+const DATAGRAMS_PER_ROUND_MAX: usize = 64;
+/// Largest size of a heartbeat in bytes.
+const HEARTBEAT_BYTES_MAX: usize = 1_200;
 
-/// Hosts that send beats by turns, and fetch from each other what they lack.
+/// Hosts whose heartbeats go to rotating targets, and that fetch missing rows from each other.
 struct Fleet {
     hosts: Vec<Steer>,
     at: u64,
@@ -35,7 +35,7 @@
 }
 
 impl Fleet {
-    /// A fleet whose hosts were told of each other at their start.
+    /// A fleet whose hosts know each other's addresses from the start.
     fn new() -> Fleet {
         let mut hosts: Vec<Steer> = (0..HOSTS).map(|n| ready(n, ms(0), servers(1))).collect();
         for host in &mut hosts {
@@ -46,40 +46,45 @@
         Fleet { hosts, at: 0, round: 0 }
     }
 
-    /// One round; `alive` says who takes part.
+    /// Runs a round of the hosts for which `alive` holds.
     fn round(&mut self, alive: impl Fn(usize) -> bool) {
         self.round += 1;
         self.at += members::heartbeat_interval(HOSTS - 1) / MILLI;
-        self.beats(|_, n| alive(n), &alive);
+        self.send_heartbeats(|_, n| alive(n), &alive);
     }
 
-    /// What happens within a round if there are urgent news.
+    /// Runs the additional heartbeats of hosts with urgent news.
     fn urgent(&mut self) {
         self.round += 1;
-        self.at += URGENT;
-        self.beats(|host, _| host.has_urgent_news(), |_| true);
+        self.at += URGENT_INTERVAL_MIN;
+        self.send_heartbeats(|host, _| host.has_urgent_news(), |_| true);
     }
 
-    /// Beats of those that `sends` names to all that are alive.
-    fn beats(&mut self, sends: impl Fn(&Steer, usize) -> bool, alive: impl Fn(usize) -> bool) {
+    /// Delivers heartbeats of the hosts for which `sends` holds to their targets that are alive.
+    fn send_heartbeats(
+        &mut self,
+        sends: impl Fn(&Steer, usize) -> bool,
+        alive: impl Fn(usize) -> bool,
+    ) {
         let now = ms(self.at);
-        let places: BTreeMap<SocketAddr, usize> =
+        let host_by_address: BTreeMap<SocketAddr, usize> =
             (0..HOSTS).map(|n| (address(2_000 + n), n)).collect();
         let senders: Vec<usize> = (0..HOSTS).filter(|n| sends(&self.hosts[*n], *n)).collect();
         for from in senders {
-            let beat = self.hosts[from].next_heartbeat(now);
-            let mut far = beat.clone();
-            far.liveness.clear();
-            far.warm_keys.clear();
+            let heartbeat = self.hosts[from].next_heartbeat(now);
+            let mut far_heartbeat = heartbeat.clone();
+            far_heartbeat.liveness.clear();
+            far_heartbeat.warm_keys.clear();
             let targets = self.hosts[from].targets(now, self.round);
-            assert!(targets.near.len() + targets.far.len() <= DATAGRAMS);
-            let size = postcard::to_allocvec(&beat).expect("it can be written").len();
-            assert!(size <= BEAT, "{size} bytes");
-            let near = targets.near.iter().map(|to| (to, &beat));
-            for (to, beat) in near.chain(targets.far.iter().map(|to| (to, &far))) {
-                let to = places[to];
+            assert!(targets.near.len() + targets.far.len() <= DATAGRAMS_PER_ROUND_MAX);
+            let size =
+                postcard::to_allocvec(&heartbeat).expect("a heartbeat can be serialized").len();
+            assert!(size <= HEARTBEAT_BYTES_MAX, "{size} bytes");
+            let near = targets.near.iter().map(|to| (to, &heartbeat));
+            for (to, heartbeat) in near.chain(targets.far.iter().map(|to| (to, &far_heartbeat))) {
+                let to = host_by_address[to];
                 if alive(to) {
-                    self.hear(from, to, beat);
+                    self.deliver(from, to, heartbeat);
                 }
             }
         }
@@ -88,9 +93,14 @@
         }
     }
 
-    fn hear(&mut self, from: usize, to: usize, beat: &elmstream_steer::heartbeat::Heartbeat) {
+    fn deliver(
+        &mut self,
+        from: usize,
+        to: usize,
+        heartbeat: &elmstream_steer::heartbeat::Heartbeat,
+    ) {
         let now = ms(self.at);
-        let Some(news) = self.hosts[to].on_heartbeat(now, beat) else { return };
+        let Some(news) = self.hosts[to].on_heartbeat(now, heartbeat) else { return };
         for (table, version) in news.outdated_tables {
             let rows = self.hosts[from].rows_for(now, table, version);
             self.hosts[to].on_table_rows(now, table, rows);
@@ -103,62 +113,62 @@
 }
 
 #[test]
-fn all_hosts_know_each_other_to_be_live_though_none_is_told_by_all() {
+fn all_hosts_see_each_other_as_live_without_hearing_all_directly() {
     let mut fleet = Fleet::new();
-    // Until each host has told each other one of itself once.
+    // Until each host has sent each other one a heartbeat.
     for _ in 0..40 {
         fleet.round(|_| true);
     }
     for _ in 0..30 {
         fleet.round(|_| true);
-        let least = (0..HOSTS).map(|n| fleet.live(n)).min().unwrap_or_default();
-        assert!(least >= HOSTS - 1 - HOSTS / 50, "{least} of {} others", HOSTS - 1);
+        let min_live = (0..HOSTS).map(|n| fleet.live(n)).min().unwrap_or_default();
+        assert!(min_live >= HOSTS - 1 - HOSTS / 50, "{min_live} of {} others", HOSTS - 1);
     }
 }
 
 #[test]
-fn a_dead_host_is_named_no_more_after_a_few_seconds() {
+fn lookup_omits_a_dead_host_after_a_few_seconds() {
     let mut fleet = Fleet::new();
     for _ in 0..20 {
         fleet.round(|_| true);
     }
     let dead = 4;
     let died = fleet.at;
-    let names = |fleet: &Fleet| -> BTreeSet<usize> {
-        let named = |n: &usize| {
+    let hosts_returning = |fleet: &Fleet| -> BTreeSet<usize> {
+        let returns = |n: &usize| {
             let found = fleet.hosts[*n].lookup(ms(fleet.at), "shop.example", "a1", "a");
             found.contains(&address(1_000 + dead))
         };
-        (0..HOSTS).filter(|n| *n != dead).filter(named).collect()
+        (0..HOSTS).filter(|n| *n != dead).filter(returns).collect()
     };
-    assert!(!names(&fleet).is_empty());
+    assert!(!hosts_returning(&fleet).is_empty());
     while fleet.at < died + 5_000 {
         fleet.round(|n| n != dead);
     }
-    assert!(names(&fleet).is_empty(), "{:?}", names(&fleet));
+    assert!(hosts_returning(&fleet).is_empty(), "{:?}", hosts_returning(&fleet));
 }
 
 #[test]
-fn a_configuration_that_one_host_reads_is_in_force_everywhere_within_a_second() {
+fn configuration_read_by_one_host_reaches_all_within_a_second() {
     let mut fleet = Fleet::new();
     for _ in 0..20 {
         fleet.round(|_| true);
     }
     let now = ms(fleet.at);
     fleet.hosts[17].on_changes(now, Table::Rules, vec![configuration(2, 30)]);
-    let begun = fleet.at;
+    let read_at = fleet.at;
     let behind = |fleet: &Fleet| {
         let hosts = fleet.hosts.iter();
         hosts.filter(|host| host.configuration_version() != Some(2)).count()
     };
     while behind(&fleet) > 0 {
         fleet.urgent();
-        assert!(fleet.at - begun <= 1_000, "{} hosts are behind", behind(&fleet));
+        assert!(fleet.at - read_at <= 1_000, "{} hosts are behind", behind(&fleet));
     }
 }
 
 #[test]
-fn one_host_of_many_reads_the_store() {
+fn few_hosts_of_a_large_fleet_read_the_store() {
     let mut fleet = Fleet::new();
     let mut calls = 0;
     for _ in 0..60 {
@@ -166,33 +176,33 @@
         let now = ms(fleet.at);
         for host in &mut fleet.hosts {
             for table in REQUIRED_TABLES {
-                if let Some(why) = host.due_read(now, table) {
+                if let Some(reason) = host.due_read(now, table) {
                     calls += usize::from(fleet.at > 6_000);
-                    store::answered(host, now, (table, why), Vec::new());
+                    store::answered(host, now, (table, reason), Vec::new());
                 }
             }
         }
     }
-    // One reader asks for two tables each round; others ask now and then, as what it
-    // read takes some rounds to all.
+    // One reader reads two tables each round. Others read now and then, as the reader's results
+    // take some rounds to reach all hosts.
     let rounds = 50;
     assert!(calls <= 2 * rounds * 3, "{calls} calls in {rounds} rounds");
 }
 
-/// What cold servers bear.
+/// Load limits of cold servers.
 #[derive(Clone, Copy)]
-struct Terms {
+struct ColdTerms {
     bounds: Bounds,
     per_s: f64,
 }
 
-impl Terms {
-    /// Requests that a cold server may get in a second.
+impl ColdTerms {
+    /// Number of requests that a cold server may get in a second.
     fn bound(self) -> usize {
         (self.per_s * self.bounds.cold_overshoot + self.bounds.cold_slack) as usize
     }
 
-    /// A host under these terms that knows a cold server and nothing else.
+    /// A host under these limits that knows a single, cold server.
     fn host(self, number: usize, row: &Row) -> Steer {
         let mut steer = ready(number, ms(0), vec![row.clone()]);
         steer.reconfigure(domains(), self.bounds);
@@ -205,45 +215,47 @@
     }
 }
 
-/// Most requests to a cold server in any second after a restart of all hosts, which
-/// know each other's addresses, if `listed` says so, but have not heard each other yet.
-fn worst_second_after_a_restart(
+/// Highest number of requests to a cold server in any second after a restart of all hosts, which
+/// know each other's addresses as far as `knows_address` holds but have not received heartbeats
+/// yet.
+fn max_requests_in_a_second_after_restart(
     hosts: usize,
-    terms: Terms,
-    listed: impl Fn(usize, usize) -> bool,
+    terms: ColdTerms,
+    knows_address: impl Fn(usize, usize) -> bool,
 ) -> usize {
     let row = with(server("cold", "a1", 10), 10, |server| server.cold_ms = 60_000);
     let mut fleet: Vec<Steer> = (0..hosts).map(|n| terms.host(n, &row)).collect();
-    let places: BTreeMap<SocketAddr, usize> = (0..hosts).map(|n| (address(2_000 + n), n)).collect();
+    let host_by_address: BTreeMap<SocketAddr, usize> =
+        (0..hosts).map(|n| (address(2_000 + n), n)).collect();
     for (n, host) in fleet.iter_mut().enumerate() {
-        for other in (0..hosts).filter(|other| listed(n, *other)) {
+        for other in (0..hosts).filter(|other| knows_address(n, *other)) {
             host.add_peer_address(ms(0), address(2_000 + other));
         }
     }
-    let mut due = vec![0; hosts];
+    let mut due_at = vec![0; hosts];
     let mut rounds = vec![0u64; hosts];
     let mut sent = Vec::new();
     for at in (0..8_000).step_by(20) {
         let now = ms(at);
         for from in 0..hosts {
-            if due[from] > at {
+            if due_at[from] > at {
                 continue;
             }
             rounds[from] += 1;
-            let beat = fleet[from].next_heartbeat(now);
+            let heartbeat = fleet[from].next_heartbeat(now);
             let targets = fleet[from].targets(now, rounds[from]);
             for to in targets.near.iter().chain(&targets.far) {
-                fleet[places[to]].on_heartbeat(now, &beat);
+                fleet[host_by_address[to]].on_heartbeat(now, &heartbeat);
             }
-            due[from] =
+            due_at[from] =
                 at + members::heartbeat_interval(fleet[from].members().target_count()) / MILLI;
         }
         for (n, host) in fleet.iter_mut().enumerate() {
             if at % 100 == 0 {
                 host.tick(now);
             }
-            let choice = send(host, now, &route(Repeatability::Safe, &[]), (at + n as u64) % 7);
-            if let Pick::Send(index) = choice {
+            let pick = send(host, now, &route(Repeatability::Safe, &[]), (at + n as u64) % 7);
+            if let Pick::Send(index) = pick {
                 host.record_outcome(
                     now,
                     index,
@@ -259,18 +271,18 @@
 }
 
 #[test]
-fn a_restart_of_all_hosts_of_a_large_fleet_keeps_the_bound_on_cold_servers() {
-    let terms = Terms { bounds: Bounds::default(), per_s: COLD_PER_S };
+fn restart_of_a_large_fleet_keeps_the_bound_on_cold_servers() {
+    let terms = ColdTerms { bounds: Bounds::default(), per_s: COLD_PER_S };
     let bound = terms.bound();
     for hosts in [60, 120, HOSTS] {
-        let worst = worst_second_after_a_restart(hosts, terms, |_, _| true);
+        let worst = max_requests_in_a_second_after_restart(hosts, terms, |_, _| true);
         assert!((3..=bound).contains(&worst), "{worst} requests in a second, {hosts} hosts");
     }
 }
 
-/// Of the users' largest fleets; a cold server bears 3.8 requests a second there, and
-/// may get 15.
-const LARGE: Terms = Terms {
+/// Limits of the largest supported fleets: a cold server handles 3.8 requests a second and may get
+/// 15.
+const LARGE_FLEET: ColdTerms = ColdTerms {
     bounds: Bounds {
         configuration_ms: 3_000,
         retry_ratio: 0.2,
@@ -288,22 +300,23 @@
     per_s: 3.8,
 };
 
-/// With senders drawn over the hosts that had been heard, the worst second had 14, 23 and
-/// 47 requests.
+/// Guards against choosing senders only among the hosts heard so far: right after a restart each
+/// host would consider itself a sender, with 14, 23 and 47 requests in the worst second.
 #[test]
-fn the_bound_on_cold_servers_does_not_rest_on_who_has_been_heard() {
+fn bound_on_cold_servers_does_not_depend_on_received_heartbeats() {
     for hosts in [295, 600, 1_205] {
-        let worst = worst_second_after_a_restart(hosts, LARGE, |_, _| true);
-        assert!((3..=LARGE.bound()).contains(&worst), "{worst} in a second, {hosts} hosts");
+        let worst = max_requests_in_a_second_after_restart(hosts, LARGE_FLEET, |_, _| true);
+        assert!((3..=LARGE_FLEET.bound()).contains(&worst), "{worst} in a second, {hosts} hosts");
     }
 }
 
-/// Hosts that started while others were still writing themselves down know only a part.
+/// Hosts that start while others are still being added to the list know only a part of them.
 #[test]
-fn the_bound_on_cold_servers_holds_if_each_host_knows_any_half_of_the_others() {
-    let half = |n: usize, other: usize| hash::combine(n as u64, other as u64).is_multiple_of(2);
+fn bound_on_cold_servers_holds_if_each_host_knows_half_of_the_others() {
+    let knows_address =
+        |n: usize, other: usize| hash::combine(n as u64, other as u64).is_multiple_of(2);
     for hosts in [295, 600] {
-        let worst = worst_second_after_a_restart(hosts, LARGE, half);
-        assert!((3..=LARGE.bound()).contains(&worst), "{worst} in a second, {hosts} hosts");
+        let worst = max_requests_in_a_second_after_restart(hosts, LARGE_FLEET, knows_address);
+        assert!((3..=LARGE_FLEET.bound()).contains(&worst), "{worst} in a second, {hosts} hosts");
     }
 }
