--- a/elmstream_steer/src/heartbeat.rs
+++ b/elmstream_steer/src/heartbeat.rs
@@ -105,7 +105,7 @@
     pub warm_keys: Vec<WarmKey>,
     /// Other hosts that are live. Sent only within the sender's region, and only in large fleets.
     pub liveness: Vec<LivenessUpdate>,
-    /// Number of hosts, including the sender, that the sender has not known to stop.
+    /// Number of hosts, including the sender, that the sender does not know to have stopped.
     pub fleet_size: u32,
     /// Crashes of servers while they ran requests. Every host that learns of a crash repeats it for
     /// a while.
--- a/elmstream_steer/src/members.rs
+++ b/elmstream_steer/src/members.rs
@@ -30,7 +30,7 @@
 /// Largest number of hosts of the own region in a round of heartbeats.
 pub const NEAR_FANOUT: usize = 32;
 /// Largest number of hosts of other regions in a round of heartbeats. Only one of
-/// [`ROUNDS_PER_FAR_ROUND`] rounds goes to other regions.
+/// `ROUNDS_PER_FAR_ROUND` rounds goes to other regions.
 pub const FAR_FANOUT: usize = 24;
 const ROUNDS_PER_FAR_ROUND: u64 = 2;
 /// Largest number of liveness updates in a heartbeat.
--- a/elmstream_steer/src/view.rs
+++ b/elmstream_steer/src/view.rs
@@ -201,7 +201,7 @@
 
     /// Age of what is known of a table, in microseconds; `None` if the table is unknown.
     pub fn age(&self, now: Time, table: Table) -> Option<u64> {
-        self.watermark(table).confirmed_at.map(|fresh| now.since(fresh))
+        self.watermark(table).confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
 
     /// Records that a store read showed the table to be current at `version`.
