--- a/elmstream_edge/src/callers.rs
+++ b/elmstream_edge/src/callers.rs
@@ -241,7 +241,7 @@
     set_workspace(edge, &mut kept, workspace.as_ref());
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let uri = path.parse().unwrap_or(head.uri);
-    let service = routes::service(&route, draw).to_owned();
+    let service = routes::pick_service(&route, draw).to_owned();
     let deadline = received + waits.min(route.timeout_ms) * MILLI;
     let returning = edge.steer.borrow_mut().is_returning(received, &route.name, waits);
     let (method, headers) = (head.method, kept);
--- a/elmstream_edge/src/forward.rs
+++ b/elmstream_edge/src/forward.rs
@@ -292,7 +292,7 @@
         "route": call.route.name, "service": call.service, "status": 503,
         "workspace": call.workspace_name(), "priority": call.priority(),
         "reason": format!("{:?}", refusal.reason), "retry_ms": refusal.retry_ms,
-        "servers": refusal.servers, "free": refusal.free, "load_percent": refusal.load,
+        "servers": refusal.servers, "free": refusal.free_servers, "load_percent": refusal.load_percent,
         "spared": refusal.spared,
         "took_ms": took / MILLI, "returning": call.returning,
         "version": edge.steer.borrow().version(),
--- a/elmstream_soak/src/workspaces.rs
+++ b/elmstream_soak/src/workspaces.rs
@@ -46,7 +46,7 @@
 /// milliseconds.
 pub fn bound() -> (usize, u64) {
     let bounds = Bounds::default();
-    let limit = tally::limit(&bounds, &workspace(LIMITED, 1));
+    let limit = tally::window_limit(&bounds, &workspace(LIMITED, 1));
     let most = limit * (1.0 + bounds.limit_overshoot) + bounds.limit_slack;
     (most as usize, bounds.limit_window_s * 1_000)
 }
--- a/elmstream_steer/src/cold_start.rs
+++ b/elmstream_steer/src/cold_start.rs
@@ -20,7 +20,7 @@
 pub const SEND_SPACING: u64 = 1_100 * MILLI;
 
 /// Senders of a cold backend server that bears `per_s` requests a second.
-pub fn senders(bounds: &Bounds, per_s: f64) -> usize {
+pub fn sender_count(bounds: &Bounds, per_s: f64) -> usize {
     let bound = per_s * bounds.cold_overshoot + bounds.cold_slack;
     ((bound / 2.0) as usize).max(1)
 }
--- a/elmstream_steer/src/era.rs
+++ b/elmstream_steer/src/era.rs
@@ -153,7 +153,7 @@
 /// Whether two contents say the same.
 pub(crate) fn same_content(one: Option<&RowContent>, other: Option<&RowContent>) -> bool {
     match (one, other) {
-        (Some(RowContent::Server(one)), Some(RowContent::Server(other))) => one.alike(other),
+        (Some(RowContent::Server(one)), Some(RowContent::Server(other))) => one.same_content(other),
         _ => one == other,
     }
 }
--- a/elmstream_steer/src/gossip.rs
+++ b/elmstream_steer/src/gossip.rs
@@ -336,7 +336,7 @@
         for entry in self.servers.all_mut().filter(|entry| entry.is_cold(now)) {
             let per_s =
                 self.cold_settings.get(&entry.server.service).map_or(1.0, |(_, per_s)| *per_s);
-            let senders = cold_start::senders(&self.settings.bounds, per_s);
+            let senders = cold_start::sender_count(&self.settings.bounds, per_s);
             entry.cold_sender = cold_start::is_sender(&self.address_hashes, entry.hash, senders);
         }
     }
--- a/elmstream_steer/src/model.rs
+++ b/elmstream_steer/src/model.rs
@@ -154,7 +154,7 @@
 
 impl Server {
     /// Whether two entries say the same, however many have been written.
-    pub fn alike(&self, other: &Server) -> bool {
+    pub fn same_content(&self, other: &Server) -> bool {
         let Server {
             service,
             address,
--- a/elmstream_steer/src/pick.rs
+++ b/elmstream_steer/src/pick.rs
@@ -105,9 +105,9 @@
     /// Servers that were considered.
     pub servers: u32,
     /// Those of them with a slot free.
-    pub free: u32,
+    pub free_servers: u32,
     /// Occupied part of their slots, in hundredths.
-    pub load: u32,
+    pub load_percent: u32,
     /// Servers that get nothing from this host now, as they asked for rest or named a limit.
     pub spared: u32,
 }
@@ -115,7 +115,7 @@
 impl Refusal {
     /// A refusal for which no server was considered.
     pub fn new(reason: RefusalReason, retry_ms: u64) -> Refusal {
-        Refusal { reason, retry_ms, servers: 0, free: 0, load: 0, spared: 0 }
+        Refusal { reason, retry_ms, servers: 0, free_servers: 0, load_percent: 0, spared: 0 }
     }
 }
 
@@ -270,8 +270,8 @@
         Some(index) => Pick::Send(index),
         None => Pick::Refuse(Refusal {
             servers: field.count,
-            free: field.free,
-            load: (load * 100.0) as u32,
+            free_servers: field.free,
+            load_percent: (load * 100.0) as u32,
             spared: field.spared,
             ..Refusal::new(RefusalReason::Full, retry_ms(least_wait))
         }),
@@ -348,7 +348,7 @@
 
 /// Whether the bound on cold servers lets this host send there now.
 fn cold_allows(scene: &PickContext<'_>, entry: &ServerEntry) -> bool {
-    let due = scene.now >= crate::cold_start::next_send(scene.started, entry.cold_sent);
+    let due = scene.now >= crate::cold_start::next_send(scene.started, entry.last_cold_send);
     !entry.is_cold(scene.now) || (entry.cold_sender && scene.hosts_known && due)
 }
 
--- a/elmstream_steer/src/quota.rs
+++ b/elmstream_steer/src/quota.rs
@@ -165,9 +165,9 @@
         if !scene.hosts_known {
             return QuotaDecision::Unready;
         }
-        let (now, window) = (scene.now, tally::window(scene.bounds));
+        let (now, window) = (scene.now, tally::window_us(scene.bounds));
         let own = self.own.entry(member.id).or_default();
-        own.under(tally::limit(scene.bounds, workspace));
+        own.under(tally::window_limit(scene.bounds, workspace));
         own.last = now;
         own.asked = own.asked.wrapping_add(1);
         let part = match latest(own.given(now), told(&self.heard, now, member.id)) {
@@ -180,7 +180,7 @@
         };
         self.draws += 1;
         // Between two reports nobody else sees what one host alone lets through.
-        let whole = tally::allowance(scene.bounds, workspace);
+        let whole = tally::fleet_allowance(scene.bounds, workspace);
         let room = f64::from(own.used.sum(now, window)) < whole;
         if room && hash::unit_interval(hash::combine(self.seed, self.draws)) < part {
             own.count(now, window, 1);
@@ -194,14 +194,14 @@
     /// A request that was let through is sent to one more server.
     pub fn record_retry(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
         if let Some(own) = self.own.get_mut(&member.id) {
-            own.count(scene.now, tally::window(scene.bounds), 1);
+            own.count(scene.now, tally::window_us(scene.bounds), 1);
         }
     }
 
     /// A request that was let through was run by no server.
     pub fn refund(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
         if let Some(own) = self.own.get_mut(&member.id) {
-            own.count(scene.now, tally::window(scene.bounds), -1);
+            own.count(scene.now, tally::window_us(scene.bounds), -1);
         }
     }
 
@@ -212,14 +212,19 @@
         table: &WorkspaceTable,
     ) -> Vec<AddressedReport> {
         let now = scene.now;
-        let window = tally::window(scene.bounds);
+        let window = tally::window_us(scene.bounds);
         self.forget(now);
         let mut by_place: FxHashMap<(u64, bool), Vec<WorkspaceUsage>> = FxHashMap::default();
         for (id, own) in &mut self.own {
             let Some(again) = own.due(now) else { continue };
             let used_in_window = own.used.sum(now, window);
             let (requested, admitted) = (own.asked, own.let_through);
-            let told = WorkspaceUsage { workspace: *id, requested, admitted, used_in_window };
+            let told = WorkspaceUsage {
+                workspace: *id,
+                requested,
+                admitted,
+                admitted_in_window: used_in_window,
+            };
             own.reported = own.asked;
             own.unanswered.get_or_insert(now);
             for place in ranked(scene.address_hashes, *id, again) {
@@ -232,7 +237,7 @@
                 address_hash: *place,
                 report: UsageReport {
                     start_hash: reader,
-                    uses: uses.to_vec(),
+                    usages: uses.to_vec(),
                     earlier_unanswered: *in_vain,
                 },
             })
@@ -254,10 +259,10 @@
         report: &UsageReport,
     ) -> UsageReply {
         let mut fractions = Vec::new();
-        for told in &report.uses {
+        for told in &report.usages {
             let Some(member) = table.get(told.workspace) else { continue };
             let tally = self.tallies.entry(told.workspace).or_default();
-            tally.on_report(scene.now, tally::window(scene.bounds), report, *told);
+            tally.on_report(scene.now, tally::window_us(scene.bounds), report, *told);
             let pressed = tally.broadcast_fraction(scene.now).is_some();
             let age = scene.now.since(self.started);
             let part = tally.fraction(scene.now, scene.bounds, &member.workspace, scene.fleet, age);
@@ -291,7 +296,7 @@
             Some(BroadcastFraction {
                 fraction: AdmitFraction::new(*id, part),
                 address_hash: own as u32,
-                stamp,
+                computed_at_ms: stamp,
             })
         });
         let parts: Vec<BroadcastFraction> = parts.collect();
@@ -309,7 +314,7 @@
                 let chunks = parts.chunks(ENTRIES);
                 chunks.map(move |parts| AddressedBroadcast {
                     address_hash: place,
-                    broadcast: FractionBroadcast { fractions: parts.to_vec(), arc },
+                    broadcast: FractionBroadcast { fractions: parts.to_vec(), forward_range: arc },
                 })
             })
             .collect()
@@ -322,17 +327,18 @@
         spread: &FractionBroadcast,
     ) -> Vec<AddressedBroadcast> {
         self.hear(scene.now, &spread.fractions);
-        let (begin, end) = spread.arc;
+        let (begin, end) = spread.forward_range;
         let inside =
             scene.address_hashes.iter().skip(1).filter(|place| (begin..end).contains(place));
-        let passed = FractionBroadcast { fractions: spread.fractions.clone(), arc: (0, 0) };
+        let passed =
+            FractionBroadcast { fractions: spread.fractions.clone(), forward_range: (0, 0) };
         inside
             .map(|place| AddressedBroadcast { address_hash: *place, broadcast: passed.clone() })
             .collect()
     }
 
     fn hear(&mut self, now: Time, parts: &[BroadcastFraction]) {
-        for BroadcastFraction { fraction, address_hash, stamp } in parts {
+        for BroadcastFraction { fraction, address_hash, computed_at_ms: stamp } in parts {
             let new =
                 Grant { place: *address_hash, part: fraction.value(), stamp: *stamp, at: now };
             let known = self.heard.entry(fraction.workspace).or_default();
@@ -354,8 +360,8 @@
         before: &WorkspaceTable,
     ) {
         for member in table.all() {
-            let old = before.get(member.id).map(|old| tally::limit(bounds, &old.workspace));
-            let new = tally::limit(bounds, &member.workspace);
+            let old = before.get(member.id).map(|old| tally::window_limit(bounds, &old.workspace));
+            let new = tally::window_limit(bounds, &member.workspace);
             if old.is_some_and(|old| new < old) {
                 if let Some(tally) = self.tallies.get_mut(&member.id) {
                     tally.clear();
@@ -429,8 +435,8 @@
 /// Where that is not a whole number the host draws whether it has one more, so that all
 /// hosts together have as many as they may have. They would have one each otherwise.
 pub fn local_share(seed: u64, scene: &QuotaContext<'_>, member: &WorkspaceEntry) -> u32 {
-    let hosts = scene.fleet.possible.max(1) as f64;
-    let share = tally::limit(scene.bounds, &member.workspace) / hosts;
+    let hosts = scene.fleet.possibly_running.max(1) as f64;
+    let share = tally::window_limit(scene.bounds, &member.workspace) / hosts;
     let epoch = scene.now.0 / DRAW_EVERY;
     let draw = hash::unit_interval(hash::combine(hash::combine(seed, member.id), epoch));
     (share + draw) as u32
--- a/elmstream_steer/src/routes.rs
+++ b/elmstream_steer/src/routes.rs
@@ -39,7 +39,7 @@
 }
 
 /// The service that a request of a route goes to; `draw` decides by weight.
-pub fn service(route: &Route, draw: u64) -> &str {
+pub fn pick_service(route: &Route, draw: u64) -> &str {
     let total: f64 = route.parts.iter().map(|part| part.weight).sum();
     let mut left = hash::unit_interval(draw) * total;
     let mut last = "";
--- a/elmstream_steer/src/server.rs
+++ b/elmstream_steer/src/server.rs
@@ -71,7 +71,7 @@
     /// Whether this host is among those that may send to it while it is cold.
     pub cold_sender: bool,
     /// Last request that was sent while it was cold.
-    pub cold_sent: Option<Time>,
+    pub last_cold_send: Option<Time>,
     /// Requests in flight wait for an answer since then, with none in between.
     waiting_since: Option<Time>,
     /// Requests that were given up without an answer since the last one.
@@ -213,7 +213,7 @@
             answers_elsewhere: 0,
             cold_until: Time(0),
             cold_sender: false,
-            cold_sent: None,
+            last_cold_send: None,
             waiting_since: None,
             unanswered: 0,
             unanswered_at: Time(0),
@@ -351,7 +351,7 @@
         self.tried = now;
         self.waiting_since.get_or_insert(now);
         if self.is_cold(now) {
-            self.cold_sent = Some(now);
+            self.last_cold_send = Some(now);
         }
         self.server_limit.record_sent(now);
     }
--- a/elmstream_steer/src/steer.rs
+++ b/elmstream_steer/src/steer.rs
@@ -358,9 +358,9 @@
             now,
             bounds: &self.settings.bounds,
             fleet: FleetView {
-                possible: self.fleet_size,
+                possibly_running: self.fleet_size,
                 live: self.reachable,
-                near: self.near_live,
+                near_live: self.near_live,
             },
             hosts_known: self.registry.is_known(),
             address_hashes: &self.address_hashes,
--- a/elmstream_steer/src/tally.rs
+++ b/elmstream_steer/src/tally.rs
@@ -64,7 +64,7 @@
     /// Those of them that were let through, modulo 2^32.
     pub admitted: u32,
     /// Those that were let through in the window up to now.
-    pub used_in_window: u32,
+    pub admitted_in_window: u32,
 }
 
 /// A host's report.
@@ -73,7 +73,7 @@
     /// Hash of the host's start.
     pub start_hash: u64,
     /// What workspaces asked and used.
-    pub uses: Vec<WorkspaceUsage>,
+    pub usages: Vec<WorkspaceUsage>,
     /// Whether hosts that rank before the receiver did not answer.
     pub earlier_unanswered: bool,
 }
@@ -107,7 +107,7 @@
     /// Hash of the address of the host that worked it out, cut to 32 bits.
     pub address_hash: u32,
     /// When that was, in milliseconds of that host's clock, modulo 2^32.
-    pub stamp: u32,
+    pub computed_at_ms: u32,
 }
 
 /// Parts for all hosts, on their way.
@@ -117,7 +117,7 @@
     pub fractions: Vec<BroadcastFraction>,
     /// Hosts that the receiver passes them on to: those the hashes of whose addresses are
     /// from the first one up to the second one; none if both are alike.
-    pub arc: (u64, u64),
+    pub forward_range: (u64, u64),
 }
 
 /// The answer to a report.
@@ -133,11 +133,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView {
     /// Hosts that may be running, this one included.
-    pub possible: usize,
+    pub possibly_running: usize,
     /// Those of them that are heard, this one included.
     pub live: usize,
     /// Those of them that are in this host's region.
-    pub near: usize,
+    pub near_live: usize,
 }
 
 impl FleetView {
@@ -146,35 +146,35 @@
     /// Hosts that are not heard may have been cut off and go on by themselves, so their
     /// part of the limit is left to them.
     fn part(self) -> f64 {
-        self.live as f64 / self.possible.max(self.live).max(1) as f64
+        self.live as f64 / self.possibly_running.max(self.live).max(1) as f64
     }
 
     /// The part of the fleet that this host sums for while others who rank before it do
     /// not answer: they may have been lost with their regions, which shows only seconds
     /// later.
     fn part_near(self) -> f64 {
-        self.near.min(self.live) as f64 / self.possible.max(self.live).max(1) as f64
+        self.near_live.min(self.live) as f64 / self.possibly_running.max(self.live).max(1) as f64
     }
 
     /// Whether so few are heard that each goes by its own part.
     pub fn is_isolated(self) -> bool {
-        self.possible > 1 && (self.live == 1 || self.live * FEW <= self.possible)
+        self.possibly_running > 1 && (self.live == 1 || self.live * FEW <= self.possibly_running)
     }
 }
 
 /// Length of the window in which requests are counted, in microseconds.
-pub fn window(bounds: &Bounds) -> u64 {
+pub fn window_us(bounds: &Bounds) -> u64 {
     bounds.limit_window_s.max(1) * 1_000 * MILLI
 }
 
 /// Requests that a workspace may make in a window.
-pub fn limit(bounds: &Bounds, workspace: &Workspace) -> f64 {
+pub fn window_limit(bounds: &Bounds, workspace: &Workspace) -> f64 {
     workspace.rate_per_s * bounds.limit_window_s as f64 + workspace.burst
 }
 
 /// Requests in a window that the hosts together let through.
-pub fn allowance(bounds: &Bounds, workspace: &Workspace) -> f64 {
-    limit(bounds, workspace) * (1.0 + bounds.limit_overshoot * OVERSHOOT_USED)
+pub fn fleet_allowance(bounds: &Bounds, workspace: &Workspace) -> f64 {
+    window_limit(bounds, workspace) * (1.0 + bounds.limit_overshoot * OVERSHOOT_USED)
 }
 
 /// What one host last reported.
@@ -235,7 +235,7 @@
         if !from.earlier_unanswered {
             self.first_asked = now;
         }
-        let WorkspaceUsage { requested, admitted, used_in_window, .. } = told;
+        let WorkspaceUsage { requested, admitted, admitted_in_window: used_in_window, .. } = told;
         let new = HostReport { requested, admitted, used_in_window, at: now };
         let requested = match self.hosts.insert(reader, new) {
             // Reports that come out of order show less than is known.
@@ -279,7 +279,7 @@
         self.worked_out = Some(now);
         self.advance(now);
         self.hosts.retain(|_, told| now.since(told.at) < REMEMBERED);
-        let window = window(bounds);
+        let window = window_us(bounds);
         let room = self.room(now, bounds, workspace, heard);
         let young = self.young(bounds, workspace, heard, age);
         let mut share_out = |span: u64| {
@@ -295,10 +295,10 @@
     /// Requests that may still be let through in the window up to now; below 0 if there
     /// were too many.
     fn room(&mut self, now: Time, bounds: &Bounds, workspace: &Workspace, heard: FleetView) -> f64 {
-        let window = window(bounds);
+        let window = window_us(bounds);
         let kept = |at: u64| 1.0 - (at.min(window) as f64 / window as f64);
-        let limit = limit(bounds, workspace);
-        let own_part = limit / heard.possible.max(1) as f64;
+        let limit = window_limit(bounds, workspace);
+        let own_part = limit / heard.possibly_running.max(1) as f64;
         let silent = self.hosts.values().filter(|told| told.silent(now, window));
         // What a silent host let through before is in the sum until it leaves the window.
         let counted = silent.map(|told| f64::from(told.used_in_window) * kept(now.since(told.at)));
@@ -306,7 +306,7 @@
         let used = f64::from(self.used.sum(now, window)) + left;
         let stands_in = now.since(self.first_asked) > STANDS_IN;
         let part = if stands_in { heard.part_near() } else { heard.part() };
-        allowance(bounds, workspace) * part - used
+        fleet_allowance(bounds, workspace) * part - used
     }
 
     /// What a host gives out that has not run for a window yet.
@@ -320,7 +320,8 @@
         let part = heard.part();
         let rate = workspace.rate_per_s * YOUNG * part;
         let given = rate * age as f64 / 1e6 + bounds.limit_slack * YOUNG_SLACK * part;
-        (age < window(bounds)).then_some(StartupAllowance { rate, left: given - self.heard as f64 })
+        (age < window_us(bounds))
+            .then_some(StartupAllowance { rate, left: given - self.heard as f64 })
     }
 
     /// What hosts have to know that do not report, and when it was worked out; none if
--- a/elmstream_steer/tests/access_cost.rs
+++ b/elmstream_steer/tests/access_cost.rs
@@ -52,7 +52,7 @@
             let scene = QuotaContext {
                 now: Time(n as u64 * MILLI),
                 bounds: &bounds,
-                fleet: FleetView { possible: 75, live: 75, near: 25 },
+                fleet: FleetView { possibly_running: 75, live: 75, near_live: 25 },
                 hosts_known: true,
                 address_hashes: &[],
             };
--- a/elmstream_steer/tests/limits.rs
+++ b/elmstream_steer/tests/limits.rs
@@ -23,7 +23,7 @@
 /// Requests that any window may hold.
 fn bound(workspace: &Workspace) -> f64 {
     let bounds = Bounds::default();
-    tally::limit(&bounds, workspace) * (1.0 + bounds.limit_overshoot) + bounds.limit_slack
+    tally::window_limit(&bounds, workspace) * (1.0 + bounds.limit_overshoot) + bounds.limit_slack
 }
 
 /// A load that jumps to a multiple of the usual: 1.6 times that is what it may send.
@@ -303,7 +303,7 @@
     let scene = QuotaContext {
         now: Time(1_000 * SECOND),
         bounds: &bounds,
-        fleet: FleetView { possible: 2, live: 2, near: 2 },
+        fleet: FleetView { possibly_running: 2, live: 2, near_live: 2 },
         hosts_known: true,
         address_hashes: &[1, 2],
     };
@@ -314,7 +314,7 @@
         }
     }
     let reports = host.due_reports(&scene, &table);
-    let told: usize = reports.iter().map(|addressed| addressed.report.uses.len()).sum();
+    let told: usize = reports.iter().map(|addressed| addressed.report.usages.len()).sum();
     assert_eq!(told, 10_000);
     let later = QuotaContext { now: scene.now + SECOND, ..scene };
     let size = |message: Message| postcard::to_allocvec(&message).expect("it is small").len();
--- a/elmstream_steer/tests/support/limits.rs
+++ b/elmstream_steer/tests/support/limits.rs
@@ -157,7 +157,7 @@
             limit: None,
             started: 0,
             places: Vec::new(),
-            heard: FleetView { possible: count, live: count, near: count / REGIONS },
+            heard: FleetView { possibly_running: count, live: count, near_live: count / REGIONS },
         };
         Play {
             load,
@@ -259,7 +259,7 @@
             let places: Vec<u64> = heard.into_iter().map(Self::place).collect();
             let host = &mut self.hosts[n];
             let known = if self.way == Way::SilentAreDead { live } else { count };
-            host.heard = FleetView { possible: known, live, near };
+            host.heard = FleetView { possibly_running: known, live, near_live: near };
             host.places = places;
         }
     }
