--- a/elmstream_steer/src/pick.rs
+++ b/elmstream_steer/src/pick.rs
@@ -1,10 +1,10 @@
-//! Chooses the backend server of a request, or refuses it.
+//! Selects the backend server of a request, or refuses the request.
 //!
-//! Requests of one key meet the same server (rendezvous hashing inside a region
-//! that [`crate::region_shares`] draws by key), so that it knows what they are about.
-//! Others follow only if it would keep the request waiting too long, and rather
-//! one that knows the key. What is in flight from all hosts tells the wait. A
-//! request that would wait too long everywhere is refused at once.
+//! Requests with one key go to one server: [`crate::region_shares`] orders the regions for the key,
+//! and rendezvous hashing ranks the servers of a region. That server then has the key's data
+//! cached. A request goes to another server only if it would wait too long there, and preferably to
+//! one that is warm for the key. The wait is computed from the requests that all hosts together
+//! have in flight. A request that would wait too long everywhere is refused at once.
 
 use elmstream::time::{MILLI, Time};
 
@@ -17,145 +17,148 @@
     warm_keys::WarmKeys,
 };
 
-/// Cost of another region, in milliseconds of answer time.
-const AWAY_MS: f64 = 30.0;
-/// Added answer time of a server all of whose answers fail, as a multiple.
-const FAILING: f64 = 6.0;
-/// Answer time of a cold server, as a multiple; on the users' sites it takes twice as
-/// long.
-const COLD: f64 = 2.0;
-/// Part of a route's time-out in which a cold server must be expected to answer.
-const TIMEOUT_PART: f64 = 0.9;
-/// Multiple of the objective in which an answer must be expected. An answer that comes
-/// a little late still serves its caller better than a refusal, whose second try comes
-/// 250 ms later at least and may be refused again. Measured in docs/DECISIONS.md: at
-/// 0.85, 1 and 1.4 ever fewer are lost; at 2 and 2.8 queues make most answers late.
-const AIM_PART: f64 = 1.4;
-/// The same for a caller who was refused before, and would be lost if refused again.
-const RETURN_PART: f64 = 2.0;
-/// Least part of the objective that a wait may take.
-const WAIT_LEAST: f64 = 0.1;
-/// Servers of the first region, and of each further one, that are considered.
-const RANKS_FIRST: usize = 2;
-const RANKS_NEXT: usize = 1;
-/// Cost of each step down the order for a server that does not know the key.
-const STEP_MS: f64 = 60.0;
-/// A server without knowledge of the key is used up to this part of its slots.
-const SPARE: f64 = 0.8;
-/// Occupied part of a service's slots beyond which requests go only to servers
-/// that know their key, or should: another would work longer on the request, and
-/// forget a key for it, just when nobody has time to spare.
-const SECOND_MAX: f64 = 0.75;
-/// The same for any server but the first ones.
-const SPILL_MAX: f64 = 0.65;
-/// Time between two trials of a silent server, for each host that may try.
-const TRIAL: u64 = 500 * MILLI;
-/// When to come back if no server may take the request.
+/// Cost of sending to another region, in milliseconds of answer time.
+const REMOTE_REGION_COST_MS: f64 = 30.0;
+/// Factor added to the answer time of a server when all of its answers fail; scaled by its failure
+/// rate.
+const FAILURE_COST_FACTOR: f64 = 6.0;
+/// Factor on the answer time of a cold server. Cold servers in production take twice as long.
+const COLD_SLOWDOWN: f64 = 2.0;
+/// Fraction of a route's timeout within which a cold server must be expected to answer.
+const COLD_TIMEOUT_FRACTION: f64 = 0.9;
+/// Multiple of the route's objective within which an answer must be expected. A slightly late
+/// answer serves its caller better than a refusal: the retry comes at least 250 ms later and may be
+/// refused again. With lower values more requests are lost; at 2 and above, queues make most
+/// answers late.
+const OBJECTIVE_FACTOR: f64 = 1.4;
+/// Like `OBJECTIVE_FACTOR`, for a caller that was refused before and would give up after another
+/// refusal.
+const RETURNING_OBJECTIVE_FACTOR: f64 = 2.0;
+/// Minimum wait that a request accepts, as a fraction of the objective.
+const MIN_WAIT_FRACTION: f64 = 0.1;
+/// Number of ranked servers that are considered in the first region, and in each other region.
+const FIRST_REGION_RANKS: usize = 2;
+const OTHER_REGION_RANKS: usize = 1;
+/// Cost of each further rank for a server that is not warm for the key.
+const NOT_WARM_RANK_COST_MS: f64 = 60.0;
+/// Fraction of its slots up to which a server that is not warm for the key is used.
+const NOT_WARM_LOAD_MAX: f64 = 0.8;
+/// Load of a service above which requests go only to servers that are warm for their key, or that
+/// rank first for it. Any other server would take longer and evict another key from its cache, at a
+/// time when no capacity is left for that.
+const NOT_WARM_SERVICE_LOAD_MAX: f64 = 0.75;
+/// Load of a service above which requests no longer spill over to servers outside the ranks.
+const SPILL_SERVICE_LOAD_MAX: f64 = 0.65;
+/// Time between two probes of a silent server, multiplied by the number of live hosts.
+const PROBE_INTERVAL: u64 = 500 * MILLI;
+/// Retry time of a refusal when no server can take the request, in milliseconds.
 const NO_SERVER_RETRY_MS: u64 = 300;
-/// Shortest and longest time that a refused caller is told to wait.
+/// Bounds of the retry time of a refusal for lack of capacity, in milliseconds.
 const RETRY_MIN_MS: f64 = 250.0;
 const RETRY_MAX_MS: f64 = 800.0;
 
-/// The same if all servers asked for rest or named limits: they say when themselves.
-const SPARED_MIN_MS: u64 = 250;
-const SPARED_MAX_MS: u64 = 10_000;
+/// Bounds of the retry time when all servers ask for back-off or have limits, in milliseconds.
+/// Within them it is the time that the servers gave.
+const SPARED_RETRY_MIN_MS: u64 = 250;
+const SPARED_RETRY_MAX_MS: u64 = 10_000;
 
-/// A request that wants a server.
+/// A request that needs a server.
 #[derive(Clone, Copy, Debug)]
 pub struct PickRequest<'a> {
-    /// Its route.
+    /// The request's route.
     pub route: &'a Route,
-    /// The service it goes to.
+    /// Name of the service that the request goes to.
     pub service: &'a str,
-    /// Hash of its affinity key, or of its id if it has none.
+    /// Hash of the affinity key, or of the request id if there is no affinity key.
     pub key: u64,
-    /// Servers that it was sent to before.
+    /// Servers that the request was already sent to.
     pub tried: &'a [ServerIndex],
-    /// Whether its caller has most likely been refused before.
+    /// Whether the caller has probably been refused before.
     pub returning: bool,
-    /// Regions in which its workspace's requests may run; empty for any.
+    /// Regions in which the workspace's requests may run; empty for any.
     pub homes: &'a [String],
 }
 
 impl PickRequest<'_> {
-    /// Whether the request may run in a region: the homes of its route and of its workspace
-    /// both bind.
-    fn at_home(&self, region: &str) -> bool {
-        let among = |homes: &[String]| homes.is_empty() || homes.iter().any(|home| home == region);
-        among(&self.route.homes) && among(self.homes)
+    /// Whether the request may run in a region. The home regions of both the route and the
+    /// workspace apply.
+    fn may_run_in(&self, region: &str) -> bool {
+        let allows = |homes: &[String]| homes.is_empty() || homes.iter().any(|home| home == region);
+        allows(&self.route.homes) && allows(self.homes)
     }
 }
 
-/// Where a request goes.
+/// Result of server selection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Pick {
-    /// To this server.
+    /// Send the request to this server.
     Send(ServerIndex),
-    /// Nowhere now.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-/// Why a request goes nowhere.
+/// A refusal and the state of the servers that led to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// The reason.
+    /// Why the request is refused.
     pub reason: RefusalReason,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller should retry, in milliseconds.
     pub retry_ms: u64,
-    /// Servers that were considered.
+    /// Number of servers that were considered.
     pub servers: u32,
-    /// Those of them with a slot free.
+    /// Number of considered servers with a free slot.
     pub free_servers: u32,
-    /// Occupied part of their slots, in hundredths.
+    /// Occupied slots of the considered servers, in percent.
     pub load_percent: u32,
-    /// Servers that get nothing from this host now, as they asked for rest or named a limit.
+    /// Number of servers that this host must not send to now because of a back-off or a server
+    /// limit.
     pub spared: u32,
 }
 
 impl Refusal {
-    /// A refusal for which no server was considered.
+    /// Creates a refusal for which no server was considered.
     pub fn new(reason: RefusalReason, retry_ms: u64) -> Refusal {
         Refusal { reason, retry_ms, servers: 0, free_servers: 0, load_percent: 0, spared: 0 }
     }
 }
 
-/// Reasons of a refusal.
+/// Reasons for a refusal. Logs contain the names of the variants.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RefusalReason {
-    /// No server of the service may take it.
+    /// No server of the service can take the request.
     NoServer,
-    /// Each of them asked for rest, or named a limit of which this host's part is used up.
+    /// Every server asked for back-off, or has a limit of which this host's share is used up.
     Spared,
-    /// It would wait too long at each of them.
+    /// The request would wait too long at every server.
     Full,
-    /// Servers did not run it, and the retry budget allows no further one.
+    /// Servers did not run the request, and the retry budget allows no further attempt.
     Budget,
-    /// Servers did not run it, and no further try is left.
+    /// Servers did not run the request, and no further attempt is allowed.
     Tries,
 }
 
-/// What a choice rests on beside the request.
+/// State that server selection depends on, beside the request.
 #[derive(Clone, Copy, Debug)]
 pub struct PickContext<'a> {
-    /// Now.
+    /// Current time.
     pub now: Time,
-    /// Which servers it may go to as its service is rolled out.
+    /// Servers that the service's rollout allows for the request.
     pub rollout_arm: RolloutArm,
     /// When this host started.
     pub started: Time,
     /// Failure domain and region of this host.
     pub location: (&'a str, &'a str),
-    /// All servers.
+    /// All backend servers.
     pub servers: &'a ServerTable,
-    /// Failure domains whose servers get nothing.
+    /// Evacuated failure domains; their servers get no requests.
     pub evacuated: &'a std::collections::BTreeSet<String>,
-    /// Live hosts, this one included.
+    /// Number of live hosts, including this one.
     pub live_hosts: usize,
-    /// Whether this host knows where the others are.
+    /// Whether this host knows the addresses of the other hosts.
     pub hosts_known: bool,
-    /// How the regions divide the requests of the service.
+    /// Division of the service's keys over the regions.
     pub region_shares: &'a RegionShares,
-    /// Which servers know which keys.
+    /// Servers that are warm for keys.
     pub warm_keys: &'a WarmKeys,
 }
 
@@ -164,40 +167,40 @@
 struct Candidate<'a> {
     index: ServerIndex,
     entry: &'a ServerEntry,
-    /// Place of its region in the key's order.
-    place: usize,
+    /// Rank of the server's region in the key's region order.
+    region_rank: usize,
     weight: u64,
-    /// Requests in flight there.
+    /// Requests in flight at the server, from all hosts.
     occupied: u32,
 }
 
-/// Servers that may take the request, gathered in one pass: a service has many, and
-/// only the first few of each region are ever looked at.
-struct Field<'a> {
-    /// The first few servers of each region, in the key's order.
+/// Servers that may take the request. They are gathered in one pass because a service has many
+/// servers, of which only the first few of each region are compared.
+struct Candidates<'a> {
+    /// The highest-ranked servers of each region, in rendezvous order.
     ranks: Vec<Vec<Candidate<'a>>>,
-    /// The emptiest server with room to spare.
+    /// The server with the lowest load among those with spare slots.
     emptiest: Option<Candidate<'a>>,
     count: u32,
     free: u32,
     slots: u32,
-    used: u32,
-    /// Servers that are left out for their rest or their limit, and when this host may send
-    /// to the first of them.
+    occupied_slots: u32,
+    /// Servers left out because of a back-off or a server limit, and the earliest known time at
+    /// which this host may send to one of them.
     spared: u32,
     spared_until: Option<Time>,
 }
 
-impl<'a> Field<'a> {
-    fn new(regions: usize) -> Field<'a> {
+impl<'a> Candidates<'a> {
+    fn new(regions: usize) -> Candidates<'a> {
         let ranks = vec![Vec::new(); regions];
-        Field {
+        Candidates {
             ranks,
             emptiest: None,
             count: 0,
             free: 0,
             slots: 0,
-            used: 0,
+            occupied_slots: 0,
             spared: 0,
             spared_until: None,
         }
@@ -208,21 +211,24 @@
         self.count += 1;
         self.free += u32::from(candidate.occupied < slots);
         self.slots += slots;
-        self.used += candidate.occupied.min(slots);
-        if spare(&candidate) && self.emptiest.is_none_or(|best| emptier(&candidate, &best)) {
+        self.occupied_slots += candidate.occupied.min(slots);
+        if has_spare_slots(&candidate)
+            && self.emptiest.is_none_or(|best| is_emptier(&candidate, &best))
+        {
             self.emptiest = Some(candidate);
         }
-        let ranks = &mut self.ranks[candidate.place];
-        let most = if candidate.place == 0 { RANKS_FIRST } else { RANKS_NEXT };
-        let at = ranks.partition_point(|other| other.weight > candidate.weight);
-        if at < most {
-            ranks.truncate(most - 1);
-            ranks.insert(at, candidate);
+        let ranks = &mut self.ranks[candidate.region_rank];
+        let max_ranks =
+            if candidate.region_rank == 0 { FIRST_REGION_RANKS } else { OTHER_REGION_RANKS };
+        let position = ranks.partition_point(|other| other.weight > candidate.weight);
+        if position < max_ranks {
+            ranks.truncate(max_ranks - 1);
+            ranks.insert(position, candidate);
         }
     }
 
-    /// Leaves a server out; this host may send to it at a time, if that is known.
-    fn spare(&mut self, until: Option<Time>) {
+    /// Counts a server that is left out; `until` is when this host may send to it again, if known.
+    fn add_spared(&mut self, until: Option<Time>) {
         self.spared += 1;
         self.spared_until = match (self.spared_until, until) {
             (Some(known), Some(until)) => Some(known.min(until)),
@@ -230,186 +236,203 @@
         };
     }
 
-    /// Occupied part of all servers' slots.
+    /// Occupied fraction of the slots of all candidates, 0 to 1.
     fn load(&self) -> f64 {
-        f64::from(self.used) / f64::from(self.slots.max(1))
+        f64::from(self.occupied_slots) / f64::from(self.slots.max(1))
     }
 }
 
-/// Chooses a server.
-pub fn pick_server(scene: &PickContext<'_>, ask: &PickRequest<'_>) -> Pick {
-    let pace = scene.servers.answer_times(ask.service);
-    let field = field(scene, ask, pace);
-    if field.count == 0 {
-        return Pick::Refuse(none(scene.now, &field));
+/// Selects the server of a request.
+///
+/// The request goes to the cheapest ranked server that can run it in time, else to the least loaded
+/// server with spare slots while the service's load is low. Otherwise it is refused.
+pub fn pick_server(context: &PickContext<'_>, request: &PickRequest<'_>) -> Pick {
+    let times = context.servers.answer_times(request.service);
+    let candidates = gather_candidates(context, request, times);
+    if candidates.count == 0 {
+        return Pick::Refuse(no_candidate_refusal(context.now, &candidates));
     }
-    let load = field.load();
+    let load = candidates.load();
     let mut best: Option<(f64, ServerIndex)> = None;
-    let mut least_wait = f64::MAX;
-    let mut step = 0.0;
-    for candidate in field.ranks.iter().flatten() {
-        let knows = scene.warm_keys.is_warm(scene.now, candidate.index, ask.key);
-        let wait = wait_ms(scene.now, candidate, pace);
-        least_wait = least_wait.min(wait);
-        let first = step == 0.0;
-        let usable = if first || knows {
-            wait <= patience_ms(scene, ask, candidate.entry, pace)
+    let mut shortest_wait_ms = f64::MAX;
+    let mut rank_cost_ms = 0.0;
+    for candidate in candidates.ranks.iter().flatten() {
+        let warm = context.warm_keys.is_warm(context.now, candidate.index, request.key);
+        let wait_here_ms = wait_ms(context.now, candidate, times);
+        shortest_wait_ms = shortest_wait_ms.min(wait_here_ms);
+        let first = rank_cost_ms == 0.0;
+        let usable = if first || warm {
+            wait_here_ms <= max_wait_ms(context, request, candidate.entry, times)
         } else {
-            load < SECOND_MAX && spare(candidate)
+            load < NOT_WARM_SERVICE_LOAD_MAX && has_spare_slots(candidate)
         };
-        let usable = usable && !hopeless(scene, ask.route, candidate.entry, pace, knows, wait);
-        let cost = cost_ms(scene, candidate.entry, pace, knows) + wait;
-        let cost = if knows { cost } else { cost + step };
+        let usable = usable
+            && !would_time_out(context, request.route, candidate.entry, times, warm, wait_here_ms);
+        let cost = cost_ms(context, candidate.entry, times, warm) + wait_here_ms;
+        let cost = if warm { cost } else { cost + rank_cost_ms };
         if usable && best.is_none_or(|(least, _)| cost < least) {
             best = Some((cost, candidate.index));
         }
-        step += STEP_MS;
+        rank_cost_ms += NOT_WARM_RANK_COST_MS;
     }
-    let spill = field.emptiest.filter(|_| load < SPILL_MAX).map(|candidate| candidate.index);
+    let spill = candidates
+        .emptiest
+        .filter(|_| load < SPILL_SERVICE_LOAD_MAX)
+        .map(|candidate| candidate.index);
     match best.map(|(_, index)| index).or(spill) {
         Some(index) => Pick::Send(index),
         None => Pick::Refuse(Refusal {
-            servers: field.count,
-            free_servers: field.free,
+            servers: candidates.count,
+            free_servers: candidates.free,
             load_percent: (load * 100.0) as u32,
-            spared: field.spared,
-            ..Refusal::new(RefusalReason::Full, retry_ms(least_wait))
+            spared: candidates.spared,
+            ..Refusal::new(RefusalReason::Full, retry_ms(shortest_wait_ms))
         }),
     }
 }
 
-/// The refusal of a request that no server may take.
-fn none(now: Time, field: &Field<'_>) -> Refusal {
-    if field.spared == 0 {
+/// The refusal of a request for which there is no candidate.
+fn no_candidate_refusal(now: Time, candidates: &Candidates<'_>) -> Refusal {
+    if candidates.spared == 0 {
         return Refusal::new(RefusalReason::NoServer, NO_SERVER_RETRY_MS);
     }
-    let until = field.spared_until.map(|until| until.since(now) / MILLI);
-    let retry = until.map_or(NO_SERVER_RETRY_MS, |until| until.clamp(SPARED_MIN_MS, SPARED_MAX_MS));
-    Refusal { spared: field.spared, ..Refusal::new(RefusalReason::Spared, retry) }
+    let until = candidates.spared_until.map(|until| until.since(now) / MILLI);
+    let retry = until
+        .map_or(NO_SERVER_RETRY_MS, |until| until.clamp(SPARED_RETRY_MIN_MS, SPARED_RETRY_MAX_MS));
+    Refusal { spared: candidates.spared, ..Refusal::new(RefusalReason::Spared, retry) }
 }
 
-/// Servers that may take the request.
-fn field<'a>(scene: &PickContext<'a>, ask: &PickRequest<'_>, pace: AnswerTimes) -> Field<'a> {
-    let order = scene.region_shares.region_order(scene.location.1, ask.key);
-    let mut field = Field::new(order.len() + 1);
-    let mut silent: Vec<Candidate<'a>> = Vec::new();
-    for (index, entry) in scene.servers.of_service(ask.service) {
-        if !allowed(scene, ask, index, entry) || !cold_allows(scene, entry) {
+/// Gathers the servers that may take the request.
+fn gather_candidates<'a>(
+    context: &PickContext<'a>,
+    request: &PickRequest<'_>,
+    times: AnswerTimes,
+) -> Candidates<'a> {
+    let region_order = context.region_shares.region_order(context.location.1, request.key);
+    let mut candidates = Candidates::new(region_order.len() + 1);
+    let mut ejected: Vec<Candidate<'a>> = Vec::new();
+    for (index, entry) in context.servers.of_service(request.service) {
+        if !may_send(context, request, index, entry) || !cold_bound_allows(context, entry) {
             continue;
         }
-        if entry.is_backing_off(scene.now) {
-            field.spare(Some(entry.backoff_until));
+        if entry.is_backing_off(context.now) {
+            candidates.add_spared(Some(entry.backoff_until));
             continue;
         }
-        if !limit_allows(scene, entry) {
-            field.spare(entry.server_limit.next_send());
+        if !server_limit_allows(context, entry) {
+            candidates.add_spared(entry.server_limit.next_send());
             continue;
         }
-        let place = order.iter().position(|name| *name == entry.region).unwrap_or(order.len());
-        let weight = hash::combine(entry.hash, ask.key);
-        let occupied = entry.in_flight(scene.now);
-        let candidate = Candidate { index, entry, place, weight, occupied };
-        if entry.is_ejected(scene.now, pace, scene.live_hosts) {
-            silent.push(candidate);
+        let region_rank = region_order
+            .iter()
+            .position(|name| *name == entry.region)
+            .unwrap_or(region_order.len());
+        let weight = hash::combine(entry.hash, request.key);
+        let occupied = entry.in_flight(context.now);
+        let candidate = Candidate { index, entry, region_rank, weight, occupied };
+        if entry.is_ejected(context.now, times, context.live_hosts) {
+            ejected.push(candidate);
         } else {
-            field.add(candidate);
+            candidates.add(candidate);
         }
     }
-    // A silent server is tried now and then, by requests that may run again; if
-    // most are silent, the fault is more likely on this host's side.
-    let apart = TRIAL * scene.live_hosts as u64;
-    let all = silent.len() > field.count as usize;
-    let may = |c: &Candidate<'_>| {
-        ask.route.repeat == Repeatability::Safe && c.entry.probe_due(scene.now, apart)
+    // A silent server gets occasional probes, only by requests that are safe to repeat. If most
+    // servers are silent, the fault is more likely on this host's side, so all of them stay in.
+    let interval = PROBE_INTERVAL * context.live_hosts as u64;
+    let probe_all = ejected.len() > candidates.count as usize;
+    let may_probe = |c: &Candidate<'_>| {
+        request.route.repeat == Repeatability::Safe && c.entry.probe_due(context.now, interval)
     };
-    for candidate in silent.into_iter().filter(|c| all || may(c)) {
-        field.add(candidate);
+    for candidate in ejected.into_iter().filter(|c| probe_all || may_probe(c)) {
+        candidates.add(candidate);
     }
-    field
+    candidates
 }
 
-/// Whether the server may get the request at all.
-fn allowed(
-    scene: &PickContext<'_>,
-    ask: &PickRequest<'_>,
+/// Whether this host may send the request to the server at all.
+fn may_send(
+    context: &PickContext<'_>,
+    request: &PickRequest<'_>,
     index: ServerIndex,
     entry: &ServerEntry,
 ) -> bool {
-    ask.at_home(&entry.region)
+    request.may_run_in(&entry.region)
         && !entry.is_leaving()
-        && scene.rollout_arm.includes(entry.rollout_role)
-        && (scene.rollout_arm != RolloutArm::Canary
-            || entry.in_flight(scene.now) < entry.server.slots)
-        && !scene.evacuated.contains(&entry.server.domain)
-        && !ask.tried.contains(&index)
-        && entry.is_reachable(scene.now)
+        && context.rollout_arm.includes(entry.rollout_role)
+        && (context.rollout_arm != RolloutArm::Canary
+            || entry.in_flight(context.now) < entry.server.slots)
+        && !context.evacuated.contains(&entry.server.domain)
+        && !request.tried.contains(&index)
+        && entry.is_reachable(context.now)
         && (entry.own_in_flight == 0 || !entry.is_probing())
 }
 
-/// Whether the bound on cold servers lets this host send there now.
-fn cold_allows(scene: &PickContext<'_>, entry: &ServerEntry) -> bool {
-    let due = scene.now >= crate::cold_start::next_send(scene.started, entry.last_cold_send);
-    !entry.is_cold(scene.now) || (entry.cold_sender && scene.hosts_known && due)
+/// Whether the bound on requests to cold servers lets this host send to the server now.
+fn cold_bound_allows(context: &PickContext<'_>, entry: &ServerEntry) -> bool {
+    let due = context.now >= crate::cold_start::next_send(context.started, entry.last_cold_send);
+    !entry.is_cold(context.now) || (entry.cold_sender && context.hosts_known && due)
 }
 
-/// Whether the limit that a server named lets this host send there now.
-fn limit_allows(scene: &PickContext<'_>, entry: &ServerEntry) -> bool {
+/// Whether the server's own limit lets this host send to it now.
+fn server_limit_allows(context: &PickContext<'_>, entry: &ServerEntry) -> bool {
     let limited = &entry.server_limit;
-    limited.limit().is_none() || (scene.hosts_known && limited.allows(scene.now))
+    limited.limit().is_none() || (context.hosts_known && limited.allows(context.now))
 }
 
-/// Time until a slot is free, in milliseconds.
-fn wait_ms(now: Time, candidate: &Candidate<'_>, pace: AnswerTimes) -> f64 {
+/// Expected time until a slot is free, in milliseconds.
+fn wait_ms(now: Time, candidate: &Candidate<'_>, times: AnswerTimes) -> f64 {
     let slots = candidate.entry.server.slots.max(1);
     let ahead = (candidate.occupied + 1).saturating_sub(slots);
-    ahead as f64 * pace.mean_ms * candidate.entry.slowness(now).max(1.0) / slots as f64
+    ahead as f64 * times.mean_ms * candidate.entry.slowness(now).max(1.0) / slots as f64
 }
 
-/// Answer time without the wait, and what the place costs, in milliseconds.
-fn cost_ms(scene: &PickContext<'_>, entry: &ServerEntry, pace: AnswerTimes, knows: bool) -> f64 {
-    let away = if entry.region == scene.location.1 { 0.0 } else { AWAY_MS };
-    let work = if knows { pace.warm_ms } else { pace.not_warm_ms };
-    let failing = 1.0 + FAILING * entry.failure_rate(scene.now);
-    let cold = if entry.is_cold(scene.now) { COLD } else { 1.0 };
-    away + work * entry.slowness(scene.now).max(0.7) * failing * cold
+/// Expected answer time without the wait, plus the cost of another region, in milliseconds.
+fn cost_ms(context: &PickContext<'_>, entry: &ServerEntry, times: AnswerTimes, warm: bool) -> f64 {
+    let remote_ms = if entry.region == context.location.1 { 0.0 } else { REMOTE_REGION_COST_MS };
+    let work_ms = if warm { times.warm_ms } else { times.not_warm_ms };
+    let failing = 1.0 + FAILURE_COST_FACTOR * entry.failure_rate(context.now);
+    let cold = if entry.is_cold(context.now) { COLD_SLOWDOWN } else { 1.0 };
+    remote_ms + work_ms * entry.slowness(context.now).max(0.7) * failing * cold
 }
 
-/// Whether a cold server would most likely not answer before the route's time-out.
-fn hopeless(
-    scene: &PickContext<'_>,
+/// Whether a cold server would probably not answer before the route's timeout.
+fn would_time_out(
+    context: &PickContext<'_>,
     route: &Route,
     entry: &ServerEntry,
-    pace: AnswerTimes,
-    knows: bool,
+    times: AnswerTimes,
+    warm: bool,
     wait: f64,
 ) -> bool {
-    let work = if knows { pace.warm_ms } else { pace.not_warm_ms };
-    entry.is_cold(scene.now) && work * COLD + wait > route.timeout_ms as f64 * TIMEOUT_PART
+    let work_ms = if warm { times.warm_ms } else { times.not_warm_ms };
+    entry.is_cold(context.now)
+        && work_ms * COLD_SLOWDOWN + wait > route.timeout_ms as f64 * COLD_TIMEOUT_FRACTION
 }
 
-/// Whether a server has room for a request of a key that it does not know.
-fn spare(candidate: &Candidate<'_>) -> bool {
-    f64::from(candidate.occupied) < f64::from(candidate.entry.server.slots) * SPARE
+/// Whether a server has spare slots for a key that it is not warm for.
+fn has_spare_slots(candidate: &Candidate<'_>) -> bool {
+    f64::from(candidate.occupied) < f64::from(candidate.entry.server.slots) * NOT_WARM_LOAD_MAX
 }
 
-/// Whether one server is emptier than another; of two alike, the key's order decides.
-fn emptier(one: &Candidate<'_>, other: &Candidate<'_>) -> bool {
+/// Whether one server has a lower load than another; the higher rendezvous weight wins a tie.
+fn is_emptier(one: &Candidate<'_>, other: &Candidate<'_>) -> bool {
     let used = |c: &Candidate<'_>| c.occupied * 1_000 / c.entry.server.slots.max(1);
     (used(one), other.weight) < (used(other), one.weight)
 }
 
-/// The longest wait that a request of the route is sent into, in milliseconds.
-fn patience_ms(
-    scene: &PickContext<'_>,
-    ask: &PickRequest<'_>,
+/// Longest expected wait with which the request may still be sent to the server, in milliseconds.
+fn max_wait_ms(
+    context: &PickContext<'_>,
+    request: &PickRequest<'_>,
     entry: &ServerEntry,
-    pace: AnswerTimes,
+    times: AnswerTimes,
 ) -> f64 {
-    let objective = ask.route.objective_ms as f64;
-    let part = if ask.returning { RETURN_PART } else { AIM_PART };
-    let away = if entry.region == scene.location.1 { 0.0 } else { AWAY_MS };
-    let left = objective * part - pace.warm_ms * entry.slowness(scene.now).max(1.0) - away;
-    left.max(objective * WAIT_LEAST)
+    let objective = request.route.objective_ms as f64;
+    let factor = if request.returning { RETURNING_OBJECTIVE_FACTOR } else { OBJECTIVE_FACTOR };
+    let remote_ms = if entry.region == context.location.1 { 0.0 } else { REMOTE_REGION_COST_MS };
+    let wait =
+        objective * factor - times.warm_ms * entry.slowness(context.now).max(1.0) - remote_ms;
+    wait.max(objective * MIN_WAIT_FRACTION)
 }
 
 fn retry_ms(wait: f64) -> u64 {
