--- a/elmstream_steer/src/server.rs
+++ b/elmstream_steer/src/server.rs
@@ -1,156 +1,157 @@
-//! A backend server, with what this host and the others see of it.
+//! A backend server, as this host observes it and as other hosts report it.
 
 use elmstream::time::{MILLI, SECOND, Time};
 
 use crate::{hash, model::Server, rollout::RolloutRole, server_limit::ServerLimit};
 
-/// Weight of one more answer in the mean of answer times.
-const MEAN_WEIGHT: f64 = 0.05;
-/// Weight of one more answer in a server's part of failures.
+/// Weight of a new answer in the moving averages of answer times.
+const ANSWER_TIME_WEIGHT: f64 = 0.05;
+/// Weight of a new answer in a server's failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
 /// Answer time that is assumed before the first answer, in milliseconds.
-const FIRST_GUESS_MS: f64 = 150.0;
-/// Answer time of a server that does not know the key, as a multiple, till learned.
-const UNKNOWING: f64 = 3.0;
-/// A server is silent after this many mean answer times without an answer.
-const SILENT_MEANS: f64 = 3.0;
+const INITIAL_ANSWER_MS: f64 = 150.0;
+/// Factor on the assumed answer time of a server that is not warm for the key.
+const INITIAL_NOT_WARM_FACTOR: f64 = 3.0;
+/// A server is silent after this multiple of the service's mean answer time without an answer.
+const SILENCE_MEAN_FACTOR: f64 = 3.0;
 /// Bounds of the time after which a server is silent.
-const SILENT_MIN: u64 = 600 * MILLI;
-const SILENT_MAX: u64 = 1_500 * MILLI;
-/// How long a request that was not answered speaks against a server once nothing is
-/// in flight there; doubled by each further one, as long as no answer comes.
-const SUSPECT_FIRST: u64 = SECOND;
-const SUSPECT_MAX: u64 = 4 * SECOND;
-/// Unanswered requests in a row that outweigh other hosts' answers: the way from this
-/// host to the server may be cut.
-const CUT_OFF: u32 = 3;
-/// Hosts that must wait in vain for a server before the others leave it as well, and
-/// the part of a small fleet's hosts that is enough.
-const WITNESSES: u32 = 3;
-const WITNESS_PART: u32 = 4;
-/// Time in which what was learned of a server's failures and slowness fades to a third
-/// if nothing more is learned, in microseconds.
-const JUDGED: f64 = 5e6;
-/// How long an answer is taken to show that a server is well.
-const WELL: u64 = 300 * MILLI;
-/// Pause after a failed connection; doubled by each further one.
-const DOWN_FIRST: u64 = 200 * MILLI;
-const DOWN_MAX: u64 = 2 * SECOND;
-/// How long a server that said it is full counts as full.
-const FULL: u64 = 60 * MILLI;
-/// Longest rest that a server gets in one go; it is asked again then.
-const REST_MAX: u64 = 600 * SECOND;
-/// How long a load that a server told counts.
-const TOLD: u64 = 150 * MILLI;
-/// An answer counts as this many times as long as usual at most.
-const SLOWEST: f64 = 8.0;
-/// Added to the time that a server is cold, for what its news took.
+const SILENCE_TIMEOUT_MIN: u64 = 600 * MILLI;
+const SILENCE_TIMEOUT_MAX: u64 = 1_500 * MILLI;
+/// Time for which an unanswered request ejects a server after nothing is in flight there any more.
+/// It doubles with each further unanswered request, until an answer arrives.
+const UNANSWERED_PENALTY_FIRST: u64 = SECOND;
+const UNANSWERED_PENALTY_MAX: u64 = 4 * SECOND;
+/// Number of successive unanswered requests that outweigh answers to other hosts: the network path
+/// from this host to the server may be cut.
+const CUT_PATH_UNANSWERED: u32 = 3;
+/// Number of hosts that must find a server silent before the other hosts eject it too. In a small
+/// fleet one host in `SILENT_HOSTS_DIVISOR` is enough.
+const SILENT_HOSTS_MAX: u32 = 3;
+const SILENT_HOSTS_DIVISOR: u32 = 4;
+/// Time in which a server's observed failure rate and slowness decay to 1/e without new answers, in
+/// microseconds.
+const OBSERVATION_DECAY_US: f64 = 5e6;
+/// Time after an answer in which the server counts as healthy.
+const HEALTHY_AFTER_ANSWER: u64 = 300 * MILLI;
+/// Pause after a failed connection; it doubles with each further failure.
+const RECONNECT_PAUSE_FIRST: u64 = 200 * MILLI;
+const RECONNECT_PAUSE_MAX: u64 = 2 * SECOND;
+/// Time for which a server counts as full after it answered that it is.
+const FULL_PAUSE: u64 = 60 * MILLI;
+/// Longest back-off that is taken from one answer. After that the server is tried again.
+const BACKOFF_MAX: u64 = 600 * SECOND;
+/// Time for which a load reported by the server is used.
+const REPORTED_LOAD_TIMEOUT: u64 = 150 * MILLI;
+/// Maximum ratio of an answer time to the mean. It bounds the effect of a single answer.
+const ANSWER_RATIO_MAX: f64 = 8.0;
+/// Added to the time that a server is cold, for the propagation delay of its entry.
 const COLD_MARGIN: u64 = 300 * MILLI;
 
-/// A backend server.
+/// State of one start of a backend server.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
-    /// Its id, anew at each start.
+    /// Id of this start; each start has its own.
     pub id: String,
     /// Hash of the id.
     pub hash: u64,
-    /// As the store has it.
+    /// The server's entry in the store.
     pub server: Server,
-    /// Its region.
+    /// Region of the server.
     pub region: String,
-    /// This host's requests in flight.
+    /// This host's requests in flight at the server.
     pub own_in_flight: u32,
-    /// The other hosts' requests in flight.
+    /// The other hosts' requests in flight at the server.
     pub others_in_flight: u32,
-    /// Other hosts that wait for its answers in vain.
+    /// Number of other hosts that find the server silent.
     pub silent_elsewhere: u32,
-    /// Other hosts that it answers, told while some host waits in vain.
+    /// Number of other hosts that the server answers; reported only while some host finds it
+    /// silent.
     pub answers_elsewhere: u32,
-    /// It counts as cold until then.
+    /// The server counts as cold until then.
     pub cold_until: Time,
-    /// Whether this host is among those that may send to it while it is cold.
+    /// Whether this host is one of the senders while the server is cold.
     pub cold_sender: bool,
-    /// Last request that was sent while it was cold.
+    /// When this host last sent a request while the server was cold.
     pub last_cold_send: Option<Time>,
-    /// Requests in flight wait for an answer since then, with none in between.
+    /// Since when the requests in flight have been waiting without any answer.
     waiting_since: Option<Time>,
-    /// Requests that were given up without an answer since the last one.
+    /// Requests that were given up without an answer, since the last answer.
     unanswered: u32,
-    /// When the last one of them was given up.
-    unanswered_at: Time,
-    /// Last answer of any kind.
+    /// When the last of them was given up.
+    last_unanswered_at: Time,
+    /// When the last answer of any kind arrived.
     pub last_answered: Option<Time>,
-    /// Last trial of a silent server.
-    tried: Time,
-    /// Whether it was silent, or took no connections, when this was last asked.
+    /// When the last request was sent; limits the rate of probes.
+    last_sent_at: Time,
+    /// Whether the server was silent or unreachable at the last call of `silence_change`.
     was_silent: bool,
-    /// Failed connections in a row, and when the next one may be tried.
-    failures: u32,
-    down_until: Time,
-    /// It said that it is full, or elsewhere, until then.
+    /// Number of successive failed connections, and when the next one may be tried.
+    connection_failures: u32,
+    reconnect_at: Time,
+    /// The server reported that it is full, or its address belongs to another server, until then.
     refused_until: Time,
-    /// Requests that it last said to have, and when.
-    told: Option<(u32, Time)>,
-    /// The limit that it names, and this host's part in it.
+    /// Number of requests that the server last reported, and when.
+    reported_load: Option<(u32, Time)>,
+    /// The limit that the server sets, and this host's share of it.
     pub server_limit: ServerLimit,
-    /// Whether it said that it is about to leave.
+    /// Whether the server announced that it is leaving.
     pub leaving: bool,
-    /// It wants nothing from this host until then.
+    /// The server asked this host not to send until then.
     pub backoff_until: Time,
-    /// Part of lately answered requests that failed, 0 to 1.
+    /// Moving average of failed answers, 0 to 1.
     failure_rate: f64,
-    /// Mean answer time against the service's, 1 for alike.
+    /// Moving average of the ratio of answer times to the service's mean; 1 is average.
     slowness: f64,
-    /// When the two were last learned.
-    judged: Time,
-    /// The store no longer lists it; it leaves the table then.
+    /// When the failure rate and the slowness were last updated.
+    observed_at: Time,
+    /// When the server leaves the table because the store no longer lists it.
     pub lapses_at: Option<Time>,
-    /// Since when it is known.
+    /// Since when this host knows the server.
     pub known_since: Time,
-    /// Whether it may get requests while its service is rolled out.
+    /// Role in the rollout of the service; decides which requests the server may get.
     pub rollout_role: RolloutRole,
 }
 
-/// What became of a request at a server.
+/// What happened to a request that was sent to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered {
-        /// After this many microseconds.
+        /// Answer time in microseconds.
         micros: u64,
-        /// Whether the server was taken to know the key.
+        /// Whether the server was considered warm for the key.
         was_warm: bool,
     },
-    /// A whole answer that is a failure of the server.
+    /// A complete answer arrived that reports a failure of the server.
     Failed,
-    /// It was full and did not run the request.
+    /// The server was full and did not run the request.
     Full,
-    /// Another server has the address now.
+    /// Another server now has the address.
     WrongServer,
-    /// No connection came up; nothing was sent.
+    /// No connection could be established; nothing was sent.
     NoConnection,
-    /// Its time was over before a connection was there; nothing was sent.
+    /// The request's time ended before there was a connection; nothing was sent.
     NotSent,
-    /// It was sent, and what became of it is not known.
+    /// The request was sent, and its result is unknown.
     Unknown,
-    /// The server ended after it was sent.
+    /// The server crashed after the request was sent.
     ServerCrashed,
-    /// No answer in time.
+    /// No answer arrived in time.
     Silent,
-    /// The caller left.
+    /// The caller closed its connection.
     CallerGone,
 }
 
 impl Outcome {
-    /// Whether the server was taken to know the key; none if it did not answer.
+    /// Whether the server was considered warm for the key; `None` if it did not answer.
     pub fn was_warm(self) -> Option<bool> {
         match self {
-            Outcome::Answered { was_warm: knew, .. } => Some(knew),
+            Outcome::Answered { was_warm, .. } => Some(was_warm),
             _ => None,
         }
     }
 
-    /// Its name in logs.
+    /// Name of the outcome in logs.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Answered { .. } => "answered",
@@ -167,40 +168,40 @@
     }
 }
 
-/// Answer times of one service.
+/// Moving averages of the answer times of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerTimes {
     /// Mean answer time, in milliseconds.
     pub mean_ms: f64,
-    /// The same of servers that were taken to know the key.
+    /// Mean answer time of servers that were warm for the key, in milliseconds.
     pub warm_ms: f64,
-    /// The same of the others.
+    /// Mean answer time of servers that were not, in milliseconds.
     pub not_warm_ms: f64,
 }
 
 impl Default for AnswerTimes {
     fn default() -> AnswerTimes {
         AnswerTimes {
-            mean_ms: FIRST_GUESS_MS,
-            warm_ms: FIRST_GUESS_MS,
-            not_warm_ms: FIRST_GUESS_MS * UNKNOWING,
+            mean_ms: INITIAL_ANSWER_MS,
+            warm_ms: INITIAL_ANSWER_MS,
+            not_warm_ms: INITIAL_ANSWER_MS * INITIAL_NOT_WARM_FACTOR,
         }
     }
 }
 
 impl AnswerTimes {
-    /// Takes an answer time in; how long it was against the service's mean of its kind.
-    fn learn(&mut self, millis: f64, knew: bool) -> f64 {
-        self.mean_ms += (millis - self.mean_ms) * MEAN_WEIGHT;
-        let kind = if knew { &mut self.warm_ms } else { &mut self.not_warm_ms };
-        let ratio = (millis / *kind).min(SLOWEST);
-        *kind += (millis - *kind) * MEAN_WEIGHT;
+    /// Adds an answer time. Returns its ratio to the mean of its kind, warm or not warm.
+    fn record(&mut self, millis: f64, was_warm: bool) -> f64 {
+        self.mean_ms += (millis - self.mean_ms) * ANSWER_TIME_WEIGHT;
+        let kind = if was_warm { &mut self.warm_ms } else { &mut self.not_warm_ms };
+        let ratio = (millis / *kind).min(ANSWER_RATIO_MAX);
+        *kind += (millis - *kind) * ANSWER_TIME_WEIGHT;
         ratio
     }
 }
 
 impl ServerEntry {
-    /// A server that has just come up in the store.
+    /// Creates the state of a server that has just appeared in the store.
     pub fn new(now: Time, id: &str, server: &Server, region: &str) -> ServerEntry {
         let mut entry = ServerEntry {
             id: id.to_owned(),
@@ -216,20 +217,20 @@
             last_cold_send: None,
             waiting_since: None,
             unanswered: 0,
-            unanswered_at: Time(0),
+            last_unanswered_at: Time(0),
             last_answered: None,
-            tried: Time(0),
+            last_sent_at: Time(0),
             was_silent: false,
-            failures: 0,
-            down_until: Time(0),
+            connection_failures: 0,
+            reconnect_at: Time(0),
             refused_until: Time(0),
-            told: None,
+            reported_load: None,
             server_limit: ServerLimit::default(),
             leaving: false,
             backoff_until: Time(0),
             failure_rate: 0.0,
             slowness: 1.0,
-            judged: now,
+            observed_at: now,
             lapses_at: None,
             known_since: now,
             rollout_role: RolloutRole::Unaffected,
@@ -238,117 +239,120 @@
         entry
     }
 
-    /// Requests in flight from all hosts, as far as is known.
+    /// Requests in flight from all hosts, as far as this host knows.
     pub fn in_flight(&self, now: Time) -> u32 {
         let counted = self.own_in_flight + self.others_in_flight;
-        match self.told {
-            Some((told, at)) if now.since(at) < TOLD => counted.max(told),
+        match self.reported_load {
+            Some((requests, at)) if now.since(at) < REPORTED_LOAD_TIMEOUT => counted.max(requests),
             _ => counted,
         }
     }
 
-    /// Whether it is about to leave, by the store or by its own word.
+    /// Whether the server is leaving, by the store or by its own announcement.
     pub fn is_leaving(&self) -> bool {
         self.server.draining || self.leaving
     }
 
-    /// Whether it has asked this host for rest that is not over.
+    /// Whether a back-off that the server asked of this host is in force.
     pub fn is_backing_off(&self, now: Time) -> bool {
         now < self.backoff_until
     }
 
-    /// It wants nothing from this host for so many microseconds; whether that is news.
+    /// Takes in a back-off of `micros` microseconds. Returns whether none was in force.
     ///
-    /// What an earlier answer asked for stands, so the end only moves later.
+    /// A back-off from an earlier answer stays in force, so the end only moves later.
     pub fn back_off(&mut self, now: Time, micros: u64) -> bool {
-        let rested = !self.is_backing_off(now);
-        self.backoff_until = self.backoff_until.max(now + micros.min(REST_MAX));
-        rested
+        let is_new = !self.is_backing_off(now);
+        self.backoff_until = self.backoff_until.max(now + micros.min(BACKOFF_MAX));
+        is_new
     }
 
-    /// Whether it counts as cold.
+    /// Whether the server counts as cold.
     pub fn is_cold(&self, now: Time) -> bool {
         now < self.cold_until
     }
 
-    /// Whether this host waits for answers of it in vain, or lately did.
-    pub fn is_silent(&self, now: Time, pace: AnswerTimes) -> bool {
-        let patience = (pace.mean_ms * SILENT_MEANS) as u64 * MILLI;
-        let patience = patience.clamp(SILENT_MIN, SILENT_MAX);
-        self.waiting_since.is_some_and(|since| now.since(since) > patience) || self.suspect(now)
+    /// Whether this host is waiting for an answer for too long, or recently gave up on one.
+    pub fn is_silent(&self, now: Time, times: AnswerTimes) -> bool {
+        let timeout = (times.mean_ms * SILENCE_MEAN_FACTOR) as u64 * MILLI;
+        let timeout = timeout.clamp(SILENCE_TIMEOUT_MIN, SILENCE_TIMEOUT_MAX);
+        self.waiting_since.is_some_and(|since| now.since(since) > timeout)
+            || self.has_recent_unanswered(now)
     }
 
-    /// Whether requests that were given up still speak against it.
-    fn suspect(&self, now: Time) -> bool {
+    /// Whether requests that were given up still count against the server.
+    fn has_recent_unanswered(&self, now: Time) -> bool {
         let doublings = self.unanswered.saturating_sub(1).min(4);
-        let span = (SUSPECT_FIRST << doublings).min(SUSPECT_MAX);
-        self.unanswered > 0 && now.since(self.unanswered_at) < span
+        let penalty = (UNANSWERED_PENALTY_FIRST << doublings).min(UNANSWERED_PENALTY_MAX);
+        self.unanswered > 0 && now.since(self.last_unanswered_at) < penalty
     }
 
-    /// Part of lately answered requests that failed, 0 to 1. It fades, as a server that
-    /// is left for it is not judged anew.
+    /// Recent fraction of answers that failed, 0 to 1. It decays, because a server that gets no
+    /// requests would never recover otherwise.
     pub fn failure_rate(&self, now: Time) -> f64 {
-        self.failure_rate * self.judgement(now)
+        self.failure_rate * self.observation_weight(now)
     }
 
-    /// Mean answer time against the service's, 1 for alike. It fades likewise.
+    /// Recent answer time relative to the service's mean; 1 is average. It decays like the failure
+    /// rate.
     pub fn slowness(&self, now: Time) -> f64 {
-        1.0 + (self.slowness - 1.0) * self.judgement(now)
+        1.0 + (self.slowness - 1.0) * self.observation_weight(now)
     }
 
-    /// How far what was learned still counts, 0 to 1.
-    fn judgement(&self, now: Time) -> f64 {
-        (-(now.since(self.judged) as f64) / JUDGED).exp()
+    /// Weight of past observations, 0 to 1.
+    fn observation_weight(&self, now: Time) -> f64 {
+        (-(now.since(self.observed_at) as f64) / OBSERVATION_DECAY_US).exp()
     }
 
-    /// Whether it answered this host just now.
+    /// Whether the server answered this host very recently.
     pub fn answered_recently(&self, now: Time) -> bool {
-        self.last_answered.is_some_and(|at| now.since(at) < WELL)
+        self.last_answered.is_some_and(|at| now.since(at) < HEALTHY_AFTER_ANSWER)
     }
 
-    /// Whether it is left alone for its silence, by what this host sees and what the
-    /// others of `hosts` live ones say.
+    /// Whether the server is ejected for silence, by what this host observes and what the others of
+    /// the `live_hosts` live hosts report.
     ///
-    /// An answer to any host shows that the server runs, so one lost answer does not
-    /// take it from anybody. One host's word alone does not count either: the way from
-    /// that host may be cut.
-    pub fn is_ejected(&self, now: Time, pace: AnswerTimes, hosts: usize) -> bool {
-        if self.is_silent(now, pace) {
-            return self.answers_elsewhere == 0 || self.unanswered >= CUT_OFF;
+    /// An answer to any host shows that the server runs, so a single lost answer does not eject it
+    /// anywhere. A report from a single host does not eject it either: the network path from that
+    /// host may be cut.
+    pub fn is_ejected(&self, now: Time, times: AnswerTimes, live_hosts: usize) -> bool {
+        if self.is_silent(now, times) {
+            return self.answers_elsewhere == 0 || self.unanswered >= CUT_PATH_UNANSWERED;
         }
-        let witnesses = (hosts as u32).div_ceil(WITNESS_PART).min(WITNESSES);
-        self.silent_elsewhere >= witnesses
+        let needed = (live_hosts as u32).div_ceil(SILENT_HOSTS_DIVISOR).min(SILENT_HOSTS_MAX);
+        self.silent_elsewhere >= needed
             && self.answers_elsewhere == 0
             && !self.answered_recently(now)
     }
 
-    /// Whether it gets one request of this host at a time, as it has not answered since
-    /// it was given up.
+    /// Whether the server gets only one request of this host at a time, because it has not answered
+    /// since a request was given up.
     pub fn is_probing(&self) -> bool {
         self.unanswered > 0
     }
 
-    /// Whether a connection may be tried and it has not just refused.
+    /// Whether a connection may be tried and the server has not recently refused a request.
     pub fn is_reachable(&self, now: Time) -> bool {
-        now >= self.down_until && now >= self.refused_until
+        now >= self.reconnect_at && now >= self.refused_until
     }
 
-    /// Whether a silent server is due for a trial; `apart` is the time between.
-    pub fn probe_due(&self, now: Time, apart: u64) -> bool {
-        now.since(self.tried) > apart
+    /// Whether a silent server is due for a probe, at least `interval` microseconds after the last
+    /// request.
+    pub fn probe_due(&self, now: Time, interval: u64) -> bool {
+        now.since(self.last_sent_at) > interval
     }
 
-    /// The server stays cold for at least this long from now.
+    /// Makes the server count as cold for at least `millis` milliseconds from now.
     pub fn extend_cold(&mut self, now: Time, millis: u64) {
         if millis > 0 {
             self.cold_until = self.cold_until.max(now + millis * MILLI + COLD_MARGIN);
         }
     }
 
-    /// A request is sent.
+    /// Records that this host sent a request to the server.
     pub fn record_sent(&mut self, now: Time) {
         self.own_in_flight += 1;
-        self.tried = now;
+        self.last_sent_at = now;
         self.waiting_since.get_or_insert(now);
         if self.is_cold(now) {
             self.last_cold_send = Some(now);
@@ -356,19 +360,20 @@
         self.server_limit.record_sent(now);
     }
 
-    /// What the server said of its load.
+    /// Takes in the number of requests that the server reported in an answer.
     pub fn record_load(&mut self, now: Time, requests: u32) {
-        self.told = Some((requests, now));
+        self.reported_load = Some((requests, now));
     }
 
-    /// Its process has ended, as this host saw or another one told.
+    /// Records that the server's process ended, observed by this host or reported by another.
     ///
-    /// That says nothing of how it works: it is gone, or another start takes its place.
+    /// The failure rate stays: a crash says nothing about the speed of the server, which is gone or
+    /// about to be replaced by another start.
     pub fn record_crash(&mut self, now: Time) {
-        self.down_until = now + DOWN_MAX;
+        self.reconnect_at = now + RECONNECT_PAUSE_MAX;
     }
 
-    /// What tells this start of it from others, alike on all hosts.
+    /// Hash that identifies this start of the server, equal on all hosts.
     pub fn start_hash(&self) -> u64 {
         match self.server.born {
             0 => self.hash,
@@ -376,40 +381,40 @@
         }
     }
 
-    /// Takes in what became of a request that was sent.
-    pub fn record_outcome(&mut self, now: Time, outcome: Outcome, pace: &mut AnswerTimes) {
+    /// Records the outcome of a request that was sent.
+    pub fn record_outcome(&mut self, now: Time, outcome: Outcome, times: &mut AnswerTimes) {
         self.own_in_flight = self.own_in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Answered { micros, was_warm: knew } => {
-                self.heard(now);
-                self.fail(now, false);
-                let ratio = pace.learn(micros as f64 / MILLI as f64, knew);
-                self.slowness += (ratio - self.slowness) * MEAN_WEIGHT;
+            Outcome::Answered { micros, was_warm } => {
+                self.record_answer(now);
+                self.update_failure_rate(now, false);
+                let ratio = times.record(micros as f64 / MILLI as f64, was_warm);
+                self.slowness += (ratio - self.slowness) * ANSWER_TIME_WEIGHT;
             }
             Outcome::Failed | Outcome::Unknown => {
-                self.heard(now);
-                self.fail(now, true);
+                self.record_answer(now);
+                self.update_failure_rate(now, true);
             }
             Outcome::Full => {
-                self.heard(now);
-                self.refused_until = now + FULL;
+                self.record_answer(now);
+                self.refused_until = now + FULL_PAUSE;
             }
             Outcome::WrongServer => {
-                self.heard(now);
-                self.refused_until = now + DOWN_MAX;
+                self.record_answer(now);
+                self.refused_until = now + RECONNECT_PAUSE_MAX;
             }
             Outcome::NoConnection => {
-                let pause = DOWN_FIRST << self.failures.min(4);
-                self.failures += 1;
-                self.down_until = now + pause.min(DOWN_MAX);
+                let pause = RECONNECT_PAUSE_FIRST << self.connection_failures.min(4);
+                self.connection_failures += 1;
+                self.reconnect_at = now + pause.min(RECONNECT_PAUSE_MAX);
             }
             Outcome::ServerCrashed => self.record_crash(now),
             Outcome::NotSent => {}
-            // Others were answered meanwhile, so this one was lost.
-            Outcome::Silent if !self.unheard(now) => self.fail(now, true),
+            // Other requests were answered meanwhile, so only this one was lost.
+            Outcome::Silent if !self.record_unanswered(now) => self.update_failure_rate(now, true),
             Outcome::Silent => {}
             Outcome::CallerGone => {
-                self.unheard(now);
+                self.record_unanswered(now);
             }
         }
         if self.own_in_flight == 0 {
@@ -417,40 +422,41 @@
         }
     }
 
-    /// A request was given up. It speaks for silence if nothing was answered while it
-    /// waited long enough; whether it does.
-    fn unheard(&mut self, now: Time) -> bool {
-        let unheard = self.waiting_since.is_some_and(|since| now.since(since) >= SILENT_MIN);
-        if unheard {
+    /// Records a request that was given up. Returns whether it counts as unanswered: nothing was
+    /// answered while it waited long enough.
+    fn record_unanswered(&mut self, now: Time) -> bool {
+        let unanswered =
+            self.waiting_since.is_some_and(|since| now.since(since) >= SILENCE_TIMEOUT_MIN);
+        if unanswered {
             self.unanswered += 1;
-            self.unanswered_at = now;
+            self.last_unanswered_at = now;
         }
-        unheard
+        unanswered
     }
 
-    /// Whether it has fallen silent, or takes no connections; some if that has turned
-    /// since this was last asked.
-    pub fn silence_change(&mut self, now: Time, pace: AnswerTimes) -> Option<bool> {
-        let silent = self.is_silent(now, pace) || self.failures > 1;
-        let turned = silent != self.was_silent;
+    /// Whether the server is silent or unreachable; `None` if that has not changed since the last
+    /// call.
+    pub fn silence_change(&mut self, now: Time, times: AnswerTimes) -> Option<bool> {
+        let silent = self.is_silent(now, times) || self.connection_failures > 1;
+        let changed = silent != self.was_silent;
         self.was_silent = silent;
-        turned.then_some(silent)
+        changed.then_some(silent)
     }
 
-    fn heard(&mut self, now: Time) {
+    fn record_answer(&mut self, now: Time) {
         self.last_answered = Some(now);
-        self.failures = 0;
-        // It runs after all, so the answers that did not come were lost.
-        for _ in 0..self.unanswered.min(CUT_OFF) {
-            self.fail(now, true);
+        self.connection_failures = 0;
+        // The server runs after all, so the missing answers were failures.
+        for _ in 0..self.unanswered.min(CUT_PATH_UNANSWERED) {
+            self.update_failure_rate(now, true);
         }
         self.unanswered = 0;
         self.waiting_since = (self.own_in_flight > 0).then_some(now);
     }
 
-    fn fail(&mut self, now: Time, failed: bool) {
+    fn update_failure_rate(&mut self, now: Time, failed: bool) {
         (self.failure_rate, self.slowness) = (self.failure_rate(now), self.slowness(now));
-        self.judged = now;
+        self.observed_at = now;
         let value = if failed { 1.0 } else { 0.0 };
         self.failure_rate += (value - self.failure_rate) * FAILURE_WEIGHT;
     }
--- a/elmstream_steer/src/servers.rs
+++ b/elmstream_steer/src/servers.rs
@@ -1,4 +1,4 @@
-//! The table of backend servers, by service.
+//! Table of the backend servers, with indexes by id and by service.
 
 use std::collections::HashMap;
 
@@ -8,58 +8,58 @@
 use crate::model::Server;
 pub use crate::server::{AnswerTimes, Outcome, ServerEntry};
 
-/// Place of a server in the table.
+/// Index of a server in the table. It is never reused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ServerIndex(pub usize);
 
-/// All backend servers.
+/// All backend servers that this host knows.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     entries: FxHashMap<usize, ServerEntry>,
     by_id: HashMap<String, ServerIndex>,
     by_hash: FxHashMap<u32, ServerIndex>,
     by_service: HashMap<String, Vec<ServerIndex>>,
-    paces: HashMap<String, AnswerTimes>,
-    next: usize,
+    answer_times: HashMap<String, AnswerTimes>,
+    next_index: usize,
 }
 
 impl ServerTable {
-    /// A server by its place.
+    /// Returns a server by its index.
     pub fn get(&self, index: ServerIndex) -> Option<&ServerEntry> {
         self.entries.get(&index.0)
     }
 
-    /// A server by its place, to be changed.
+    /// Returns a server by its index, for modification.
     pub fn get_mut(&mut self, index: ServerIndex) -> Option<&mut ServerEntry> {
         self.entries.get_mut(&index.0)
     }
 
-    /// Place of a server by its id.
+    /// Returns the index of a server by its id.
     pub fn find(&self, id: &str) -> Option<ServerIndex> {
         self.by_id.get(id).copied()
     }
 
-    /// Place of a server by the hash of its id, cut to 32 bits.
+    /// Returns the index of a server by the lower 32 bits of the hash of its id.
     pub fn index_by_hash(&self, hash: u32) -> Option<ServerIndex> {
         self.by_hash.get(&hash).copied()
     }
 
-    /// A server by the hash of its id, cut to 32 bits, to be changed.
+    /// Returns a server by the lower 32 bits of the hash of its id, for modification.
     pub fn get_mut_by_hash(&mut self, hash: u32) -> Option<&mut ServerEntry> {
         let index = self.by_hash.get(&hash)?;
         self.entries.get_mut(&index.0)
     }
 
-    /// Names of services that have servers.
+    /// Names of the services that have servers.
     pub fn services(&self) -> impl Iterator<Item = &str> {
-        let services = self.by_service.iter().filter(|(_, places)| !places.is_empty());
+        let services = self.by_service.iter().filter(|(_, indexes)| !indexes.is_empty());
         services.map(|(name, _)| name.as_str())
     }
 
     /// Servers of a service.
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = (ServerIndex, &ServerEntry)> {
-        let places = self.by_service.get(service).into_iter().flatten();
-        places.filter_map(|index| Some((*index, self.get(*index)?)))
+        let indexes = self.by_service.get(service).into_iter().flatten();
+        indexes.filter_map(|index| Some((*index, self.get(*index)?)))
     }
 
     /// All servers.
@@ -67,34 +67,34 @@
         self.entries.iter().map(|(index, entry)| (ServerIndex(*index), entry))
     }
 
-    /// All servers, to be changed.
+    /// All servers, for modification.
     pub fn all_mut(&mut self) -> impl Iterator<Item = &mut ServerEntry> {
         self.entries.values_mut()
     }
 
-    /// All servers with their places, to be changed.
+    /// All servers with their indexes, for modification.
     pub fn all_mut_indexed(&mut self) -> impl Iterator<Item = (ServerIndex, &mut ServerEntry)> {
         self.entries.iter_mut().map(|(index, entry)| (ServerIndex(*index), entry))
     }
 
-    /// Answer times of a service.
+    /// Answer times of a service; assumed values before the first answer.
     pub fn answer_times(&self, service: &str) -> AnswerTimes {
-        self.paces.get(service).copied().unwrap_or_default()
+        self.answer_times.get(service).copied().unwrap_or_default()
     }
 
-    /// Servers that have fallen silent, or answer again, since this was last asked.
+    /// Ids of servers that became silent (`true`) or answer again (`false`) since the last call.
     pub fn silence_changes(&mut self, now: Time) -> Vec<(String, bool)> {
-        let paces = &self.paces;
-        let pace = |service: &str| paces.get(service).copied().unwrap_or_default();
+        let answer_times = &self.answer_times;
+        let times_of = |service: &str| answer_times.get(service).copied().unwrap_or_default();
         let entries = self.entries.values_mut();
-        let turned = entries.filter_map(|entry| {
-            let silent = entry.silence_change(now, pace(&entry.server.service))?;
+        let changed = entries.filter_map(|entry| {
+            let silent = entry.silence_change(now, times_of(&entry.server.service))?;
             Some((entry.id.clone(), silent))
         });
-        turned.collect()
+        changed.collect()
     }
 
-    /// Takes a server in as the store has it now.
+    /// Adds a server, or updates it to its present entry in the store.
     pub fn insert(&mut self, now: Time, id: &str, server: &Server, region: &str) -> ServerIndex {
         if let Some(index) = self.find(id)
             && let Some(entry) = self.entries.get_mut(&index.0)
@@ -104,8 +104,8 @@
             entry.extend_cold(now, server.cold_ms);
             return index;
         }
-        let index = ServerIndex(self.next);
-        self.next += 1;
+        let index = ServerIndex(self.next_index);
+        self.next_index += 1;
         let entry = ServerEntry::new(now, id, server, region);
         self.by_hash.insert(entry.hash as u32, index);
         self.by_id.insert(id.to_owned(), index);
@@ -114,20 +114,20 @@
         index
     }
 
-    /// Takes a server out.
+    /// Removes a server.
     pub fn remove(&mut self, id: &str) {
         let Some(index) = self.by_id.remove(id) else { return };
         let Some(entry) = self.entries.remove(&index.0) else { return };
         self.by_hash.remove(&(entry.hash as u32));
-        if let Some(places) = self.by_service.get_mut(&entry.server.service) {
-            places.retain(|place| *place != index);
+        if let Some(indexes) = self.by_service.get_mut(&entry.server.service) {
+            indexes.retain(|other| *other != index);
         }
     }
 
-    /// Takes in what became of a request that was sent.
+    /// Records the outcome of a request that was sent to a server.
     pub fn record_outcome(&mut self, now: Time, index: ServerIndex, outcome: Outcome) {
         let Some(entry) = self.entries.get_mut(&index.0) else { return };
-        let pace = self.paces.entry(entry.server.service.clone()).or_default();
-        entry.record_outcome(now, outcome, pace);
+        let times = self.answer_times.entry(entry.server.service.clone()).or_default();
+        entry.record_outcome(now, outcome, times);
     }
 }
