--- a/elmstream_steer/src/budget.rs
+++ b/elmstream_steer/src/budget.rs
@@ -1,78 +1,79 @@
-//! The retry budget: a fleet's repeats of a service's requests stay a small part.
+//! Retry budget: keeps retries a small fraction of a service's requests, over all hosts.
 //!
-//! Each host spends only what its own requests have earned, at a little less than the
-//! ratio, and saves up little. So the sum over all hosts keeps the bound whatever they
-//! know of each other, and a restart starts from nothing.
+//! Each host withdraws only what its own requests have deposited, at slightly less than the
+//! configured ratio, and its balance is capped at a small value. The sum over all hosts therefore
+//! stays within the bound whatever the hosts know of each other, and a restarted host begins with
+//! an empty balance.
 
 use std::collections::HashMap;
 
 use crate::hash;
 
-/// Part of the ratio that a host gives out. What a window's repeats have not earned in
-/// it was saved up before, which `SAVED` bounds, so nearly all of it may be used.
-const USED: f64 = 0.9;
-/// Part of the fleet's slack that all hosts together may save up.
-const SAVED: f64 = 0.5;
+/// Fraction of the ratio that a host deposits. Nearly all of it can be used, because retries in a
+/// window that were not deposited in it come from balances, which `SLACK_FRACTION_SAVED` bounds.
+const RATIO_FRACTION_DEPOSITED: f64 = 0.9;
+/// Fraction of the fleet's slack that the balances of all hosts together may reach.
+const SLACK_FRACTION_SAVED: f64 = 0.5;
 
-/// Budgets of one host, by service.
+/// Balances of one host, by service.
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
     seed: u64,
-    draws: u64,
-    /// Repeats that may be saved up; below one in a fleet with more hosts than the slack
-    /// has repeats to share out.
-    most: f64,
-    saved: HashMap<String, f64>,
+    draw_count: u64,
+    /// Maximum balance in retries. It is below one in a fleet with more hosts than the slack has
+    /// retries.
+    balance_max: f64,
+    balances: HashMap<String, f64>,
 }
 
 impl Budgets {
-    /// Nothing is earned yet; `seed` differs between hosts.
+    /// Creates empty balances; `seed` differs between hosts.
     pub fn new(seed: u64) -> Budgets {
         Budgets { seed, ..Budgets::default() }
     }
 
-    /// A first request earns a part of a repeat.
+    /// Deposits a fraction of a retry for the first attempt of a request.
     pub fn deposit(&mut self, service: &str, ratio: f64, slack: f64, hosts: usize) {
-        self.most = slack * SAVED / hosts.max(1) as f64;
-        let most = self.most;
-        if let Some(saved) = self.saved.get_mut(service) {
-            *saved = (*saved + ratio * USED).min(most);
+        self.balance_max = slack * SLACK_FRACTION_SAVED / hosts.max(1) as f64;
+        let balance_max = self.balance_max;
+        if let Some(balance) = self.balances.get_mut(service) {
+            *balance = (*balance + ratio * RATIO_FRACTION_DEPOSITED).min(balance_max);
         } else {
-            self.saved.insert(service.to_owned(), 0.0);
+            self.balances.insert(service.to_owned(), 0.0);
         }
     }
 
-    /// Gives a host its part of the slack at once, for what is to be spent before much is
-    /// earned.
+    /// Sets a service's balance to the maximum at once, for hosts that need retries before many
+    /// requests have made deposits.
     pub fn grant(&mut self, service: &str, slack: f64, hosts: usize) {
-        self.most = slack * SAVED / hosts.max(1) as f64;
-        self.saved.insert(service.to_owned(), self.most);
+        self.balance_max = slack * SLACK_FRACTION_SAVED / hosts.max(1) as f64;
+        self.balances.insert(service.to_owned(), self.balance_max);
     }
 
-    /// Whether there is a repeat to spend.
+    /// Whether a retry can be withdrawn.
     ///
-    /// A host that may save up only a part of a repeat has one with the chance that the
-    /// part is worth, and loses the part otherwise. So the hosts together spend what they
-    /// have saved up, and no host needs a whole one: 1,205 hosts that all want one at once
-    /// get 315 of a slack of 630, where a whole one each came to 1,205. What was drawn and
-    /// is not spent is a part again at the next request.
+    /// A host whose maximum balance is below one retry draws at random: with a probability equal to
+    /// its balance it gets a whole retry, otherwise it loses the balance. All hosts together then
+    /// use what they have saved without any host needing a whole retry: of a slack of 630, 1,205
+    /// hosts that all retry at once use 315, where a whole retry for each would come to 1,205. A
+    /// drawn retry that is not withdrawn becomes a fraction again with the next deposit.
     pub fn can_withdraw(&mut self, service: &str) -> bool {
-        let draw = hash::unit_interval(hash::combine(self.seed, self.draws));
-        let Some(saved) = self.saved.get_mut(service) else { return false };
-        if *saved >= 1.0 || self.most >= 1.0 {
-            return *saved >= 1.0;
+        let draw = hash::unit_interval(hash::combine(self.seed, self.draw_count));
+        let Some(balance) = self.balances.get_mut(service) else { return false };
+        if *balance >= 1.0 || self.balance_max >= 1.0 {
+            return *balance >= 1.0;
         }
-        self.draws += 1;
-        *saved = if draw < *saved { 1.0 } else { 0.0 };
-        *saved >= 1.0
+        self.draw_count += 1;
+        *balance = if draw < *balance { 1.0 } else { 0.0 };
+        *balance >= 1.0
     }
 
-    /// Spends one repeat, if there is one.
+    /// Withdraws one retry if there is one. Returns whether it did.
     pub fn withdraw(&mut self, service: &str) -> bool {
-        let affords = self.can_withdraw(service);
-        if let Some(saved) = self.saved.get_mut(service).filter(|_| affords) {
-            *saved -= 1.0;
+        let available = self.can_withdraw(service);
+        if let Some(balance) = self.balances.get_mut(service).filter(|_| available) {
+            *balance -= 1.0;
         }
-        affords
+        available
     }
 }
--- a/elmstream_steer/src/region_shares.rs
+++ b/elmstream_steer/src/region_shares.rs
@@ -1,10 +1,10 @@
-//! How requests of each region divide among the regions' servers.
+//! Division of each region's requests over the servers of all regions.
 //!
-//! A region with few servers cannot run all requests of its callers. Each host
-//! counts the requests that it takes and tells the others, so that all know each
-//! region's part of the demand. A region then keeps the part of its keys that its
-//! slots are worth; the other keys go to regions with slots to spare. Parts move
-//! slowly, so keys stay where they are known.
+//! A region with few servers cannot run all requests of its callers. Each host counts the requests
+//! that it receives and reports the count to the others, so that all hosts know each region's share
+//! of the demand. A region runs the share of its keys that its share of the slots covers; the other
+//! keys go to regions with spare slots. Shares change slowly, so that keys stay on the servers that
+//! are warm for them.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,19 @@
 
 use crate::hash;
 
-/// Time in which a count falls to a third, in microseconds.
-const DECAY: f64 = 30e6;
-/// Requests that each region is taken to have had before the first one.
-const PRIOR: f64 = 500.0;
-/// A region keeps this many times the part that its slots are worth.
-const OVERSHOOT: f64 = 1.25;
-/// Seeds of the two draws of a key.
+/// Time in which a count decays to 1/e, in microseconds.
+const COUNT_DECAY_US: f64 = 30e6;
+/// Number of requests that each region is assumed to have had initially, so that the first few real
+/// ones do not swing the shares.
+const PRIOR_REQUESTS: f64 = 500.0;
+/// A region keeps up to this multiple of the share of keys that its slots cover.
+const HOME_SHARE_FACTOR: f64 = 1.25;
+/// Seeds of a key's two draws: whether it stays in its home region, and in which other region it
+/// runs.
 const HOME_SEED: u64 = 0x686f_6d65;
-const AWAY_SEED: u64 = 0x6177_6179;
+const REMOTE_SEED: u64 = 0x6177_6179;
 
-/// Requests of this host that fade with time.
+/// Count of this host's requests that decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCount {
     value: f64,
@@ -30,28 +32,28 @@
 }
 
 impl DecayingCount {
-    /// One more request.
+    /// Counts a request.
     pub fn add(&mut self, now: Time) {
         self.value = self.value(now) + 1.0;
         self.at = now;
     }
 
-    /// Requests, the older ones less.
+    /// The decayed number of requests.
     pub fn value(&self, now: Time) -> f64 {
-        self.value * (-(now.since(self.at) as f64) / DECAY).exp()
+        self.value * (-(now.since(self.at) as f64) / COUNT_DECAY_US).exp()
     }
 }
 
-/// Slots and demand of one region.
+/// Capacity and demand of one region for a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RegionDemand {
-    /// Slots of the service that may be used.
+    /// Usable slots of the service in the region.
     pub slots: f64,
-    /// Requests of the region's callers.
+    /// Requests from callers in the region.
     pub demand: f64,
 }
 
-/// The regions' parts for one service.
+/// Share of keys that each region keeps, and the spare capacity for the others' keys.
 #[derive(Clone, Debug, Default)]
 pub struct RegionShares {
     home_shares: BTreeMap<String, f64>,
@@ -59,41 +61,41 @@
 }
 
 impl RegionShares {
-    /// Divides the demand of regions by their slots.
+    /// Divides the demand of the regions in proportion to their slots.
     pub fn new(regions: &BTreeMap<String, RegionDemand>) -> RegionShares {
         let slots: f64 = regions.values().map(|region| region.slots).sum();
-        let demand: f64 = regions.values().map(|region| region.demand + PRIOR).sum();
-        let mut division = RegionShares::default();
+        let demand: f64 = regions.values().map(|region| region.demand + PRIOR_REQUESTS).sum();
+        let mut shares = RegionShares::default();
         for (name, region) in regions {
-            let worth = if slots > 0.0 { region.slots / slots } else { 0.0 };
-            let part = (region.demand + PRIOR) / demand;
-            let kept = (worth * OVERSHOOT / part).min(1.0);
-            division.home_shares.insert(name.clone(), kept);
-            let spare = (worth - part * kept).max(0.0);
+            let slot_share = if slots > 0.0 { region.slots / slots } else { 0.0 };
+            let demand_share = (region.demand + PRIOR_REQUESTS) / demand;
+            let home_share = (slot_share * HOME_SHARE_FACTOR / demand_share).min(1.0);
+            shares.home_shares.insert(name.clone(), home_share);
+            let spare = (slot_share - demand_share * home_share).max(0.0);
             if spare > 0.0 {
-                division.spare_capacity.push((name.clone(), spare));
+                shares.spare_capacity.push((name.clone(), spare));
             }
         }
-        division
+        shares
     }
 
-    /// Regions for a key of callers in `home`, the first one first.
+    /// Regions for a key of callers in region `home`, in order of preference.
     ///
-    /// Regions that are not named follow in no special order.
+    /// Regions that are missing from the result follow in no particular order.
     pub fn region_order(&self, home: &str, key: u64) -> Vec<&str> {
-        let kept = self.home_shares.get(home).copied().unwrap_or(0.0);
-        let stays = hash::unit_interval(hash::combine(key, HOME_SEED)) < kept;
-        let mut away: Vec<(f64, &str)> = Vec::new();
+        let home_share = self.home_shares.get(home).copied().unwrap_or(0.0);
+        let stays_home = hash::unit_interval(hash::combine(key, HOME_SEED)) < home_share;
+        let mut remote: Vec<(f64, &str)> = Vec::new();
         for (name, weight) in self.spare_capacity.iter().filter(|(name, _)| name != home) {
-            let draw = hash::unit_interval(hash::combine(key, hash::of(name) ^ AWAY_SEED))
+            let draw = hash::unit_interval(hash::combine(key, hash::of(name) ^ REMOTE_SEED))
                 .max(f64::MIN_POSITIVE);
-            away.push((-draw.ln() / weight, name));
+            remote.push((-draw.ln() / weight, name));
         }
-        away.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut order: Vec<&str> = away.into_iter().map(|(_, name)| name).collect();
-        let place = if stays { 0 } else { 1.min(order.len()) };
+        remote.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let mut order: Vec<&str> = remote.into_iter().map(|(_, name)| name).collect();
+        let position = if stays_home { 0 } else { 1.min(order.len()) };
         if let Some((home, _)) = self.home_shares.get_key_value(home) {
-            order.insert(place, home);
+            order.insert(position, home);
         }
         order
     }
--- a/elmstream_steer/src/warm_keys.rs
+++ b/elmstream_steer/src/warm_keys.rs
@@ -1,8 +1,8 @@
-//! Which servers work, or have lately worked, on what a key stands for.
+//! Which servers are warm for which keys: they have worked on the key recently and have its data
+//! cached.
 //!
-//! A host sees only a part of a key's requests, the less the more hosts there are.
-//! So it tells the hosts of its region what it saw that they may not know yet, and
-//! takes in what they saw.
+//! A host sees only some of a key's requests, and fewer in a larger fleet. It therefore reports
+//! newly warm keys to the hosts of its region and merges their reports.
 
 use std::collections::VecDeque;
 
@@ -12,83 +12,84 @@
 
 use crate::servers::ServerIndex;
 
-/// How long a server is taken to know a key.
-const KNOWS: u64 = 20 * SECOND;
-/// Age at which what is known of a key is told to the other hosts again.
-const TELL_AGAIN: u64 = 8 * SECOND;
-/// Keys that a server is taken to know at most.
-const KEYS: usize = 40;
-/// Beats in which a lesson is told, as beats get lost.
-const TELLS: u8 = 3;
-/// Lessons in one beat.
-const LESSONS: usize = 48;
-/// Lessons that wait to be told; the oldest ones are left out beyond that.
-const WAITING: usize = 512;
+/// Time for which a server counts as warm for a key.
+const WARM_TIMEOUT: u64 = 20 * SECOND;
+/// Age at which a warm key is reported to the other hosts again.
+const REPORT_INTERVAL: u64 = 8 * SECOND;
+/// Maximum number of warm keys per server.
+const KEYS_PER_SERVER_MAX: usize = 40;
+/// Number of heartbeats that carry an update, because heartbeats can be lost.
+const HEARTBEATS_PER_UPDATE: u8 = 3;
+/// Maximum number of updates in one heartbeat.
+const UPDATES_PER_HEARTBEAT_MAX: usize = 48;
+/// Maximum number of pending updates; beyond it the oldest ones are dropped.
+const PENDING_UPDATES_MAX: usize = 512;
 
-/// A server works on a request of a key.
+/// Reports that a server works on requests of a key.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WarmKey {
-    /// Hash of the server's id, cut to 32 bits.
+    /// Lower 32 bits of the hash of the server's id.
     pub server: u32,
-    /// Hash of the key, cut to 32 bits.
+    /// Lower 32 bits of the hash of the key.
     pub key: u32,
 }
 
-/// What servers know.
+/// Warm keys of all servers, and the updates to be sent to other hosts.
 #[derive(Clone, Debug, Default)]
 pub struct WarmKeys {
-    known: FxHashMap<ServerIndex, FxHashMap<u32, Time>>,
-    /// Lessons for the other hosts, and in how many beats they still go.
-    untold: VecDeque<(WarmKey, u8)>,
+    keys_by_server: FxHashMap<ServerIndex, FxHashMap<u32, Time>>,
+    /// Pending updates and the number of heartbeats that still carry each.
+    pending_updates: VecDeque<(WarmKey, u8)>,
 }
 
 impl WarmKeys {
-    /// A server, by its place and the hash of its id, works on a request of a key.
+    /// Records that a server, given by its index and the lower 32 bits of the hash of its id, works
+    /// on a request of a key.
     pub fn record(&mut self, now: Time, server: (ServerIndex, u32), key: u64) {
         let (index, hash) = server;
         let key = key as u32;
-        let before = self.known.get(&index).and_then(|keys| keys.get(&key));
-        if before.is_none_or(|at| now.since(*at) >= TELL_AGAIN) {
-            self.untold.push_back((WarmKey { server: hash, key }, TELLS));
-            if self.untold.len() > WAITING {
-                self.untold.pop_front();
+        let previous = self.keys_by_server.get(&index).and_then(|keys| keys.get(&key));
+        if previous.is_none_or(|at| now.since(*at) >= REPORT_INTERVAL) {
+            self.pending_updates.push_back((WarmKey { server: hash, key }, HEARTBEATS_PER_UPDATE));
+            if self.pending_updates.len() > PENDING_UPDATES_MAX {
+                self.pending_updates.pop_front();
             }
-            self.keep(now, index, key);
+            self.insert_key(now, index, key);
         }
     }
 
-    /// Another host sent a server a request of a key.
+    /// Merges a report from another host.
     pub fn merge(&mut self, now: Time, server: ServerIndex, key: u32) {
-        self.keep(now, server, key);
+        self.insert_key(now, server, key);
     }
 
-    /// What the next beat tells.
+    /// Takes the updates for the next heartbeat.
     pub fn next_updates(&mut self) -> Vec<WarmKey> {
-        let count = self.untold.len().min(LESSONS);
-        let due: Vec<(WarmKey, u8)> = self.untold.drain(..count).collect();
-        let again = due.iter().filter(|(_, left)| *left > 1);
-        self.untold.extend(again.map(|(lesson, left)| (*lesson, left - 1)));
-        due.into_iter().map(|(lesson, _)| lesson).collect()
+        let count = self.pending_updates.len().min(UPDATES_PER_HEARTBEAT_MAX);
+        let due: Vec<(WarmKey, u8)> = self.pending_updates.drain(..count).collect();
+        let repeated = due.iter().filter(|(_, sends_left)| *sends_left > 1);
+        self.pending_updates.extend(repeated.map(|(update, sends_left)| (*update, sends_left - 1)));
+        due.into_iter().map(|(update, _)| update).collect()
     }
 
-    fn keep(&mut self, now: Time, server: ServerIndex, key: u32) {
-        let keys = self.known.entry(server).or_default();
+    fn insert_key(&mut self, now: Time, server: ServerIndex, key: u32) {
+        let keys = self.keys_by_server.entry(server).or_default();
         keys.insert(key, now);
-        if keys.len() > KEYS
+        if keys.len() > KEYS_PER_SERVER_MAX
             && let Some(oldest) = keys.iter().min_by_key(|(_, at)| **at).map(|(key, _)| *key)
         {
             keys.remove(&oldest);
         }
     }
 
-    /// Whether a server is taken to know a key.
+    /// Whether a server is warm for a key.
     pub fn is_warm(&self, now: Time, server: ServerIndex, key: u64) -> bool {
-        let at = self.known.get(&server).and_then(|keys| keys.get(&(key as u32)));
-        at.is_some_and(|at| now.since(*at) < KNOWS)
+        let at = self.keys_by_server.get(&server).and_then(|keys| keys.get(&(key as u32)));
+        at.is_some_and(|at| now.since(*at) < WARM_TIMEOUT)
     }
 
-    /// A server is gone.
+    /// Drops the keys of a removed server.
     pub fn remove_server(&mut self, server: ServerIndex) {
-        self.known.remove(&server);
+        self.keys_by_server.remove(&server);
     }
 }
