--- a/elmstream_steer/src/quota.rs
+++ b/elmstream_steer/src/quota.rs
@@ -1,9 +1,9 @@
-//! Keeps workspaces within their limits, which hold for all hosts together.
+//! Keeps workspaces within their limits, which apply to all hosts together.
 //!
-//! A host lets a workspace's requests through with the part that the workspace's tallies
-//! ([`crate::tally`]) last gave it, and tells them what it was asked and let through. Of
-//! most workspaces nothing is known to be pressing, and all requests go through. A host
-//! that no tally answers goes by its own part of the limit: one of so many hosts.
+//! A host admits a workspace's requests with the probability that the workspace's tallies
+//! ([`crate::tally`]) last granted, and reports to them how many requests it received and admitted.
+//! For most workspaces there is no grant below 1, and all requests are admitted. A host that no
+//! tally answers uses its local share of the limit: one part for each host of the fleet.
 
 use elmstream::time::{MILLI, SECOND, Time};
 use rustc_hash::FxHashMap;
@@ -19,483 +19,539 @@
     workspaces::{WorkspaceEntry, WorkspaceTable},
 };
 
-/// Hosts that sum up what one workspace asks: one more than is needed, so that the sum
-/// outlives any one of them and whatever two hosts disagree on.
+/// Number of hosts that keep the tally of one workspace. One would be enough; the second covers the
+/// loss of a host, and hosts that disagree on who is live.
 pub const TALLY_REPLICAS: usize = 2;
-/// Time without an answer after which a report is sent again, to the next hosts in rank.
-const ASK_AGAIN: u64 = 200 * MILLI;
-/// Reports in a row without an answer after which the host goes by its own part. By then
-/// six hosts were asked: with half of the fleet dead one host in 64 asked dead ones only.
-const UNANSWERED: u8 = 3;
+/// Time without a reply after which a report is sent again, to the next hosts in rank.
+const REPORT_RETRY_AFTER: u64 = 200 * MILLI;
+/// Number of successive unanswered reports after which the host uses its local share. By then six
+/// hosts have been tried: if half of the fleet is dead, one host in 64 has tried dead hosts only.
+const UNANSWERED_REPORTS_MAX: u8 = 3;
 /// Time between two reports after that.
-const ASK_IN_VAIN: u64 = 500 * MILLI;
-/// Time for which an answer counts. A host with requests asks each 100 ms.
-const FRESH: u64 = SECOND;
-/// Time between two times that all hosts are told of a workspace that is pressing.
-const TELL_EVERY: u64 = 300 * MILLI;
-/// Time for which that counts: one that is lost is made up for by the next ones.
-const HOLD: u64 = 1_000 * MILLI;
-/// Hosts of a fleet that are told by one host itself; in a larger one some pass it on, as
-/// many as each of them tells: two ways reach all, and no host sends much at once.
-const TOLD_DIRECTLY: usize = 100;
-/// Workspaces in one datagram at most: 25 bytes each, a sixth of the largest datagram.
-const ENTRIES: usize = 100;
-/// Time after which the hosts that get a part of a request draw anew, if there are more
-/// hosts than requests to share out.
-const DRAW_EVERY: u64 = 60 * SECOND;
-/// Time after which a workspace that asks nothing is forgotten.
-const FORGET: u64 = 60 * SECOND;
-/// Shortest time after which a refused caller is told to come back.
+const UNANSWERED_RETRY_INTERVAL: u64 = 500 * MILLI;
+/// Time for which a reply counts. A host that receives requests reports every 100 ms.
+const GRANT_TIMEOUT: u64 = SECOND;
+/// Time between two broadcasts about workspaces over their limit.
+const BROADCAST_INTERVAL: u64 = 300 * MILLI;
+/// Time for which a broadcast fraction counts. A lost broadcast is made up for by the following
+/// ones.
+const BROADCAST_TIMEOUT: u64 = 1_000 * MILLI;
+/// Largest number of other hosts that one host sends a broadcast to directly. In a larger fleet it
+/// sends to about the square root of their number, each of which forwards to about as many: two
+/// hops reach all hosts, and no host sends many datagrams at once.
+const DIRECT_RECEIVERS_MAX: usize = 100;
+/// Maximum number of workspaces in one datagram: at 25 bytes each, a sixth of the largest datagram.
+const DATAGRAM_ENTRIES_MAX: usize = 100;
+/// Time after which a new draw decides which hosts get one more request, when the local share is
+/// not a whole number.
+const REDRAW_INTERVAL: u64 = 60 * SECOND;
+/// Time without requests after which a workspace's local usage is dropped.
+const IDLE_TIMEOUT: u64 = 60 * SECOND;
+/// Minimum retry time for a caller over the limit, in milliseconds.
 const RETRY_MIN_MS: f64 = 300.0;
 
-/// What the rulings rest on beside the workspace.
+/// State that quota decisions depend on, beside the workspace.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaContext<'a> {
-    /// Now.
+    /// Current time.
     pub now: Time,
     /// Bounds of the fleet.
     pub bounds: &'a Bounds,
-    /// Hosts that are known and heard.
+    /// Number of hosts that may be running, that are live, and that are live in this region.
     pub fleet: FleetView,
-    /// Whether this host knows where the others are.
+    /// Whether this host knows the addresses of the other hosts.
     pub hosts_known: bool,
-    /// Hashes of the addresses of hosts that may be running, with this one's first.
+    /// Hashes of the addresses of the hosts that may be running, this host's first.
     pub address_hashes: &'a [u64],
 }
 
 /// Whether a request is within its workspace's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaDecision {
-    /// It is, and counts.
+    /// The request is within the limit and has been counted.
     Within,
-    /// It is not.
+    /// The request is over the limit.
     Over {
-        /// When to come back, in milliseconds.
+        /// Time after which the caller should retry, in milliseconds.
         retry_ms: u64,
     },
-    /// This host does not know yet what the others let through.
+    /// This host does not know yet what the other hosts admitted.
     Unready,
 }
 
-/// A report, and the hash of the address of the host that it is for.
+/// A usage report and its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedReport {
-    /// Whom it is for.
+    /// Hash of the receiver's address.
     pub address_hash: u64,
     /// The report.
     pub report: UsageReport,
 }
 
-/// Parts for all hosts, and the hash of the address of the host that they go to.
+/// A broadcast of admit fractions and its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedBroadcast {
-    /// Whom they go to.
+    /// Hash of the receiver's address.
     pub address_hash: u64,
-    /// The parts.
+    /// The broadcast.
     pub broadcast: FractionBroadcast,
 }
 
-/// A part as it was given.
+/// An admit fraction as this host received it.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
-    /// Hash of the address of the host that worked it out, cut to 32 bits.
-    place: u32,
-    part: f64,
-    /// When it was worked out by that host's clock, for those that all are told.
-    stamp: u32,
-    at: Time,
+    /// Lower 32 bits of the hash of the address of the host that computed the fraction.
+    source: u32,
+    fraction: f64,
+    /// When the fraction was computed, by that host's clock; 0 for replies to reports.
+    computed_at_ms: u32,
+    received_at: Time,
 }
 
-/// What one workspace asked and used at this host.
+/// Usage of one workspace at this host.
 #[derive(Clone, Debug, Default)]
 struct LocalUsage {
-    asked: u32,
-    let_through: u32,
+    requested: u32,
+    admitted: u32,
     used: SlidingWindow,
-    /// The limit that `used` was counted under.
+    /// The limit that applied while `used` was counted.
     limit: f64,
-    /// `asked` of the last report.
+    /// Value of `requested` in the last report.
     reported: u32,
-    /// When that was sent, as long as nobody has answered it.
-    unanswered: Option<Time>,
-    /// Reports in a row that nobody answered.
-    vain: u8,
-    given: Vec<Grant>,
-    last: Time,
+    /// When the last report was sent, while it is unanswered.
+    unanswered_since: Option<Time>,
+    /// Number of successive unanswered reports.
+    unanswered_reports: u8,
+    grants: Vec<Grant>,
+    last_request: Time,
 }
 
-/// What one host knows of the workspaces' limits.
+/// State of the workspaces' limits at one host.
 #[derive(Clone, Debug)]
 pub struct Quotas {
     /// Differs between starts of hosts.
     seed: u64,
     started: Time,
-    draws: u64,
-    own: FxHashMap<u64, LocalUsage>,
+    draw_count: u64,
+    usage: FxHashMap<u64, LocalUsage>,
     tallies: FxHashMap<u64, Tally>,
-    /// Parts that all hosts were told.
-    heard: FxHashMap<u64, Vec<Grant>>,
-    /// When this host last told all.
-    told: Time,
-    /// A workspace has become pressing since.
+    /// Grants received by broadcast, by workspace.
+    broadcast_grants: FxHashMap<u64, Vec<Grant>>,
+    /// When this host last sent a broadcast.
+    last_broadcast: Time,
+    /// A workspace has gone over its limit since the last broadcast.
     urgent: bool,
 }
 
 impl Quotas {
-    /// A host that has just started; `seed` differs between starts.
+    /// State of a host that has just started; `seed` differs between starts.
     pub fn new(seed: u64, started: Time) -> Quotas {
         Quotas {
             seed,
             started,
-            draws: 0,
-            own: FxHashMap::default(),
+            draw_count: 0,
+            usage: FxHashMap::default(),
             tallies: FxHashMap::default(),
-            heard: FxHashMap::default(),
-            told: Time(0),
+            broadcast_grants: FxHashMap::default(),
+            last_broadcast: Time(0),
             urgent: false,
         }
     }
 
-    /// Rules on a request, and counts it.
-    pub fn admit(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) -> QuotaDecision {
-        let workspace = &member.workspace;
+    /// Decides on a request, and counts it if it is within the limit.
+    pub fn admit(&mut self, context: &QuotaContext<'_>, entry: &WorkspaceEntry) -> QuotaDecision {
+        let workspace = &entry.workspace;
         if workspace.rate_per_s <= 0.0 {
             return QuotaDecision::Within;
         }
-        if !scene.hosts_known {
+        if !context.hosts_known {
             return QuotaDecision::Unready;
         }
-        let (now, window) = (scene.now, tally::window_us(scene.bounds));
-        let own = self.own.entry(member.id).or_default();
-        own.under(tally::window_limit(scene.bounds, workspace));
-        own.last = now;
-        own.asked = own.asked.wrapping_add(1);
-        let part = match latest(own.given(now), told(&self.heard, now, member.id)) {
-            Some(given) => given.part,
-            None if own.vain >= UNANSWERED || scene.fleet.is_isolated() => {
-                let allowed = local_share(self.seed, scene, member);
-                if own.used.sum(now, window) < allowed { 1.0 } else { 0.0 }
+        let (now, window) = (context.now, tally::window_us(context.bounds));
+        let usage = self.usage.entry(entry.id).or_default();
+        usage.apply_limit(tally::window_limit(context.bounds, workspace));
+        usage.last_request = now;
+        usage.requested = usage.requested.wrapping_add(1);
+        let fraction = match latest_grant(
+            usage.lowest_grant(now),
+            broadcast_grant(&self.broadcast_grants, now, entry.id),
+        ) {
+            Some(grant) => grant.fraction,
+            None if usage.unanswered_reports >= UNANSWERED_REPORTS_MAX
+                || context.fleet.is_isolated() =>
+            {
+                let allowed = local_share(self.seed, context, entry);
+                if usage.used.sum(now, window) < allowed { 1.0 } else { 0.0 }
             }
             None => 1.0,
         };
-        self.draws += 1;
-        // Between two reports nobody else sees what one host alone lets through.
-        let whole = tally::fleet_allowance(scene.bounds, workspace);
-        let room = f64::from(own.used.sum(now, window)) < whole;
-        if room && hash::unit_interval(hash::combine(self.seed, self.draws)) < part {
-            own.count(now, window, 1);
+        self.draw_count += 1;
+        // Between two reports, only this host knows what it admits itself, so its own usage alone
+        // must not exceed the allowance.
+        let allowance = tally::fleet_allowance(context.bounds, workspace);
+        let has_room = f64::from(usage.used.sum(now, window)) < allowance;
+        if has_room && hash::unit_interval(hash::combine(self.seed, self.draw_count)) < fraction {
+            usage.record(now, window, 1);
             return QuotaDecision::Within;
         }
         let window_ms = (window / MILLI) as f64;
-        let retry = (RETRY_MIN_MS / part.max(f64::MIN_POSITIVE)).min(window_ms / 2.0);
+        let retry = (RETRY_MIN_MS / fraction.max(f64::MIN_POSITIVE)).min(window_ms / 2.0);
         QuotaDecision::Over { retry_ms: retry as u64 }
     }
 
-    /// A request that was let through is sent to one more server.
-    pub fn record_retry(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
-        if let Some(own) = self.own.get_mut(&member.id) {
-            own.count(scene.now, tally::window_us(scene.bounds), 1);
+    /// Counts a further attempt of an admitted request.
+    pub fn record_retry(&mut self, context: &QuotaContext<'_>, entry: &WorkspaceEntry) {
+        if let Some(usage) = self.usage.get_mut(&entry.id) {
+            usage.record(context.now, tally::window_us(context.bounds), 1);
         }
     }
 
-    /// A request that was let through was run by no server.
-    pub fn refund(&mut self, scene: &QuotaContext<'_>, member: &WorkspaceEntry) {
-        if let Some(own) = self.own.get_mut(&member.id) {
-            own.count(scene.now, tally::window_us(scene.bounds), -1);
+    /// Takes back an admitted request that no server ran.
+    pub fn refund(&mut self, context: &QuotaContext<'_>, entry: &WorkspaceEntry) {
+        if let Some(usage) = self.usage.get_mut(&entry.id) {
+            usage.record(context.now, tally::window_us(context.bounds), -1);
         }
     }
 
-    /// Reports that are due; called each 100 ms.
+    /// Reports that are due. Called every 100 ms.
+    ///
+    /// A report to this host itself is handled at once and not returned.
     pub fn due_reports(
         &mut self,
-        scene: &QuotaContext<'_>,
+        context: &QuotaContext<'_>,
         table: &WorkspaceTable,
     ) -> Vec<AddressedReport> {
-        let now = scene.now;
-        let window = tally::window_us(scene.bounds);
+        let now = context.now;
+        let window = tally::window_us(context.bounds);
         self.forget(now);
-        let mut by_place: FxHashMap<(u64, bool), Vec<WorkspaceUsage>> = FxHashMap::default();
-        for (id, own) in &mut self.own {
-            let Some(again) = own.due(now) else { continue };
-            let used_in_window = own.used.sum(now, window);
-            let (requested, admitted) = (own.asked, own.let_through);
-            let told = WorkspaceUsage {
-                workspace: *id,
-                requested,
-                admitted,
-                admitted_in_window: used_in_window,
-            };
-            own.reported = own.asked;
-            own.unanswered.get_or_insert(now);
-            for place in ranked(scene.address_hashes, *id, again) {
-                by_place.entry((place, again > 0)).or_default().push(told);
+        let mut by_receiver: FxHashMap<(u64, bool), Vec<WorkspaceUsage>> = FxHashMap::default();
+        for (id, usage) in &mut self.usage {
+            let Some(unanswered_reports) = usage.due_report(now) else { continue };
+            let admitted_in_window = usage.used.sum(now, window);
+            let (requested, admitted) = (usage.requested, usage.admitted);
+            let entry = WorkspaceUsage { workspace: *id, requested, admitted, admitted_in_window };
+            usage.reported = usage.requested;
+            usage.unanswered_since.get_or_insert(now);
+            for address_hash in tally_hosts(context.address_hashes, *id, unanswered_reports) {
+                by_receiver.entry((address_hash, unanswered_reports > 0)).or_default().push(entry);
             }
         }
-        let reader = self.seed;
-        let reports = by_place.iter().flat_map(|((place, in_vain), uses)| {
-            uses.chunks(ENTRIES).map(|uses| AddressedReport {
-                address_hash: *place,
-                report: UsageReport {
-                    start_hash: reader,
-                    usages: uses.to_vec(),
-                    earlier_unanswered: *in_vain,
-                },
-            })
-        });
-        let (own, others): (Vec<_>, Vec<_>) =
-            reports.partition(|report| scene.address_hashes.first() == Some(&report.address_hash));
-        for report in own {
-            let verdict = self.on_report(scene, table, &report.report);
-            self.on_reply(now, &verdict);
+        let start_hash = self.seed;
+        let reports =
+            by_receiver.iter().flat_map(|((address_hash, earlier_unanswered), usages)| {
+                usages.chunks(DATAGRAM_ENTRIES_MAX).map(|usages| AddressedReport {
+                    address_hash: *address_hash,
+                    report: UsageReport {
+                        start_hash,
+                        usages: usages.to_vec(),
+                        earlier_unanswered: *earlier_unanswered,
+                    },
+                })
+            });
+        let (to_self, others): (Vec<_>, Vec<_>) = reports
+            .partition(|report| context.address_hashes.first() == Some(&report.address_hash));
+        for report in to_self {
+            let reply = self.on_report(context, table, &report.report);
+            self.on_reply(now, &reply);
         }
         others
     }
 
-    /// Takes in a host's report; the answer to it.
+    /// Takes in a host's report and returns the reply.
     pub fn on_report(
         &mut self,
-        scene: &QuotaContext<'_>,
+        context: &QuotaContext<'_>,
         table: &WorkspaceTable,
         report: &UsageReport,
     ) -> UsageReply {
         let mut fractions = Vec::new();
-        for told in &report.usages {
-            let Some(member) = table.get(told.workspace) else { continue };
-            let tally = self.tallies.entry(told.workspace).or_default();
-            tally.on_report(scene.now, tally::window_us(scene.bounds), report, *told);
-            let pressed = tally.broadcast_fraction(scene.now).is_some();
-            let age = scene.now.since(self.started);
-            let part = tally.fraction(scene.now, scene.bounds, &member.workspace, scene.fleet, age);
-            self.urgent |= !pressed && tally.broadcast_fraction(scene.now).is_some();
-            fractions.push(AdmitFraction::new(told.workspace, part));
+        for usage in &report.usages {
+            let Some(entry) = table.get(usage.workspace) else { continue };
+            let tally = self.tallies.entry(usage.workspace).or_default();
+            tally.on_report(context.now, tally::window_us(context.bounds), report, *usage);
+            let was_over = tally.broadcast_fraction(context.now).is_some();
+            let uptime = context.now.since(self.started);
+            let fraction = tally.fraction(
+                context.now,
+                context.bounds,
+                &entry.workspace,
+                context.fleet,
+                uptime,
+            );
+            self.urgent |= !was_over && tally.broadcast_fraction(context.now).is_some();
+            fractions.push(AdmitFraction::new(usage.workspace, fraction));
         }
-        let address_hash = scene.address_hashes.first().copied().unwrap_or_default();
+        let address_hash = context.address_hashes.first().copied().unwrap_or_default();
         UsageReply { address_hash, fractions }
     }
 
-    /// Takes in the answer to a report.
-    pub fn on_reply(&mut self, now: Time, verdict: &UsageReply) {
-        for part in &verdict.fractions {
-            if let Some(own) = self.own.get_mut(&part.workspace) {
-                let place = verdict.address_hash as u32;
-                own.answered(Grant { place, part: part.value(), stamp: 0, at: now });
+    /// Takes in the reply to a report.
+    pub fn on_reply(&mut self, now: Time, reply: &UsageReply) {
+        for fraction in &reply.fractions {
+            if let Some(usage) = self.usage.get_mut(&fraction.workspace) {
+                let source = reply.address_hash as u32;
+                usage.on_grant(Grant {
+                    source,
+                    fraction: fraction.value(),
+                    computed_at_ms: 0,
+                    received_at: now,
+                });
             }
         }
     }
 
-    /// What all hosts have to know now, and whom this host tells.
-    pub fn due_broadcasts(&mut self, scene: &QuotaContext<'_>) -> Vec<AddressedBroadcast> {
-        let now = scene.now;
-        if !self.urgent && now.since(self.told) < TELL_EVERY {
+    /// Broadcasts that are due, with their receivers.
+    pub fn due_broadcasts(&mut self, context: &QuotaContext<'_>) -> Vec<AddressedBroadcast> {
+        let now = context.now;
+        if !self.urgent && now.since(self.last_broadcast) < BROADCAST_INTERVAL {
             return Vec::new();
         }
-        let own = scene.address_hashes.first().copied().unwrap_or_default();
-        let parts = self.tallies.iter().filter_map(|(id, tally)| {
-            let (part, at) = tally.broadcast_fraction(now)?;
-            let stamp = (at.0 / MILLI) as u32;
+        let own_hash = context.address_hashes.first().copied().unwrap_or_default();
+        let fractions = self.tallies.iter().filter_map(|(id, tally)| {
+            let (fraction, at) = tally.broadcast_fraction(now)?;
+            let computed_at_ms = (at.0 / MILLI) as u32;
             Some(BroadcastFraction {
-                fraction: AdmitFraction::new(*id, part),
-                address_hash: own as u32,
-                computed_at_ms: stamp,
+                fraction: AdmitFraction::new(*id, fraction),
+                address_hash: own_hash as u32,
+                computed_at_ms,
             })
         });
-        let parts: Vec<BroadcastFraction> = parts.collect();
+        let fractions: Vec<BroadcastFraction> = fractions.collect();
         self.urgent = false;
-        self.told = now;
-        self.hear(now, &parts);
-        if parts.is_empty() {
+        self.last_broadcast = now;
+        self.merge_broadcast(now, &fractions);
+        if fractions.is_empty() {
             return Vec::new();
         }
-        self.draws += 1;
+        self.draw_count += 1;
         let addressed =
-            arcs(scene.address_hashes, hash::combine(self.seed, self.draws)).into_iter();
+            broadcast_ranges(context.address_hashes, hash::combine(self.seed, self.draw_count))
+                .into_iter();
         addressed
-            .flat_map(|(place, arc)| {
-                let chunks = parts.chunks(ENTRIES);
-                chunks.map(move |parts| AddressedBroadcast {
-                    address_hash: place,
-                    broadcast: FractionBroadcast { fractions: parts.to_vec(), forward_range: arc },
+            .flat_map(|(address_hash, forward_range)| {
+                let chunks = fractions.chunks(DATAGRAM_ENTRIES_MAX);
+                chunks.map(move |fractions| AddressedBroadcast {
+                    address_hash,
+                    broadcast: FractionBroadcast { fractions: fractions.to_vec(), forward_range },
                 })
             })
             .collect()
     }
 
-    /// Takes in what all hosts are told, and whom this host passes it on to.
+    /// Takes in a broadcast and returns the copies to be forwarded.
     pub fn on_broadcast(
         &mut self,
-        scene: &QuotaContext<'_>,
-        spread: &FractionBroadcast,
+        context: &QuotaContext<'_>,
+        broadcast: &FractionBroadcast,
     ) -> Vec<AddressedBroadcast> {
-        self.hear(scene.now, &spread.fractions);
-        let (begin, end) = spread.forward_range;
-        let inside =
-            scene.address_hashes.iter().skip(1).filter(|place| (begin..end).contains(place));
-        let passed =
-            FractionBroadcast { fractions: spread.fractions.clone(), forward_range: (0, 0) };
+        self.merge_broadcast(context.now, &broadcast.fractions);
+        let (begin, end) = broadcast.forward_range;
+        let inside = context
+            .address_hashes
+            .iter()
+            .skip(1)
+            .filter(|address_hash| (begin..end).contains(address_hash));
+        let forwarded =
+            FractionBroadcast { fractions: broadcast.fractions.clone(), forward_range: (0, 0) };
         inside
-            .map(|place| AddressedBroadcast { address_hash: *place, broadcast: passed.clone() })
+            .map(|address_hash| AddressedBroadcast {
+                address_hash: *address_hash,
+                broadcast: forwarded.clone(),
+            })
             .collect()
     }
 
-    fn hear(&mut self, now: Time, parts: &[BroadcastFraction]) {
-        for BroadcastFraction { fraction, address_hash, computed_at_ms: stamp } in parts {
-            let new =
-                Grant { place: *address_hash, part: fraction.value(), stamp: *stamp, at: now };
-            let known = self.heard.entry(fraction.workspace).or_default();
-            known.retain(|given| now.since(given.at) < HOLD);
-            match known.iter_mut().find(|given| given.place == new.place) {
-                Some(given) if older(new.stamp, given.stamp) => {}
-                Some(given) => *given = new,
-                None => known.push(new),
+    fn merge_broadcast(&mut self, now: Time, fractions: &[BroadcastFraction]) {
+        for BroadcastFraction { fraction, address_hash, computed_at_ms } in fractions {
+            let new = Grant {
+                source: *address_hash,
+                fraction: fraction.value(),
+                computed_at_ms: *computed_at_ms,
+                received_at: now,
+            };
+            let grants = self.broadcast_grants.entry(fraction.workspace).or_default();
+            grants.retain(|grant| now.since(grant.received_at) < BROADCAST_TIMEOUT);
+            match grants.iter_mut().find(|grant| grant.source == new.source) {
+                Some(grant) if is_not_later(new.computed_at_ms, grant.computed_at_ms) => {}
+                Some(grant) => *grant = new,
+                None => grants.push(new),
             }
         }
     }
 
-    /// A configuration is in force. Under a limit that was lowered hosts begin anew, as
-    /// what they let through before was within the old one.
+    /// Takes in a new configuration. A workspace whose limit was lowered is counted from zero,
+    /// because what was admitted before was within the old limit.
     pub fn on_configuration(
         &mut self,
         bounds: &Bounds,
         table: &WorkspaceTable,
         before: &WorkspaceTable,
     ) {
-        for member in table.all() {
-            let old = before.get(member.id).map(|old| tally::window_limit(bounds, &old.workspace));
-            let new = tally::window_limit(bounds, &member.workspace);
+        for entry in table.all() {
+            let old = before.get(entry.id).map(|old| tally::window_limit(bounds, &old.workspace));
+            let new = tally::window_limit(bounds, &entry.workspace);
             if old.is_some_and(|old| new < old) {
-                if let Some(tally) = self.tallies.get_mut(&member.id) {
+                if let Some(tally) = self.tallies.get_mut(&entry.id) {
                     tally.clear();
                 }
-                self.heard.remove(&member.id);
+                self.broadcast_grants.remove(&entry.id);
             }
         }
     }
 
-    /// Workspaces of which requests are held back, as far as this host knows.
+    /// Number of workspaces that this host throttles, as far as tallies have replied to it.
     pub fn throttled_count(&self, now: Time) -> usize {
-        let held =
-            self.own.values().filter(|own| own.given(now).is_some_and(|given| given.part < 1.0));
-        held.count()
+        let throttled = self
+            .usage
+            .values()
+            .filter(|usage| usage.lowest_grant(now).is_some_and(|grant| grant.fraction < 1.0));
+        throttled.count()
     }
 
-    /// Workspaces that no tally answers for.
+    /// Number of workspaces whose tallies do not answer.
     pub fn unanswered_count(&self) -> usize {
-        self.own.values().filter(|own| own.vain >= UNANSWERED).count()
+        self.usage
+            .values()
+            .filter(|usage| usage.unanswered_reports >= UNANSWERED_REPORTS_MAX)
+            .count()
     }
 
     fn forget(&mut self, now: Time) {
-        self.own.retain(|_, own| now.since(own.last) < FORGET);
+        self.usage.retain(|_, usage| now.since(usage.last_request) < IDLE_TIMEOUT);
         self.tallies.retain(|_, tally| !tally.is_idle(now));
-        self.heard.retain(|_, given| given.iter().any(|given| now.since(given.at) < HOLD));
+        self.broadcast_grants.retain(|_, grants| {
+            grants.iter().any(|grant| now.since(grant.received_at) < BROADCAST_TIMEOUT)
+        });
     }
 }
 
 impl LocalUsage {
-    /// Requests are let through, or were not run after all.
-    fn count(&mut self, now: Time, window: u64, by: i32) {
-        self.let_through = self.let_through.wrapping_add_signed(by);
-        self.used.adjust(now, window, by);
+    /// Counts admitted requests; `delta` is negative for requests that were not run.
+    fn record(&mut self, now: Time, window: u64, delta: i32) {
+        self.admitted = self.admitted.wrapping_add_signed(delta);
+        self.used.adjust(now, window, delta);
     }
 
-    /// Counts anew if the limit was lowered.
-    fn under(&mut self, limit: f64) {
+    /// Starts counting from zero if the limit was lowered.
+    fn apply_limit(&mut self, limit: f64) {
         if limit < self.limit {
             self.used.clear();
-            self.given.clear();
+            self.grants.clear();
         }
         self.limit = limit;
     }
 
-    /// Whether a report is due, and how many were sent in vain before it.
-    fn due(&mut self, now: Time) -> Option<u8> {
-        let pause = if self.vain < UNANSWERED { ASK_AGAIN } else { ASK_IN_VAIN };
-        if self.unanswered.is_some_and(|at| now.since(at) >= pause) {
-            self.vain = self.vain.wrapping_add(1).max(1);
-            self.unanswered = None;
-            return Some(self.vain);
+    /// Returns the number of unanswered reports before this one if a report is due.
+    fn due_report(&mut self, now: Time) -> Option<u8> {
+        let pause = if self.unanswered_reports < UNANSWERED_REPORTS_MAX {
+            REPORT_RETRY_AFTER
+        } else {
+            UNANSWERED_RETRY_INTERVAL
+        };
+        if self.unanswered_since.is_some_and(|at| now.since(at) >= pause) {
+            self.unanswered_reports = self.unanswered_reports.wrapping_add(1).max(1);
+            self.unanswered_since = None;
+            return Some(self.unanswered_reports);
         }
-        (self.reported != self.asked).then_some(self.vain)
+        (self.reported != self.requested).then_some(self.unanswered_reports)
     }
 
-    fn answered(&mut self, given: Grant) {
-        self.unanswered = None;
-        self.vain = 0;
-        self.given.retain(|old| old.place != given.place && given.at.since(old.at) < FRESH);
-        self.given.push(given);
+    fn on_grant(&mut self, grant: Grant) {
+        self.unanswered_since = None;
+        self.unanswered_reports = 0;
+        self.grants.retain(|old| {
+            old.source != grant.source && grant.received_at.since(old.received_at) < GRANT_TIMEOUT
+        });
+        self.grants.push(grant);
     }
 
-    /// The least part that was given lately.
-    fn given(&self, now: Time) -> Option<Grant> {
-        least(self.given.iter().filter(|given| now.since(given.at) < FRESH))
+    /// The recent grant with the lowest fraction.
+    fn lowest_grant(&self, now: Time) -> Option<Grant> {
+        lowest(self.grants.iter().filter(|grant| now.since(grant.received_at) < GRANT_TIMEOUT))
     }
 }
 
-/// Requests in a window that a host by itself lets through.
+/// Number of requests in a window that a host admits without any tally.
 ///
-/// Where that is not a whole number the host draws whether it has one more, so that all
-/// hosts together have as many as they may have. They would have one each otherwise.
-pub fn local_share(seed: u64, scene: &QuotaContext<'_>, member: &WorkspaceEntry) -> u32 {
-    let hosts = scene.fleet.possibly_running.max(1) as f64;
-    let share = tally::window_limit(scene.bounds, &member.workspace) / hosts;
-    let epoch = scene.now.0 / DRAW_EVERY;
-    let draw = hash::unit_interval(hash::combine(hash::combine(seed, member.id), epoch));
+/// Where the share is not a whole number, a draw decides whether the host gets one more, so that
+/// the hosts together stay at the limit. Rounding up would give each host at least one request.
+pub fn local_share(seed: u64, context: &QuotaContext<'_>, entry: &WorkspaceEntry) -> u32 {
+    let hosts = context.fleet.possibly_running.max(1) as f64;
+    let share = tally::window_limit(context.bounds, &entry.workspace) / hosts;
+    let epoch = context.now.0 / REDRAW_INTERVAL;
+    let draw = hash::unit_interval(hash::combine(hash::combine(seed, entry.id), epoch));
     (share + draw) as u32
 }
 
-/// The least part that all hosts were told lately.
-fn told(heard: &FxHashMap<u64, Vec<Grant>>, now: Time, id: u64) -> Option<Grant> {
-    least(heard.get(&id)?.iter().filter(|given| now.since(given.at) < HOLD))
+/// The recent broadcast grant with the lowest fraction.
+fn broadcast_grant(
+    broadcast_grants: &FxHashMap<u64, Vec<Grant>>,
+    now: Time,
+    id: u64,
+) -> Option<Grant> {
+    lowest(
+        broadcast_grants
+            .get(&id)?
+            .iter()
+            .filter(|grant| now.since(grant.received_at) < BROADCAST_TIMEOUT),
+    )
 }
 
-fn least<'a>(given: impl Iterator<Item = &'a Grant>) -> Option<Grant> {
-    given.copied().min_by(|one, other| one.part.total_cmp(&other.part))
+fn lowest<'a>(grants: impl Iterator<Item = &'a Grant>) -> Option<Grant> {
+    grants.copied().min_by(|one, other| one.fraction.total_cmp(&other.fraction))
 }
 
-/// The one that came last.
-fn latest(one: Option<Grant>, other: Option<Grant>) -> Option<Grant> {
-    one.into_iter().chain(other).max_by_key(|given| given.at)
+/// The grant that was received last.
+fn latest_grant(one: Option<Grant>, other: Option<Grant>) -> Option<Grant> {
+    one.into_iter().chain(other).max_by_key(|grant| grant.received_at)
 }
 
-/// Whether a stamp is not later than another one, a few seconds apart at most.
-fn older(stamp: u32, than: u32) -> bool {
-    than.wrapping_sub(stamp) < (HOLD / MILLI) as u32
+/// Whether a timestamp is at most as late as another one; both wrap, and are a few seconds apart at
+/// most.
+fn is_not_later(stamp_ms: u32, other_ms: u32) -> bool {
+    other_ms.wrapping_sub(stamp_ms) < (BROADCAST_TIMEOUT / MILLI) as u32
 }
 
-/// Whom a host tells what all have to know, and which others those pass it on to.
+/// Receivers of a broadcast, each with the range of address hashes that it forwards to.
 ///
-/// `draw` picks other hosts to pass it on each time, as some may be dead.
-fn arcs(places: &[u64], draw: u64) -> Vec<(u64, (u64, u64))> {
-    let others = places.get(1..).unwrap_or_default();
-    if others.len() <= TOLD_DIRECTLY {
-        return others.iter().map(|place| (*place, (0, 0))).collect();
+/// `draw` varies the hosts that forward, because some may be dead.
+fn broadcast_ranges(address_hashes: &[u64], draw: u64) -> Vec<(u64, (u64, u64))> {
+    let others = address_hashes.get(1..).unwrap_or_default();
+    if others.len() <= DIRECT_RECEIVERS_MAX {
+        return others.iter().map(|address_hash| (*address_hash, (0, 0))).collect();
     }
     let count = others.len().isqrt() as u64;
     let width = u64::MAX / count;
     let mut first: Vec<Option<u64>> = vec![None; count as usize + 1];
-    for place in others {
-        let best = &mut first[(place / width) as usize];
-        if best.is_none_or(|known| hash::combine(*place, draw) > hash::combine(known, draw)) {
-            *best = Some(*place);
+    for address_hash in others {
+        let best = &mut first[(address_hash / width) as usize];
+        if best
+            .is_none_or(|current| hash::combine(*address_hash, draw) > hash::combine(current, draw))
+        {
+            *best = Some(*address_hash);
         }
     }
-    let arcs = first.into_iter().zip(0u64..);
-    arcs.filter_map(|(place, n)| Some((place?, (n * width, (n + 1).saturating_mul(width)))))
+    let ranges = first.into_iter().zip(0u64..);
+    ranges
+        .filter_map(|(address_hash, n)| {
+            Some((address_hash?, (n * width, (n + 1).saturating_mul(width))))
+        })
         .collect()
 }
 
-/// The hosts that sum a workspace, or those next in rank after `again` vain reports.
-fn ranked(places: &[u64], id: u64, again: u8) -> Vec<u64> {
-    // Whoever has asked in vain for long begins anew.
-    let round = usize::from(again) % (usize::from(UNANSWERED) + 1);
-    let most = TALLY_REPLICAS * (round + 1);
-    let mut first: Vec<(u64, u64)> = Vec::with_capacity(most + 1);
-    for place in places {
-        let weight = hash::combine(*place, id);
-        let at = first.partition_point(|(other, _)| *other > weight);
-        if at < most {
-            first.insert(at, (weight, *place));
-            first.truncate(most);
+/// The hosts that keep a workspace's tally, or the ones next in rank after unanswered reports.
+fn tally_hosts(address_hashes: &[u64], id: u64, unanswered_reports: u8) -> Vec<u64> {
+    // After enough unanswered reports the host starts over with the first ones.
+    let round = usize::from(unanswered_reports) % (usize::from(UNANSWERED_REPORTS_MAX) + 1);
+    let max_ranked = TALLY_REPLICAS * (round + 1);
+    let mut first: Vec<(u64, u64)> = Vec::with_capacity(max_ranked + 1);
+    for address_hash in address_hashes {
+        let weight = hash::combine(*address_hash, id);
+        let position = first.partition_point(|(other, _)| *other > weight);
+        if position < max_ranked {
+            first.insert(position, (weight, *address_hash));
+            first.truncate(max_ranked);
         }
     }
-    first.into_iter().skip(TALLY_REPLICAS * round).map(|(_, place)| place).collect()
+    first.into_iter().skip(TALLY_REPLICAS * round).map(|(_, address_hash)| address_hash).collect()
 }
--- a/elmstream_steer/src/tally.rs
+++ b/elmstream_steer/src/tally.rs
@@ -1,12 +1,12 @@
-//! Sums of what a workspace asks for and uses at all hosts.
+//! Tallies of what a workspace requests and uses at all hosts.
 //!
-//! For each workspace a few hosts keep such a sum, those that rank first by rendezvous
-//! hashing over the hosts that may be running. Each host tells them how much it was asked
-//! and how much it let through; they answer with the part of the requests that may be let
-//! through now. So a limit is divided by where requests really come, as in "Cloud Control
-//! with Distributed Rate Limiting" (Raghavan et al., SIGCOMM 2007), where all limiters drop
-//! at random with one chance that follows from the sum; there it is passed around by
-//! gossip, here two hosts hold it, as gossip takes seconds in a large fleet.
+//! For each workspace a few hosts keep a tally: those that rank first by rendezvous hashing over
+//! the hosts that may be running. Each host reports to them how many requests it received and
+//! admitted. They reply with the fraction of requests that may be admitted now. A limit is thus
+//! divided according to where requests arrive, as in "Cloud Control with Distributed Rate Limiting"
+//! (Raghavan et al., SIGCOMM 2007), where all limiters drop at random with a common probability
+//! computed from the global demand. There the demand is spread by gossip; here two hosts hold it,
+//! because gossip takes seconds in a large fleet.
 
 use elmstream::time::{MILLI, Time};
 use rustc_hash::FxHashMap;
@@ -14,151 +14,153 @@
 
 use crate::{model::Workspace, settings::Bounds, sliding_window::SlidingWindow};
 
-/// Part of the allowed overshoot that is given out, and none of the slack. The rest is for
-/// what comes while hosts do not know the latest part yet, above all in the seconds in
-/// which hosts that lost each other do not know that either (`tests/limits.rs`).
-const OVERSHOOT_USED: f64 = 0.1;
-/// Part of the rate that a host gives out in the first window after its start. What was let
-/// through before it does not know, and that may be a whole burst just before all hosts
-/// were killed. Workspaces that ask 0.63 of their limit are not held back by it.
-const YOUNG: f64 = 0.65;
-/// Part of the slack on top of that.
-const YOUNG_SLACK: f64 = 0.25;
-/// Time over which the room that is left is shared out among hosts that report. It has to
-/// be some three times as long as what they go by is old, or the sum overshoots.
-const SHARE_OUT: u64 = 600 * MILLI;
-/// The same among hosts that do not report and are told each 300 ms.
-const SHARE_OUT_TOLD: u64 = 900 * MILLI;
-/// Time over which requests are counted.
-const SLOW: u64 = 1_000 * MILLI;
-/// Parts that they are counted in, as long as hosts take from one report to the next, so
-/// that a jump shows at once.
-const STEP: u64 = 100 * MILLI;
-/// Requests that come in one part by chance, of a workspace that asks a few times a second.
-const CHANCE: f64 = 2.0;
-const STEPS: usize = (SLOW / STEP) as usize;
-/// Time for which a part that was worked out is given again.
-const WORKED_OUT: u64 = 50 * MILLI;
-/// A host that falls silent for this long, and for this many times as long as it is apart
-/// from one request to the next, may have been cut off. It then has its own part.
-const SILENT: u64 = 300 * MILLI;
-const SILENT_TIMES: u64 = 4;
-/// One of so many hosts, or fewer, are too few to sum up for each other.
-const FEW: usize = 8;
-/// A host stands in for those that rank before it if no report has come for this long that
-/// was sent to it first.
-const STANDS_IN: u64 = 1_000 * MILLI;
-/// Requests that a host's first report counts as new ones, as most may be older.
-const FIRST_ASKED: u32 = 2;
-/// A host's last report is remembered for so long, to know what is new in the next one. A
-/// host of a large fleet is asked by a small workspace once in minutes.
-const REMEMBERED: u64 = 300_000 * MILLI;
-
-/// What a host was asked by one workspace, and let through.
+/// Fraction of the allowed overshoot that is allocated; none of the slack is. The rest covers what
+/// is admitted before hosts learn the latest fraction, above all in the seconds in which hosts that
+/// have lost each other have not noticed it yet (`tests/limits.rs`).
+const OVERSHOOT_FRACTION_ALLOCATED: f64 = 0.1;
+/// Fraction of the rate that a host allocates in the first window after its start. It does not know
+/// what was admitted before, which may be a whole burst just before all hosts were killed. A
+/// workspace that uses 0.63 of its limit is not throttled by it.
+const STARTUP_RATE_FRACTION: f64 = 0.65;
+/// Fraction of the slack that is allocated in addition to that.
+const STARTUP_SLACK_FRACTION: f64 = 0.25;
+/// Time over which the remaining requests are allocated to hosts that report. It must be about
+/// three times the age of the fractions that they use, or the total overshoots.
+const ALLOCATION_SPAN: u64 = 600 * MILLI;
+/// Like `ALLOCATION_SPAN`, for hosts that do not report and get a broadcast every 300 ms.
+const BROADCAST_ALLOCATION_SPAN: u64 = 900 * MILLI;
+/// Time over which the request rate is averaged.
+const RATE_WINDOW: u64 = 1_000 * MILLI;
+/// Resolution of the request rate. It equals the interval of the hosts' reports, so that a jump
+/// shows at once.
+const RATE_STEP: u64 = 100 * MILLI;
+/// Number of requests that a workspace with a few requests a second may make in one step by chance.
+const RANDOM_STEP_MAX: f64 = 2.0;
+const RATE_STEPS: usize = (RATE_WINDOW / RATE_STEP) as usize;
+/// Time for which a computed fraction is reused.
+const FRACTION_REUSE_TIME: u64 = 50 * MILLI;
+/// A host may have been cut off if it is silent for this long, and for this multiple of the mean
+/// time between its requests. Its own share is then reserved for it.
+const SILENCE_MIN: u64 = 300 * MILLI;
+const SILENCE_REQUEST_INTERVALS: u64 = 4;
+/// Hosts are isolated from the fleet if at most one in this many is live; that is too few to keep
+/// tallies for each other.
+const ISOLATED_FLEET_DIVISOR: usize = 8;
+/// A host stands in for those that rank before it if for this long it has received no report that
+/// was sent to it in the first place.
+const STAND_IN_AFTER: u64 = 1_000 * MILLI;
+/// Number of requests in a host's first report that count as new, because most may be older.
+const FIRST_REPORT_NEW_MAX: u32 = 2;
+/// Time for which a host's last report is kept, to compute what is new in the next one. In a large
+/// fleet, a host may receive a small workspace's requests minutes apart.
+const REPORT_TIMEOUT: u64 = 300_000 * MILLI;
+
+/// Requests of one workspace at one host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WorkspaceUsage {
-    /// The workspace's id.
+    /// Id of the workspace.
     pub workspace: u64,
-    /// Requests since the host's start, modulo 2^32.
+    /// Requests received since the host's start, modulo 2^32.
     pub requested: u32,
-    /// Those of them that were let through, modulo 2^32.
+    /// Requests admitted since the host's start, modulo 2^32.
     pub admitted: u32,
-    /// Those that were let through in the window up to now.
+    /// Requests admitted in the sliding window that ends now.
     pub admitted_in_window: u32,
 }
 
-/// A host's report.
+/// Report of a host's usage, sent to the hosts that keep the tallies.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReport {
     /// Hash of the host's start.
     pub start_hash: u64,
-    /// What workspaces asked and used.
+    /// Usage of the workspaces, one entry each.
     pub usages: Vec<WorkspaceUsage>,
     /// Whether hosts that rank before the receiver did not answer.
     pub earlier_unanswered: bool,
 }
 
-/// What part of a workspace's requests may be let through.
+/// Fraction of a workspace's requests that may be admitted.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AdmitFraction {
-    /// The workspace's id.
+    /// Id of the workspace.
     pub workspace: u64,
-    /// The part, 65,535 for all.
+    /// The fraction, scaled to 65,535 for 1.
     pub fraction: u16,
 }
 
 impl AdmitFraction {
-    /// A part from 0 to 1.
-    pub fn new(workspace: u64, part: f64) -> AdmitFraction {
-        AdmitFraction { workspace, fraction: (part * f64::from(u16::MAX)) as u16 }
+    /// Encodes a fraction from 0 to 1.
+    pub fn new(workspace: u64, value: f64) -> AdmitFraction {
+        AdmitFraction { workspace, fraction: (value * f64::from(u16::MAX)) as u16 }
     }
 
-    /// The part, from 0 to 1.
+    /// Decodes the fraction, from 0 to 1.
     pub fn value(&self) -> f64 {
         f64::from(self.fraction) / f64::from(u16::MAX)
     }
 }
 
-/// A part that all hosts are told.
+/// An admit fraction that is broadcast to all hosts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BroadcastFraction {
-    /// The part.
+    /// The fraction.
     pub fraction: AdmitFraction,
-    /// Hash of the address of the host that worked it out, cut to 32 bits.
+    /// Lower 32 bits of the hash of the address of the host that computed it.
     pub address_hash: u32,
-    /// When that was, in milliseconds of that host's clock, modulo 2^32.
+    /// When it was computed, in milliseconds of that host's clock, modulo 2^32.
     pub computed_at_ms: u32,
 }
 
-/// Parts for all hosts, on their way.
+/// Broadcast of admit fractions.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FractionBroadcast {
-    /// The parts.
+    /// The fractions.
     pub fractions: Vec<BroadcastFraction>,
-    /// Hosts that the receiver passes them on to: those the hashes of whose addresses are
-    /// from the first one up to the second one; none if both are alike.
+    /// Half-open range of address hashes; the receiver forwards the broadcast to the hosts in it.
+    /// Empty if both ends are equal.
     pub forward_range: (u64, u64),
 }
 
-/// The answer to a report.
+/// Reply to a usage report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReply {
-    /// Hash of the address of the host that sums.
+    /// Hash of the address of the host that keeps the tally.
     pub address_hash: u64,
-    /// Parts of the workspaces of the report.
+    /// Admit fractions of the workspaces in the report.
     pub fractions: Vec<AdmitFraction>,
 }
 
-/// How much of the fleet a host knows and hears.
+/// Number of hosts in the fleet, as one host sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView {
-    /// Hosts that may be running, this one included.
+    /// Hosts that may be running, including this one.
     pub possibly_running: usize,
-    /// Those of them that are heard, this one included.
+    /// Hosts that are live, including this one.
     pub live: usize,
-    /// Those of them that are in this host's region.
+    /// Live hosts in this host's region.
     pub near_live: usize,
 }
 
 impl FleetView {
-    /// The part of the fleet that is heard.
+    /// Fraction of the fleet that is live.
     ///
-    /// Hosts that are not heard may have been cut off and go on by themselves, so their
-    /// part of the limit is left to them.
-    fn part(self) -> f64 {
+    /// The other hosts may have been cut off and still be serving, so their share of the limit is
+    /// left to them.
+    fn live_fraction(self) -> f64 {
         self.live as f64 / self.possibly_running.max(self.live).max(1) as f64
     }
 
-    /// The part of the fleet that this host sums for while others who rank before it do
-    /// not answer: they may have been lost with their regions, which shows only seconds
-    /// later.
-    fn part_near(self) -> f64 {
+    /// Fraction of the fleet that this host keeps tallies for while the hosts that rank before it
+    /// do not answer. They may have been lost together with their regions, which is detected only
+    /// seconds later.
+    fn near_fraction(self) -> f64 {
         self.near_live.min(self.live) as f64 / self.possibly_running.max(self.live).max(1) as f64
     }
 
-    /// Whether so few are heard that each goes by its own part.
+    /// Whether so few hosts are live that each uses its local share.
     pub fn is_isolated(self) -> bool {
-        self.possibly_running > 1 && (self.live == 1 || self.live * FEW <= self.possibly_running)
+        self.possibly_running > 1
+            && (self.live == 1 || self.live * ISOLATED_FLEET_DIVISOR <= self.possibly_running)
     }
 }
 
@@ -167,199 +169,215 @@
     bounds.limit_window_s.max(1) * 1_000 * MILLI
 }
 
-/// Requests that a workspace may make in a window.
+/// Number of requests that a workspace may make in a window.
 pub fn window_limit(bounds: &Bounds, workspace: &Workspace) -> f64 {
     workspace.rate_per_s * bounds.limit_window_s as f64 + workspace.burst
 }
 
-/// Requests in a window that the hosts together let through.
+/// Number of requests in a window that all hosts together admit.
 pub fn fleet_allowance(bounds: &Bounds, workspace: &Workspace) -> f64 {
-    window_limit(bounds, workspace) * (1.0 + bounds.limit_overshoot * OVERSHOOT_USED)
+    window_limit(bounds, workspace) * (1.0 + bounds.limit_overshoot * OVERSHOOT_FRACTION_ALLOCATED)
 }
 
-/// What one host last reported.
+/// Last usage reported by one host.
 #[derive(Clone, Copy, Debug)]
 struct HostReport {
     requested: u32,
     admitted: u32,
-    used_in_window: u32,
+    admitted_in_window: u32,
     at: Time,
 }
 
 impl HostReport {
-    fn silent(&self, now: Time, window: u64) -> bool {
-        let apart = window / u64::from(self.used_in_window.max(1));
-        (SILENT.max(apart * SILENT_TIMES)..window).contains(&now.since(self.at))
+    fn is_silent(&self, now: Time, window: u64) -> bool {
+        let request_interval = window / u64::from(self.admitted_in_window.max(1));
+        (SILENCE_MIN.max(request_interval * SILENCE_REQUEST_INTERVALS)..window)
+            .contains(&now.since(self.at))
     }
 }
 
-/// What a host still gives out that has not run for a window yet.
+/// What a host may still allocate while it has run for less than a window.
 #[derive(Clone, Copy)]
 struct StartupAllowance {
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    /// Requests that are left.
-    left: f64,
+    /// Remaining requests.
+    remaining: f64,
 }
 
 impl StartupAllowance {
-    /// Requests over a time from now.
-    fn room(self, span: u64) -> f64 {
-        self.left + self.rate * span as f64 / 1e6
+    /// Requests that may be admitted within `span` microseconds from now.
+    fn headroom(self, span: u64) -> f64 {
+        self.remaining + self.rate * span as f64 / 1e6
     }
 }
 
-/// The sum of one workspace.
+/// Tally of one workspace.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    hosts: FxHashMap<u64, HostReport>,
-    /// Requests that were let through.
+    reports: FxHashMap<u64, HostReport>,
+    /// Requests admitted by all hosts.
     used: SlidingWindow,
-    /// Those of them that this host heard of as new.
-    heard: i64,
-    /// Requests asked for, by tenth of a second.
-    asked: [u32; STEPS],
-    step: u64,
-    part: f64,
-    told: f64,
-    /// When a report last came that was sent here first.
-    first_asked: Time,
-    worked_out: Option<Time>,
+    /// Admitted requests that were reported as new to this host.
+    admitted_since_start: i64,
+    /// Requests received by all hosts, by step of `RATE_STEP`.
+    requested_by_step: [u32; RATE_STEPS],
+    current_step: u64,
+    fraction: f64,
+    broadcast_fraction: f64,
+    /// When a report last arrived that was sent to this host in the first place.
+    last_primary_report: Time,
+    computed_at: Option<Time>,
 }
 
 impl Tally {
-    /// A host told of its requests.
-    pub fn on_report(&mut self, now: Time, window: u64, from: &UsageReport, told: WorkspaceUsage) {
+    /// Takes in a host's usage.
+    pub fn on_report(&mut self, now: Time, window: u64, from: &UsageReport, usage: WorkspaceUsage) {
         self.advance(now);
-        let reader = from.start_hash;
+        let start_hash = from.start_hash;
         if !from.earlier_unanswered {
-            self.first_asked = now;
+            self.last_primary_report = now;
         }
-        let WorkspaceUsage { requested, admitted, admitted_in_window: used_in_window, .. } = told;
-        let new = HostReport { requested, admitted, used_in_window, at: now };
-        let requested = match self.hosts.insert(reader, new) {
-            // Reports that come out of order show less than is known.
+        let WorkspaceUsage { requested, admitted, admitted_in_window, .. } = usage;
+        let new = HostReport { requested, admitted, admitted_in_window, at: now };
+        let requested = match self.reports.insert(start_hash, new) {
+            // Reports can arrive out of order; an older one adds nothing.
             Some(old) if (requested.wrapping_sub(old.requested) as i32) < 0 => {
-                self.hosts.insert(reader, old);
+                self.reports.insert(start_hash, old);
                 return;
             }
             Some(old) => {
-                let more = admitted.wrapping_sub(old.admitted) as i32;
-                self.used.adjust(now, window, more);
-                self.heard += i64::from(more);
+                let newly_admitted = admitted.wrapping_sub(old.admitted) as i32;
+                self.used.adjust(now, window, newly_admitted);
+                self.admitted_since_start += i64::from(newly_admitted);
                 requested.wrapping_sub(old.requested)
             }
             None => {
-                let latest = used_in_window.min(FIRST_ASKED);
-                self.used.adjust(now, window, latest as i32);
-                self.heard += i64::from(latest);
-                self.used.add_spread(now, window, used_in_window - latest, reader);
-                requested.min(FIRST_ASKED)
+                let counted_as_new = admitted_in_window.min(FIRST_REPORT_NEW_MAX);
+                self.used.adjust(now, window, counted_as_new as i32);
+                self.admitted_since_start += i64::from(counted_as_new);
+                self.used.add_spread(now, window, admitted_in_window - counted_as_new, start_hash);
+                requested.min(FIRST_REPORT_NEW_MAX)
             }
         };
-        let at = (self.step % STEPS as u64) as usize;
-        self.asked[at] = self.asked[at].saturating_add(requested);
+        let index = (self.current_step % RATE_STEPS as u64) as usize;
+        self.requested_by_step[index] = self.requested_by_step[index].saturating_add(requested);
     }
 
-    /// The part of the workspace's requests that may be let through.
+    /// Fraction of the workspace's requests that a reporting host may admit.
     ///
-    /// `age` is how long this host has been running: what was let through before is not
-    /// known, so the whole limit is taken to have been used.
+    /// `uptime` is how long this host has been running, in microseconds. What was admitted before
+    /// its start is unknown, so the whole limit is assumed to have been used.
     pub fn fraction(
         &mut self,
         now: Time,
         bounds: &Bounds,
         workspace: &Workspace,
-        heard: FleetView,
-        age: u64,
+        fleet: FleetView,
+        uptime: u64,
     ) -> f64 {
-        if self.worked_out.is_some_and(|at| now.since(at) < WORKED_OUT) {
-            return self.part;
+        if self.computed_at.is_some_and(|at| now.since(at) < FRACTION_REUSE_TIME) {
+            return self.fraction;
         }
-        self.worked_out = Some(now);
+        self.computed_at = Some(now);
         self.advance(now);
-        self.hosts.retain(|_, told| now.since(told.at) < REMEMBERED);
+        self.reports.retain(|_, report| now.since(report.at) < REPORT_TIMEOUT);
         let window = window_us(bounds);
-        let room = self.room(now, bounds, workspace, heard);
-        let young = self.young(bounds, workspace, heard, age);
-        let mut share_out = |span: u64| {
-            let leaving = f64::from(self.used.expiring(now, window, span));
-            let young = young.map_or(f64::MAX, |young| young.room(span));
-            let asked = self.rate() * span as f64 / 1e6;
-            (young.min(room + leaving) / asked.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0)
+        let headroom = self.headroom(now, bounds, workspace, fleet);
+        let startup = self.startup_allowance(bounds, workspace, fleet, uptime);
+        let mut fraction_over = |span: u64| {
+            let expiring = f64::from(self.used.expiring(now, window, span));
+            let startup = startup.map_or(f64::MAX, |startup| startup.headroom(span));
+            let expected = self.rate() * span as f64 / 1e6;
+            (startup.min(headroom + expiring) / expected.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0)
         };
-        (self.part, self.told) = (share_out(SHARE_OUT), share_out(SHARE_OUT_TOLD));
-        self.part
+        (self.fraction, self.broadcast_fraction) =
+            (fraction_over(ALLOCATION_SPAN), fraction_over(BROADCAST_ALLOCATION_SPAN));
+        self.fraction
     }
 
-    /// Requests that may still be let through in the window up to now; below 0 if there
-    /// were too many.
-    fn room(&mut self, now: Time, bounds: &Bounds, workspace: &Workspace, heard: FleetView) -> f64 {
+    /// Number of requests that may still be admitted in the window that ends now; negative after an
+    /// overshoot.
+    fn headroom(
+        &mut self,
+        now: Time,
+        bounds: &Bounds,
+        workspace: &Workspace,
+        fleet: FleetView,
+    ) -> f64 {
         let window = window_us(bounds);
-        let kept = |at: u64| 1.0 - (at.min(window) as f64 / window as f64);
+        let remaining_fraction = |age: u64| 1.0 - (age.min(window) as f64 / window as f64);
         let limit = window_limit(bounds, workspace);
-        let own_part = limit / heard.possibly_running.max(1) as f64;
-        let silent = self.hosts.values().filter(|told| told.silent(now, window));
-        // What a silent host let through before is in the sum until it leaves the window.
-        let counted = silent.map(|told| f64::from(told.used_in_window) * kept(now.since(told.at)));
-        let left: f64 = counted.map(|counted| (own_part - counted).max(0.0)).sum();
-        let used = f64::from(self.used.sum(now, window)) + left;
-        let stands_in = now.since(self.first_asked) > STANDS_IN;
-        let part = if stands_in { heard.part_near() } else { heard.part() };
-        fleet_allowance(bounds, workspace) * part - used
+        let own_share = limit / fleet.possibly_running.max(1) as f64;
+        let silent_hosts = self.reports.values().filter(|report| report.is_silent(now, window));
+        // What a silent host admitted before stays in the total until it leaves the window.
+        let still_counted = silent_hosts.map(|report| {
+            f64::from(report.admitted_in_window) * remaining_fraction(now.since(report.at))
+        });
+        let reserved: f64 =
+            still_counted.map(|still_counted| (own_share - still_counted).max(0.0)).sum();
+        let used = f64::from(self.used.sum(now, window)) + reserved;
+        let is_standing_in = now.since(self.last_primary_report) > STAND_IN_AFTER;
+        let fleet_fraction =
+            if is_standing_in { fleet.near_fraction() } else { fleet.live_fraction() };
+        fleet_allowance(bounds, workspace) * fleet_fraction - used
     }
 
-    /// What a host gives out that has not run for a window yet.
-    fn young(
+    /// The startup allowance; `None` once the host has run for a whole window.
+    fn startup_allowance(
         &self,
         bounds: &Bounds,
         workspace: &Workspace,
-        heard: FleetView,
-        age: u64,
+        fleet: FleetView,
+        uptime: u64,
     ) -> Option<StartupAllowance> {
-        let part = heard.part();
-        let rate = workspace.rate_per_s * YOUNG * part;
-        let given = rate * age as f64 / 1e6 + bounds.limit_slack * YOUNG_SLACK * part;
-        (age < window_us(bounds))
-            .then_some(StartupAllowance { rate, left: given - self.heard as f64 })
+        let fleet_fraction = fleet.live_fraction();
+        let rate = workspace.rate_per_s * STARTUP_RATE_FRACTION * fleet_fraction;
+        let total = rate * uptime as f64 / 1e6
+            + bounds.limit_slack * STARTUP_SLACK_FRACTION * fleet_fraction;
+        (uptime < window_us(bounds)).then_some(StartupAllowance {
+            rate,
+            remaining: total - self.admitted_since_start as f64,
+        })
     }
 
-    /// What hosts have to know that do not report, and when it was worked out; none if
-    /// all their requests may be let through.
+    /// Fraction for hosts that do not report, and when it was computed; `None` if they may admit
+    /// all requests.
     pub fn broadcast_fraction(&self, now: Time) -> Option<(f64, Time)> {
-        let at = self.worked_out.filter(|at| now.since(*at) < SLOW)?;
-        (self.told < 1.0).then_some((self.told, at))
+        let at = self.computed_at.filter(|at| now.since(*at) < RATE_WINDOW)?;
+        (self.broadcast_fraction < 1.0).then_some((self.broadcast_fraction, at))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     fn rate(&self) -> f64 {
         let recent = |steps: u64| {
-            let back = (0..steps).map(|back| self.step.saturating_sub(back) % STEPS as u64);
-            back.map(|at| f64::from(self.asked[at as usize])).sum::<f64>()
+            let ago =
+                (0..steps).map(|ago| self.current_step.saturating_sub(ago) % RATE_STEPS as u64);
+            ago.map(|at| f64::from(self.requested_by_step[at as usize])).sum::<f64>()
         };
-        let mean = recent(STEPS as u64) * 1e6 / SLOW as f64;
-        // The present part has only begun, so the one before counts as well.
-        let now = recent(1).max(recent(2) - recent(1));
-        if now > CHANCE { mean.max(now * 1e6 / STEP as f64) } else { mean }
+        let mean = recent(RATE_STEPS as u64) * 1e6 / RATE_WINDOW as f64;
+        // The present step has only begun, so the previous one counts as well.
+        let latest = recent(1).max(recent(2) - recent(1));
+        if latest > RANDOM_STEP_MAX { mean.max(latest * 1e6 / RATE_STEP as f64) } else { mean }
     }
 
-    /// Forgets what hosts let through under a higher limit.
+    /// Forgets what hosts admitted under a higher limit.
     pub fn clear(&mut self) {
         self.used.clear();
-        self.worked_out = None;
+        self.computed_at = None;
     }
 
-    /// Whether nothing has been told for long.
+    /// Whether no host has reported for so long that the tally can be dropped.
     pub fn is_idle(&self, now: Time) -> bool {
-        self.hosts.values().all(|told| now.since(told.at) >= REMEMBERED)
+        self.reports.values().all(|report| now.since(report.at) >= REPORT_TIMEOUT)
     }
 
     fn advance(&mut self, now: Time) {
-        let step = now.0 / STEP;
-        let passed = step.saturating_sub(self.step).min(STEPS as u64);
+        let step = now.0 / RATE_STEP;
+        let passed = step.saturating_sub(self.current_step).min(RATE_STEPS as u64);
         for ahead in 0..passed {
-            self.asked[((step - ahead) % STEPS as u64) as usize] = 0;
+            self.requested_by_step[((step - ahead) % RATE_STEPS as u64) as usize] = 0;
         }
-        self.step = self.step.max(step);
+        self.current_step = self.current_step.max(step);
     }
 }
