--- a/elmstream_steer/src/key.rs
+++ b/elmstream_steer/src/key.rs
@@ -1,7 +1,7 @@
-//! Keys that callers show, as digests.
+//! Digests of the keys that callers present.
 //!
-//! Only the digest of a key is kept, told to other hosts or compared, so no message, log
-//! line or memory image of another host holds a key.
+//! Only the digest of a key is stored, sent to other hosts or compared, so no message, log line or
+//! memory image of another host contains a key.
 
 use std::fmt;
 
@@ -9,32 +9,32 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Bytes of a digest: the first half of SHA-256, as a key cannot be found from it and no
-/// two of a configuration's keys share it by chance.
-const BYTES: usize = 16;
+/// Length of a digest in bytes: the first half of SHA-256. A key cannot be recovered from it, and
+/// two keys of a configuration do not collide by chance.
+const DIGEST_BYTES: usize = 16;
 
-/// Digest of a key.
+/// Digest of a key. Comparisons take constant time.
 #[derive(Clone, Copy, Deserialize, Serialize)]
-pub struct KeyDigest([u8; BYTES]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// Digest of a key as a caller shows it.
+    /// Computes the digest of a key as the caller presents it.
     pub fn of(key: &[u8]) -> KeyDigest {
-        let whole = Sha256::digest(key);
-        let mut digest = [0; BYTES];
-        digest.copy_from_slice(&whole[..BYTES]);
+        let full = Sha256::digest(key);
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&full[..DIGEST_BYTES]);
         KeyDigest(digest)
     }
 
-    /// Where it stands among others. What a caller can learn from the time of a search by
-    /// it concerns the digest only, which says nothing of other keys.
+    /// Prefix of the digest for sorting. The time of a search by it reveals something about the
+    /// presented digest only, not about other keys.
     pub(crate) fn sort_key(&self) -> u64 {
         let (first, _) = self.0.split_at(size_of::<u64>());
-        first.iter().fold(0, |place, byte| place << 8 | u64::from(*byte))
+        first.iter().fold(0, |prefix, byte| prefix << 8 | u64::from(*byte))
     }
 }
 
-/// In constant time.
+/// Compares in constant time.
 impl PartialEq for KeyDigest {
     fn eq(&self, other: &KeyDigest) -> bool {
         self.0.ct_eq(&other.0).into()
@@ -43,7 +43,7 @@
 
 impl Eq for KeyDigest {}
 
-/// Digests are not written down either.
+/// Omits the digest, so that it does not get into logs.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest")
--- a/elmstream_steer/src/lookup.rs
+++ b/elmstream_steer/src/lookup.rs
@@ -1,18 +1,17 @@
-//! Which entry hosts callers are told to use.
+//! Selects the entry hosts that are returned to callers.
 
 use std::net::SocketAddr;
 
-/// Hosts of one failure domain that are enough for its callers: with fewer, they are
-/// told those of the region too, so that a lost domain leaves them somewhere to go
-/// before they look up again.
-const ENOUGH: usize = 4;
-/// Addresses in one answer.
-const MOST: usize = 64;
+/// Minimum number of hosts in a failure domain. With fewer, the answer contains those of the whole
+/// region, so that callers still have hosts to use if the domain is lost before their next lookup.
+const DOMAIN_HOSTS_MIN: usize = 4;
+/// Maximum number of addresses in one answer.
+const ADDRESSES_MAX: usize = 64;
 
-/// A host that serves callers.
+/// An entry host that is ready to serve callers.
 #[derive(Clone, Debug)]
 pub struct ReadyHost<'a> {
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
     /// Failure domain.
     pub domain: &'a str,
@@ -20,31 +19,31 @@
     pub region: &'a str,
 }
 
-/// Addresses for callers of a failure domain, near hosts only.
+/// Addresses of the entry hosts for callers in a failure domain, sorted.
 ///
-/// Hosts of the failure domain if there are enough, else of the region, else of
-/// the regions in `homes`, else all.
+/// These are the hosts of the failure domain if there are enough, else those of the region, else
+/// those of the regions in `homes`, else all hosts.
 pub fn entry_hosts(
     hosts: &[ReadyHost<'_>],
     domain: &str,
     region: &str,
     homes: &[String],
 ) -> Vec<SocketAddr> {
-    let pick = |keep: &dyn Fn(&ReadyHost<'_>) -> bool| -> Vec<SocketAddr> {
-        let kept = hosts.iter().filter(|host| keep(host));
-        kept.map(|host| host.callers).collect()
+    let select = |includes: &dyn Fn(&ReadyHost<'_>) -> bool| -> Vec<SocketAddr> {
+        let selected = hosts.iter().filter(|host| includes(host));
+        selected.map(|host| host.callers).collect()
     };
-    let mut found = pick(&|host| host.domain == domain);
-    if found.len() < ENOUGH {
-        found = pick(&|host| host.region == region);
+    let mut found = select(&|host| host.domain == domain);
+    if found.len() < DOMAIN_HOSTS_MIN {
+        found = select(&|host| host.region == region);
     }
     if found.is_empty() {
-        found = pick(&|host| homes.iter().any(|home| home == host.region));
+        found = select(&|host| homes.iter().any(|home| home == host.region));
     }
     if found.is_empty() {
-        found = pick(&|_| true);
+        found = select(&|_| true);
     }
     found.sort_unstable();
-    found.truncate(MOST);
+    found.truncate(ADDRESSES_MAX);
     found
 }
--- a/elmstream_steer/src/model.rs
+++ b/elmstream_steer/src/model.rs
@@ -1,4 +1,4 @@
-//! What an outside authority tells: routes, services, limits, backend servers.
+//! Data of the external store: routes, services, limits, workspaces and backend servers.
 
 use std::net::SocketAddr;
 
@@ -10,94 +10,95 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeatability {
-    /// It may run again after any failure.
+    /// The request may run again after any failure.
     Safe,
-    /// It runs at most once.
+    /// The request runs at most once.
     Once,
 }
 
-/// A service and its part of a route's requests.
+/// A service and its weight among the services of a route.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Its part, relative to the other parts of the route.
+    /// Share of the route's requests, relative to the other weights of the route.
     pub weight: f64,
 }
 
-/// Requests of one host and path prefix, and how they are served.
+/// Requests with one host and path prefix, and how they are served.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: String,
-    /// Host that the caller asks for, without a port.
+    /// Host name in the request, without a port.
     pub host: String,
     /// Beginning of the path; starts and ends with a slash.
     pub prefix: String,
     /// Whether requests may run again.
     pub repeat: Repeatability,
-    /// Backend servers that one request is sent to at most.
+    /// Maximum number of backend servers that one request is sent to.
     pub attempts: u32,
-    /// Time in which a request gets its final answer, in milliseconds.
+    /// Time within which a request gets its final answer, in milliseconds.
     pub timeout_ms: u64,
-    /// Time in which an answer is of full use, in milliseconds.
+    /// Time within which an answer is fully useful, in milliseconds.
     pub objective_ms: u64,
-    /// Rank among the routes; 0 is the most urgent.
+    /// Priority among the routes; 0 is the most urgent.
     pub priority: u32,
-    /// Whether requests of one key should meet the same backend server.
+    /// Whether requests with one affinity key should go to one backend server.
     pub affinity: bool,
     /// Regions in which the requests may run; empty for any.
     pub homes: Vec<String>,
-    /// Services that the requests are divided among; at least one.
+    /// Services that share the requests; at least one.
     pub parts: Vec<WeightedService>,
-    /// Whether requests need no workspace's key.
+    /// Whether requests need no workspace key.
     #[serde(default)]
     pub open: bool,
 }
 
-/// Callers who share keys, a limit and homes.
+/// A group of callers with common keys, limit and home regions.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Workspace {
-    /// Its name, which backend servers are told.
+    /// Name of the workspace; it is passed on to backend servers.
     pub name: String,
-    /// Digests of its keys; the keys themselves stay with whoever reads the store.
+    /// Digests of the workspace's keys. The keys themselves stay with the reader of the store.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, in place of the route's; 0 is the most urgent.
+    /// Priority of its requests, which replaces that of the route; 0 is the most urgent.
     pub priority: Option<u32>,
-    /// Requests a second that it may make of all hosts together; 0 for any number.
+    /// Requests per second that all hosts together admit; 0 for no limit.
     pub rate_per_s: f64,
-    /// Requests on top of that.
+    /// Requests that may be made at once in addition to the rate.
     pub burst: f64,
-    /// Regions in which its requests may run; empty for any. A route's homes bind too.
+    /// Regions in which its requests may run; empty for any. The route's home regions apply as
+    /// well.
     pub homes: Vec<String>,
 }
 
-/// A service that backend servers belong to.
+/// A service, which backend servers run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Time that a backend server stays cold after its start, in milliseconds.
+    /// Time for which a backend server is cold after its start, in milliseconds.
     pub cold_ms: u64,
-    /// Requests a second that a cold backend server bears.
+    /// Requests per second that a cold backend server can handle.
     pub cold_per_s: f64,
 }
 
-/// Bounds on what callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum length of a request's head, in bytes.
     pub header_bytes: u64,
-    /// Bytes of a request's body.
+    /// Maximum length of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Time in which a head must have come, in milliseconds.
+    /// Time within which a head must have arrived, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Time for which a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -112,48 +113,48 @@
     }
 }
 
-/// A whole configuration; a higher version replaces a lower one.
+/// A complete configuration; a higher version replaces a lower one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// Rises with each change, in uneven steps.
+    /// Version; it increases with each change, not necessarily by one.
     pub version: u64,
     /// Routes in any order.
     pub routes: Vec<Route>,
-    /// Services that routes name.
+    /// Services that the routes refer to.
     pub services: Vec<Service>,
-    /// Bounds on what callers may send.
+    /// Limits on the requests and connections of callers.
     pub limits: Limits,
-    /// Workspaces; with none, no route asks for a key.
+    /// Workspaces. Without any, no route requires a key.
     pub workspaces: Vec<Workspace>,
 }
 
-/// A start of a backend server, as it tells of itself.
+/// A start of a backend server, as it registers itself in the store.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Server {
-    /// Service that it belongs to.
+    /// Name of the service that it runs.
     pub service: String,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Failure domain that it runs in.
     pub domain: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and gets no new requests.
+    /// Whether it is leaving and gets no new requests.
     pub draining: bool,
-    /// How much longer it is cold, in milliseconds, when this was told.
+    /// Remaining time for which it is cold, in milliseconds, when this entry was written.
     pub cold_ms: u64,
-    /// Tells its starts apart if one comes back under its id; 0 if that is not told.
+    /// Distinguishes starts that use one id; 0 if unknown.
     pub born: u64,
-    /// Number of this entry among those of its start; 0 if that is not told.
+    /// Sequence number of this entry among those of its start; 0 if unknown.
     pub entries: u64,
-    /// Version of its software; empty if that is not told.
+    /// Version of its software; empty if unknown.
     #[serde(default)]
     pub version: String,
 }
 
 impl Server {
-    /// Whether two entries say the same, however many have been written.
+    /// Whether two entries are equal, apart from their sequence numbers.
     pub fn same_content(&self, other: &Server) -> bool {
         let Server {
             service,
--- a/elmstream_steer/src/routes.rs
+++ b/elmstream_steer/src/routes.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request.
+//! Finds the route and the service of a request.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -7,14 +7,14 @@
     model::{Configuration, Route},
 };
 
-/// Routes by host, the longest prefix first.
+/// Routes by host name, sorted by descending length of the prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, Vec<Rc<Route>>>,
 }
 
 impl RouteTable {
-    /// The routes of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(configuration: &Configuration) -> RouteTable {
         let mut by_host: HashMap<String, Vec<Rc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -27,7 +27,7 @@
         RouteTable { by_host }
     }
 
-    /// The route with the longest prefix of a path; the host may bear a port.
+    /// Returns the route with the longest matching path prefix. `host` may include a port.
     pub fn find(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let name = host.split(':').next().unwrap_or_default();
         let routes = match self.by_host.get(name) {
@@ -38,15 +38,16 @@
     }
 }
 
-/// The service that a request of a route goes to; `draw` decides by weight.
+/// Picks the service of a request among those of the route, at random by weight; `draw` is a hash
+/// that serves as the random number.
 pub fn pick_service(route: &Route, draw: u64) -> &str {
     let total: f64 = route.parts.iter().map(|part| part.weight).sum();
-    let mut left = hash::unit_interval(draw) * total;
+    let mut remaining = hash::unit_interval(draw) * total;
     let mut last = "";
     for part in route.parts.iter().filter(|part| part.weight > 0.0) {
         last = &part.service;
-        left -= part.weight;
-        if left < 0.0 {
+        remaining -= part.weight;
+        if remaining < 0.0 {
             break;
         }
     }
--- a/elmstream_steer/src/workspaces.rs
+++ b/elmstream_steer/src/workspaces.rs
@@ -1,4 +1,5 @@
-//! Which workspace a request belongs to, and whether its route lets it in.
+//! Authenticates requests: finds the workspace of a key, and decides whether the route admits the
+//! request.
 
 use std::rc::Rc;
 
@@ -8,68 +9,67 @@
     model::{Configuration, Route, Workspace},
 };
 
-/// What a request shows of a key.
+/// The key that a request presents.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PresentedKey {
-    /// Nothing.
+    /// The request has no key.
     Absent,
-    /// A key.
+    /// The digest of the request's key.
     Key(KeyDigest),
-    /// Several, or what cannot be read as one.
+    /// The request has several keys, or a malformed one.
     Ambiguous,
 }
 
-/// Why a request is not let in.
+/// Reasons to deny a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// The route asks for a key, and there is none.
+    /// The route requires a key, and the request has none.
     Missing,
     /// No workspace has the key.
     Unknown,
-    /// It is not clear which key is meant.
+    /// The request does not identify a single key.
     Ambiguous,
-    /// One of these, but a newer configuration may say otherwise.
+    /// The request would be denied, but this host's configuration may be outdated.
     Stale,
 }
 
-/// A workspace, and what it goes by in messages between hosts.
+/// A workspace with the id that messages between hosts use for it.
 #[derive(Debug)]
 pub struct WorkspaceEntry {
-    /// As it is configured.
+    /// The workspace's configuration.
     pub workspace: Workspace,
-    /// Hash of its name.
+    /// Hash of the workspace's name.
     pub id: u64,
 }
 
-/// Workspaces of a configuration, by key and by id.
+/// Workspaces of a configuration, indexed by key and by id.
 #[derive(Clone, Debug, Default)]
 pub struct WorkspaceTable {
-    /// In the order of ids.
+    /// Sorted by id.
     all: Vec<Rc<WorkspaceEntry>>,
-    /// Each key and the place of its workspace in `all`, in the order of digests.
+    /// Each key with the index of its workspace in `all`, sorted by digest.
     keys: Vec<(KeyDigest, u32)>,
 }
 
 impl WorkspaceTable {
-    /// The workspaces of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(configuration: &Configuration) -> WorkspaceTable {
-        let member = |workspace: &Workspace| {
+        let entry = |workspace: &Workspace| {
             let id = hash::of(&workspace.name);
             Rc::new(WorkspaceEntry { workspace: workspace.clone(), id })
         };
-        let mut all: Vec<Rc<WorkspaceEntry>> =
-            configuration.workspaces.iter().map(member).collect();
-        all.sort_by_key(|member| member.id);
-        let places = all.iter().zip(0u32..);
-        let keys = places.flat_map(|(member, place)| {
-            member.workspace.keys.iter().map(move |digest| (*digest, place))
+        let mut all: Vec<Rc<WorkspaceEntry>> = configuration.workspaces.iter().map(entry).collect();
+        all.sort_by_key(|entry| entry.id);
+        let indexes = all.iter().zip(0u32..);
+        let keys = indexes.flat_map(|(entry, index)| {
+            entry.workspace.keys.iter().map(move |digest| (*digest, index))
         });
         let mut keys: Vec<(KeyDigest, u32)> = keys.collect();
-        keys.sort_by_key(|(digest, place)| (digest.sort_key(), *place));
+        keys.sort_by_key(|(digest, index)| (digest.sort_key(), *index));
         WorkspaceTable { all, keys }
     }
 
-    /// Whether there are none, so that no route asks for a key.
+    /// Whether there are no workspaces. Then no route requires a key.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
@@ -79,18 +79,19 @@
         self.all.iter()
     }
 
-    /// A workspace by its id.
+    /// Returns a workspace by its id.
     pub fn get(&self, id: u64) -> Option<&Rc<WorkspaceEntry>> {
-        let at = self.all.binary_search_by_key(&id, |member| member.id).ok()?;
-        self.all.get(at)
+        let index = self.all.binary_search_by_key(&id, |entry| entry.id).ok()?;
+        self.all.get(index)
     }
 
-    /// The workspace that holds a key; none if several do.
+    /// Returns the workspace that has a key; `None` if no workspace or several have it.
     pub fn find(&self, digest: &KeyDigest) -> Option<&Rc<WorkspaceEntry>> {
-        let begin = self.keys.partition_point(|(known, _)| known.sort_key() < digest.sort_key());
-        let alike =
+        let begin = self.keys.partition_point(|(stored, _)| stored.sort_key() < digest.sort_key());
+        let candidates =
             self.keys[begin..].iter().take_while(|(k, _)| k.sort_key() == digest.sort_key());
-        let mut holders = alike.filter(|(known, _)| known == digest).map(|(_, place)| *place);
+        let mut holders =
+            candidates.filter(|(stored, _)| stored == digest).map(|(_, index)| *index);
         let first = holders.next()?;
         match holders.all(|other| other == first) {
             true => self.all.get(first as usize),
@@ -98,29 +99,31 @@
         }
     }
 
-    /// The workspace of a request; none if its route is open and no key says so.
+    /// Returns the workspace of a request; `None` if the route is open and the key belongs to no
+    /// workspace, or if there are no workspaces.
     ///
     /// # Errors
     ///
-    /// The request is not let in; `sure` says whether nothing newer can be known.
+    /// Returns the reason if the request is denied. It is [`Denial::Stale`] unless `can_deny` is
+    /// set, which means that this host's configuration is certain to be current.
     pub fn authenticate(
         &self,
         route: &Route,
-        shown: PresentedKey,
-        sure: bool,
+        presented: PresentedKey,
+        can_deny: bool,
     ) -> Result<Option<Rc<WorkspaceEntry>>, Denial> {
         if self.is_empty() {
             return Ok(None);
         }
-        let denial = match shown {
+        let denial = match presented {
             PresentedKey::Key(digest) => match self.find(&digest) {
-                Some(member) => return Ok(Some(Rc::clone(member))),
+                Some(entry) => return Ok(Some(Rc::clone(entry))),
                 None => Denial::Unknown,
             },
             PresentedKey::Absent => Denial::Missing,
             PresentedKey::Ambiguous => Denial::Ambiguous,
         };
-        match (route.open, sure) {
+        match (route.open, can_deny) {
             (true, _) => Ok(None),
             (false, true) => Err(denial),
             (false, false) => Err(Denial::Stale),
