--- a/elmstream_steer/src/digest.rs
+++ b/elmstream_steer/src/digest.rs
@@ -1,33 +1,34 @@
-//! What makes two requests the same, as a digest.
+//! Digest that identifies equal requests.
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a digest: no two requests share 128 bits by chance.
-const DIGEST: usize = 16;
+/// Length of a digest in bytes. With 128 bits, different requests do not collide by chance.
+const DIGEST_BYTES: usize = 16;
 
-/// Digest of what makes two requests the same.
+/// Digest of the parts of a request that make it equal to another one.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct RequestDigest(pub [u8; DIGEST]);
+pub struct RequestDigest(pub [u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The first bytes of a longer digest.
-    pub fn truncate(whole: &[u8; 2 * DIGEST]) -> RequestDigest {
-        let mut digest = [0; DIGEST];
-        digest.copy_from_slice(&whole[..DIGEST]);
+    /// Truncates a longer digest to its first bytes.
+    pub fn truncate(full: &[u8; 2 * DIGEST_BYTES]) -> RequestDigest {
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&full[..DIGEST_BYTES]);
         RequestDigest(digest)
     }
 
-    /// As hexadecimal digits, for lines and the store's keys.
+    /// Formats the digest as hexadecimal digits, for logs and store keys.
     pub fn hex(&self) -> String {
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// From hexadecimal digits.
+    /// Parses a digest from hexadecimal digits; `None` if the text is anything else.
     pub fn from_hex(text: &str) -> Option<RequestDigest> {
-        // The number's own reader would take a sign.
-        let digits = text.len() == 2 * DIGEST && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        // `from_str_radix` accepts a sign.
+        let digits =
+            text.len() == 2 * DIGEST_BYTES && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let number = u128::from_str_radix(text, 16).ok().filter(|_| digits)?;
         Some(RequestDigest(number.to_be_bytes()))
     }
--- a/elmstream_steer/src/returning_callers.rs
+++ b/elmstream_steer/src/returning_callers.rs
@@ -1,34 +1,36 @@
-//! Tells callers who come back from those who come first.
+//! Detects callers that retry after a refusal.
 //!
-//! A caller says how long it still waits. Most come first, with the same time left,
-//! so one with clearly less has been refused, or failed, before.
+//! A caller states how much time remains for its request. Most requests are first attempts and have
+//! the same remaining time, so a request with clearly less has probably been refused, or has
+//! failed, before.
 
 use std::collections::HashMap;
 
 use elmstream::time::{SECOND, Time};
 
-/// Part of the usual time below which a caller is taken to come back.
-const LESS: f64 = 0.93;
-/// Time in which a longer one that is no longer seen is forgotten.
-const MEMORY: u64 = 10 * SECOND;
+/// Fraction of the usual remaining time below which a caller counts as returning.
+const RETURNING_FRACTION: f64 = 0.93;
+/// Time after which the usual remaining time is replaced by a lower one, if it no longer occurs.
+const USUAL_TIMEOUT: u64 = 10 * SECOND;
 
-/// The time that first tries of each route bring.
+/// Usual remaining time of first attempts, by route.
 #[derive(Clone, Debug, Default)]
 pub struct ReturningCallers {
-    usual: HashMap<String, (u64, Time)>,
+    usual_remaining: HashMap<String, (u64, Time)>,
 }
 
 impl ReturningCallers {
-    /// Whether a request of a route with so many milliseconds left comes back.
-    pub fn is_returning(&mut self, now: Time, route: &str, left_ms: u64) -> bool {
-        let Some((usual, seen)) = self.usual.get_mut(route) else {
-            self.usual.insert(route.to_owned(), (left_ms, now));
+    /// Whether a request with `remaining_ms` milliseconds left comes from a returning caller. Takes
+    /// the time into account for later calls.
+    pub fn is_returning(&mut self, now: Time, route: &str, remaining_ms: u64) -> bool {
+        let Some((usual_ms, last_seen)) = self.usual_remaining.get_mut(route) else {
+            self.usual_remaining.insert(route.to_owned(), (remaining_ms, now));
             return false;
         };
-        if left_ms >= *usual || now.since(*seen) > MEMORY {
-            (*usual, *seen) = (left_ms, now);
+        if remaining_ms >= *usual_ms || now.since(*last_seen) > USUAL_TIMEOUT {
+            (*usual_ms, *last_seen) = (remaining_ms, now);
             return false;
         }
-        (left_ms as f64) < *usual as f64 * LESS
+        (remaining_ms as f64) < *usual_ms as f64 * RETURNING_FRACTION
     }
 }
