--- a/elmstream_steer/tests/cold.rs
+++ b/elmstream_steer/tests/cold.rs
@@ -1,4 +1,5 @@
-//! The bound on cold servers holds whatever hosts know of each other.
+//! The bound on requests to cold servers holds whatever the hosts know of each other: with
+//! partitions, restarts and any fleet size.
 
 mod support;
 
@@ -6,9 +7,9 @@
 use quickcheck::{QuickCheck, TestResult};
 use support::{COLD_PER_S, beats, ms, ready, route, send, server, with};
 
-/// Most requests to the cold server in any second, with hosts in `groups` that do
-/// not hear each other.
-fn worst_second(hosts: usize, groups: usize, restart_at: Option<u64>) -> usize {
+/// Maximum number of requests to the cold server in any second. Host `n` is in partition `n %
+/// partitions`; heartbeats do not cross partitions.
+fn max_requests_in_a_second(hosts: usize, partitions: usize, restart_at: Option<u64>) -> usize {
     let row = with(server("cold", "a1", 10), 10, |server| server.cold_ms = 60_000);
     let mut fleet: Vec<_> = (0..hosts).map(|n| ready(n, ms(0), vec![row.clone()])).collect();
     let route = route(Repeatability::Safe, &[]);
@@ -18,7 +19,7 @@
             fleet = (0..hosts).map(|n| ready(n, ms(at), vec![row.clone()])).collect();
         }
         if at % 100 == 0 {
-            beats(ms(at), &mut fleet, |from, to| from % groups == to % groups);
+            beats(ms(at), &mut fleet, |from, to| from % partitions == to % partitions);
         }
         for (n, host) in fleet.iter_mut().enumerate() {
             if let Pick::Send(index) = send(host, ms(at), &route, (at + n as u64) % 7) {
@@ -31,9 +32,9 @@
             }
         }
     }
-    let within =
+    let count_from =
         |start: &u64| sent.iter().filter(|at| (*start..*start + 1_000).contains(*at)).count();
-    sent.iter().map(within).max().unwrap_or(0)
+    sent.iter().map(count_from).max().unwrap_or(0)
 }
 
 fn bound() -> usize {
@@ -42,30 +43,32 @@
 }
 
 #[test]
-fn hosts_that_hear_each_other_use_the_server_within_its_bound() {
-    let worst = worst_second(40, 1, None);
-    assert!((5..=bound()).contains(&worst), "{worst} requests in a second");
+fn connected_hosts_use_a_cold_server_within_its_bound() {
+    let maximum = max_requests_in_a_second(40, 1, None);
+    assert!((5..=bound()).contains(&maximum), "{maximum} requests in a second");
 }
 
 #[test]
-fn two_halves_that_do_not_hear_each_other_keep_the_bound() {
-    let worst = worst_second(40, 2, None);
-    assert!(worst <= bound(), "{worst} requests in a second, allowed are {}", bound());
+fn partitioned_hosts_keep_the_cold_server_bound() {
+    let maximum = max_requests_in_a_second(40, 2, None);
+    assert!(maximum <= bound(), "{maximum} requests in a second, allowed are {}", bound());
 }
 
 #[test]
-fn a_restart_of_all_hosts_at_once_keeps_the_bound() {
+fn restart_of_all_hosts_keeps_the_cold_server_bound() {
     for restart in [3_000, 3_500, 3_980] {
-        let worst = worst_second(40, 1, Some(restart));
-        assert!(worst <= bound(), "{worst} requests in a second after a restart at {restart}");
+        let maximum = max_requests_in_a_second(40, 1, Some(restart));
+        assert!(maximum <= bound(), "{maximum} requests in a second after a restart at {restart}");
     }
 }
 
 #[test]
-fn any_number_of_hosts_in_two_halves_keeps_the_bound() {
-    fn check(hosts: u8, halves: bool) -> TestResult {
+fn cold_server_bound_holds_for_any_fleet_size() {
+    fn check(hosts: u8, partitioned: bool) -> TestResult {
         let hosts = usize::from(hosts % 60) + 1;
-        TestResult::from_bool(worst_second(hosts, if halves { 2 } else { 1 }, None) <= bound())
+        TestResult::from_bool(
+            max_requests_in_a_second(hosts, if partitioned { 2 } else { 1 }, None) <= bound(),
+        )
     }
     QuickCheck::new().tests(12).quickcheck(check as fn(u8, bool) -> TestResult);
 }
--- a/elmstream_steer/tests/returns.rs
+++ b/elmstream_steer/tests/returns.rs
@@ -1,4 +1,4 @@
-//! Callers who come back after a refusal.
+//! Detection of callers that retry after a refusal, and their longer maximum wait.
 
 mod support;
 
@@ -8,30 +8,30 @@
 use support::{SERVICE, ms, ready, route, server};
 
 #[test]
-fn a_caller_with_clearly_less_time_than_usual_comes_back() {
-    let mut returns = ReturningCallers::default();
-    assert!(!returns.is_returning(ms(0), "r", 2_000));
-    assert!(!returns.is_returning(ms(10), "r", 2_000));
-    assert!(!returns.is_returning(ms(20), "r", 1_950), "the way here takes a little");
-    assert!(returns.is_returning(ms(30), "r", 1_700));
-    assert!(!returns.is_returning(ms(40), "other", 1_700), "routes differ");
+fn caller_with_clearly_less_remaining_time_is_returning() {
+    let mut callers = ReturningCallers::default();
+    assert!(!callers.is_returning(ms(0), "r", 2_000));
+    assert!(!callers.is_returning(ms(10), "r", 2_000));
+    assert!(!callers.is_returning(ms(20), "r", 1_950), "network latency makes no difference");
+    assert!(callers.is_returning(ms(30), "r", 1_700));
+    assert!(!callers.is_returning(ms(40), "other", 1_700), "routes are independent");
 }
 
 #[test]
-fn what_is_usual_is_learned_anew_once_it_is_no_longer_seen() {
-    let mut returns = ReturningCallers::default();
-    assert!(!returns.is_returning(ms(0), "r", 2_000));
-    assert!(returns.is_returning(ms(9_000), "r", 1_000));
-    assert!(!returns.is_returning(ms(11_000), "r", 1_000));
-    assert!(!returns.is_returning(ms(12_000), "r", 1_000));
-    assert!(returns.is_returning(ms(12_010), "r", 700));
+fn usual_remaining_time_is_replaced_once_no_longer_seen() {
+    let mut callers = ReturningCallers::default();
+    assert!(!callers.is_returning(ms(0), "r", 2_000));
+    assert!(callers.is_returning(ms(9_000), "r", 1_000));
+    assert!(!callers.is_returning(ms(11_000), "r", 1_000));
+    assert!(!callers.is_returning(ms(12_000), "r", 1_000));
+    assert!(callers.is_returning(ms(12_010), "r", 700));
 }
 
-fn taken(returning: bool) -> usize {
+fn accepted(returning: bool) -> usize {
     let mut host = ready(0, ms(0), vec![server("one", "a1", 10)]);
     let route = route(Repeatability::Once, &[]);
     let mut sent = |key: &u64| {
-        let ask = PickRequest {
+        let request = PickRequest {
             route: &route,
             service: SERVICE,
             key: *key,
@@ -39,12 +39,12 @@
             returning,
             homes: &[],
         };
-        matches!(host.pick_server(ms(10), &ask), Pick::Send(_))
+        matches!(host.pick_server(ms(10), &request), Pick::Send(_))
     };
     (0..60).take_while(|key| sent(key)).count()
 }
 
 #[test]
-fn who_comes_back_finds_room_where_newcomers_are_refused() {
-    assert!(taken(true) >= taken(false) + 4, "{} and {}", taken(true), taken(false));
+fn returning_callers_are_accepted_where_new_ones_are_refused() {
+    assert!(accepted(true) >= accepted(false) + 4, "{} and {}", accepted(true), accepted(false));
 }
