--- a/elmstream_steer/src/server.rs
+++ b/elmstream_steer/src/server.rs
@@ -47,10 +47,11 @@
 /// Added to the time that a server is cold, for the propagation delay of its entry.
 const COLD_MARGIN: u64 = 300 * MILLI;
 
-/// State of one start of a backend server.
+/// State of a backend server, as this host sees it.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
-    /// Id of this start; each start has its own.
+    /// Id of the server; normally new for each start. [`Server::born`] distinguishes starts that
+    /// share an id.
     pub id: String,
     /// Hash of the id.
     pub hash: u64,
@@ -88,7 +89,8 @@
     /// Number of successive failed connections, and when the next one may be tried.
     connection_failures: u32,
     reconnect_at: Time,
-    /// The server reported that it is full, or its address belongs to another server, until then.
+    /// The server gets no requests until then, because it was full or another server had its
+    /// address.
     refused_until: Time,
     /// Number of requests that the server last reported, and when.
     reported_load: Option<(u32, Time)>,
