--- a/elmstream_steer/src/era.rs
+++ b/elmstream_steer/src/era.rs
@@ -157,7 +157,7 @@
 /// Whether two contents have the same meaning.
 pub(crate) fn same_content(one: Option<&RowContent>, other: Option<&RowContent>) -> bool {
     match (one, other) {
-        (Some(RowContent::Server(one)), Some(RowContent::Server(other))) => one.alike(other),
+        (Some(RowContent::Server(one)), Some(RowContent::Server(other))) => one.same_content(other),
         _ => one == other,
     }
 }
--- a/elmstream_steer/src/steer.rs
+++ b/elmstream_steer/src/steer.rs
@@ -364,9 +364,9 @@
             now,
             bounds: &self.settings.bounds,
             fleet: FleetView {
-                possible: self.fleet_size,
+                possibly_running: self.fleet_size,
                 live: self.reachable_hosts,
-                near: self.near_live_hosts,
+                near_live: self.near_live_hosts,
             },
             hosts_known: self.registry.is_known(),
             address_hashes: &self.address_hashes,
