--- a/elmstream_edge/src/poison.rs
+++ b/elmstream_edge/src/poison.rs
@@ -67,7 +67,7 @@
         "id": call.id, "code": code.number(), "status": code.http_status(),
         "content": digest.hex(), "route": call.route.name, "service": call.service,
         "workspace": call.workspace_name(), "took_ms": clock::now().since(call.received) / MILLI,
-        "servers_ended": harm.servers, "generations": harm.generations, "own": harm.own,
+        "servers_ended": harm.servers, "generations": harm.generations, "own": harm.observed_here,
         "last_s_ago": unix_s().saturating_sub(harm.last_s),
         "version": edge.steer.borrow().version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
@@ -150,7 +150,7 @@
 fn told(digest: &RequestDigest, harm: &PoisonEvidence, from: &str) -> Value {
     json!({
         "content": digest.hex(), "servers_ended": harm.servers, "generations": harm.generations,
-        "own": harm.own, "from": from,
+        "own": harm.observed_here, "from": from,
     })
 }
 
@@ -193,7 +193,7 @@
         }
     }
     let due = edge.steer.borrow().poison().pending_listings(clock::now());
-    if due.iter().any(|due| !due.first) {
+    if due.iter().any(|due| !due.decided_here) {
         let harmful = source.refused_requests().await?;
         for (digest, _) in &harmful.listed {
             edge.steer.borrow_mut().poison_mut().mark_listed(digest);
@@ -201,7 +201,7 @@
     }
     // What was let in again, or found to be listed, meanwhile is not due any more.
     let due = edge.steer.borrow().poison().pending_listings(clock::now());
-    for PendingListing { digest, endings, .. } in due {
+    for PendingListing { digest, crashes: endings, .. } in due {
         source.add_refused_request(&digest, &endings).await?;
         edge.steer.borrow_mut().poison_mut().mark_listed(&digest);
     }
--- a/elmstream_steer/src/leaving.rs
+++ b/elmstream_steer/src/leaving.rs
@@ -33,7 +33,7 @@
 
 impl LeavingServers {
     /// Whether a start is known to leave.
-    pub fn knows(&self, start: u64) -> bool {
+    pub fn contains(&self, start: u64) -> bool {
         self.0.contains_key(&start)
     }
 
@@ -54,7 +54,7 @@
     /// A start of a server said that it is about to leave; its id if that is new and it is
     /// known.
     pub(crate) fn record_leaving(&mut self, said: Time, start: u64) -> Option<String> {
-        if self.leaving_servers.knows(start) {
+        if self.leaving_servers.contains(start) {
             return None;
         }
         self.leaving_servers.0.insert(start, said);
@@ -69,7 +69,7 @@
         self.leaving_servers.0.retain(|_, said| now.since(*said) < REMEMBERED);
         let leavings = &self.leaving_servers;
         for entry in self.servers.all_mut().filter(|entry| entry.leaving) {
-            entry.leaving = leavings.knows(entry.start_hash());
+            entry.leaving = leavings.contains(entry.start_hash());
         }
     }
 
--- a/elmstream_steer/src/poison.rs
+++ b/elmstream_steer/src/poison.rs
@@ -53,7 +53,7 @@
     /// Nothing that is to be told at once.
     None,
     /// The count has grown to where it matters.
-    Grown,
+    GenerationRaised,
     /// The request is refused from now on.
     Refused(PoisonEvidence),
 }
@@ -64,9 +64,9 @@
     /// The request.
     pub digest: RequestDigest,
     /// Ends of servers under it.
-    pub endings: Vec<ServerCrash>,
+    pub crashes: Vec<ServerCrash>,
     /// Whether it is this host's to list it; else only if nobody has.
-    pub first: bool,
+    pub decided_here: bool,
 }
 
 /// What one host knows of such requests.
@@ -163,7 +163,7 @@
                 suspect.refused_at = Some(now);
                 PoisonChange::Refused(suspect.harm())
             }
-            false if suspect.generation() > before.max(1) => PoisonChange::Grown,
+            false if suspect.generation() > before.max(1) => PoisonChange::GenerationRaised,
             _ => PoisonChange::None,
         }
     }
@@ -226,7 +226,11 @@
             let turn = suspect.decided || suspect.own && since >= LIST_LATER;
             if turn && !suspect.listed && suspect.refused() {
                 let endings = crash_reports(*digest, suspect).collect();
-                due.push(PendingListing { digest: *digest, endings, first: suspect.decided });
+                due.push(PendingListing {
+                    digest: *digest,
+                    crashes: endings,
+                    decided_here: suspect.decided,
+                });
             }
         }
         due
--- a/elmstream_steer/src/poison_record.rs
+++ b/elmstream_steer/src/poison_record.rs
@@ -40,7 +40,7 @@
     /// When the last one was seen, in seconds of the teller's time of day.
     pub last_s: u64,
     /// Whether this host saw one of them itself.
-    pub own: bool,
+    pub observed_here: bool,
 }
 
 /// An ending as it is kept.
@@ -105,7 +105,7 @@
             servers: self.active_crashes().count(),
             generations: self.generation(),
             last_s: self.last_s(),
-            own: self.own,
+            observed_here: self.own,
         }
     }
 
--- a/elmstream_steer/src/store_reads.rs
+++ b/elmstream_steer/src/store_reads.rs
@@ -301,7 +301,7 @@
                 let index = self.servers.insert(now, id, &server, &region);
                 if let Some(entry) = self.servers.get_mut(index) {
                     // Its entry may have gone and come back, or be older than its word.
-                    entry.leaving = self.leaving_servers.knows(entry.start_hash());
+                    entry.leaving = self.leaving_servers.contains(entry.start_hash());
                 }
                 let state =
                     if server.draining { ServerState::Draining } else { ServerState::Ready };
--- a/elmstream_steer/tests/harm.rs
+++ b/elmstream_steer/tests/harm.rs
@@ -302,7 +302,7 @@
     for server in 0..3 {
         one.on_server_crash(ms(0), UNIX_S, digest(HARM), server, server as u8);
     }
-    assert!(one.poison().pending_listings(ms(0))[0].first);
+    assert!(one.poison().pending_listings(ms(0))[0].decided_here);
     one.poison_mut().mark_listed(&digest(HARM));
     assert!(one.poison().pending_listings(ms(0)).is_empty());
     two.on_heartbeat(ms(10), &one.next_heartbeat(ms(10)));
@@ -310,7 +310,7 @@
     // One that saw another one looks later whether it is listed.
     two.on_server_crash(ms(10), UNIX_S, digest(HARM), 9, 2);
     assert!(two.poison().pending_listings(ms(1_000)).is_empty());
-    assert!(two.poison().pending_listings(ms(2_100)).iter().all(|due| !due.first));
+    assert!(two.poison().pending_listings(ms(2_100)).iter().all(|due| !due.decided_here));
     assert!(!one.poison_mut().readmit(ms(20), &digest(2)), "it is not refused");
     assert!(one.poison_mut().readmit(ms(20), &digest(HARM)));
     two.on_heartbeat(ms(30), &one.next_heartbeat(ms(30)));
@@ -357,7 +357,10 @@
     one.next_heartbeat(ms(0));
     assert_eq!(one.on_server_crash(ms(0), UNIX_S, digest(HARM), 1, 0), PoisonChange::None);
     assert!(!one.urgent());
-    assert_eq!(one.on_server_crash(ms(0), UNIX_S, digest(HARM), 2, 1), PoisonChange::Grown);
+    assert_eq!(
+        one.on_server_crash(ms(0), UNIX_S, digest(HARM), 2, 1),
+        PoisonChange::GenerationRaised
+    );
     assert!(one.urgent());
     assert!(matches!(
         one.on_server_crash(ms(0), UNIX_S, digest(HARM), 3, 2),
