--- a/elmstream_steer/src/canary_analysis.rs
+++ b/elmstream_steer/src/canary_analysis.rs
@@ -1,11 +1,11 @@
-//! Judges the version of a roll-out by the answers that all hosts count.
+//! Canary analysis: decides by the answers that all hosts count whether the ordered version is bad.
 //!
-//! Each answer is bad or not, and the other versions' answers of the same route at hosts of
-//! the same region tell how many bad ones are usual, so a fault that strikes both does not
-//! speak against the version. The default is a sequential test: Wald's probability ratio
-//! (1945) with Page's reset at zero (1954), by which a version that turns bad late is found
-//! out as fast as one that was bad from the start. The other way compares the bad answers of
-//! the last seconds, as canary analyses by windows do.
+//! Each answer is good or bad. The share of bad answers of the other versions, of the same route at
+//! hosts of the same region, is the baseline, so a fault that affects both versions does not count
+//! against the ordered one. The default method is a sequential test: Wald's probability ratio
+//! (1945) with Page's reset at zero (1954), which detects a version that turns bad late as fast as
+//! one that was bad from the start. The other method compares the bad answers within a sliding
+//! window.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -17,62 +17,65 @@
     rollout_counts::{AnswerCounts, RolloutReport},
 };
 
-/// Part of bad answers that counts as usual at least: fewer are too rare to be measured.
-const USUAL_LEAST: f64 = 0.02;
-/// A version counts as worse from this multiple of the usual part on, and this much more.
-const USUAL_TIMES: f64 = 1.5;
-const WORSE: f64 = 0.15;
-/// Logarithm of how much more likely the answers must be of a bad version: a good one
-/// passes some thousand answers, and is turned away by chance once in some hundred
-/// roll-outs at most.
-const SURE: f64 = 12.0;
-/// Time in which the other versions' answers fade to a third, in microseconds: a fault that
-/// strikes both has to be seen in them as soon as in the version's.
-const FADES: f64 = 1.5e6;
-/// Bad answers of the other versions in one report that show such a fault by themselves.
-const FAULT: u32 = 2;
-/// Answers of the other versions of one route and region that tell what is usual; with fewer
-/// all of them together do.
-const KNOWN: f64 = 12.0;
-/// Servers whose answers have to be bad, as far as so many have answered: one alone may be
-/// struck by a fault of its own.
-const SERVERS: usize = 2;
-/// Logarithm of how much more likely the answers must be of a good version for it to be
-/// trusted: thirteen good ones and no bad one.
-const TRUST: f64 = 2.0;
-/// A version is not trusted as long as its last answers speak against it this much.
-const DOUBT: f64 = 3.0;
-/// Part of the requests from which on a route has to be tried.
-const ROUTE_PART: f64 = 0.05;
-/// Window of the other way of judging, answers in it that are enough, and the part of bad
-/// ones beyond the usual.
-const WINDOW: u64 = 3 * SECOND;
-const WINDOW_LEAST: u32 = 20;
+/// Lower bound of the baseline share of bad answers: rarer ones can't be measured.
+const BASELINE_BAD_SHARE_MIN: f64 = 0.02;
+/// A bad version has at least this multiple of the baseline share of bad answers, plus
+/// [`BAD_SHARE_MARGIN`].
+const BASELINE_FACTOR: f64 = 1.5;
+const BAD_SHARE_MARGIN: f64 = 0.15;
+/// Log-likelihood ratio from which a version is bad: a good one passes some thousand answers, and
+/// is rejected by chance in at most one of some hundred roll-outs.
+const REJECT_LOG_RATIO: f64 = 12.0;
+/// Time in which the weight of an earlier answer of the other versions drops to 1/e, in
+/// microseconds. Short, as a fault that affects both versions must show in the baseline as soon as
+/// in the ordered version.
+const DECAY_TIME_US: f64 = 1.5e6;
+/// Bad answers of the other versions in one report that show a fault of both versions by
+/// themselves.
+const FAULT_BAD_ANSWERS: u32 = 2;
+/// Answers of the other versions on one route in one region from which they are a baseline of their
+/// own; with fewer, all answers of the other versions are.
+const BASELINE_ANSWERS_MIN: f64 = 12.0;
+/// Servers that must have given bad answers, if as many have answered: a single one may have a
+/// fault of its own.
+const BAD_SERVERS_MIN: usize = 2;
+/// Log-likelihood ratio in favour of a good version from which it is trusted: thirteen good answers
+/// without a bad one.
+const TRUST_LOG_RATIO: f64 = 2.0;
+/// Log-likelihood ratio of the last answers from which a version is not trusted.
+const DOUBT_LOG_RATIO: f64 = 3.0;
+/// Fraction of all requests from which a route must have been tested.
+const TESTED_ROUTE_FRACTION: f64 = 0.05;
+/// Length of the window of [`AnalysisMethod::Window`], and the answers in it that are enough for a
+/// decision.
+const ANALYSIS_WINDOW: u64 = 3 * SECOND;
+const WINDOW_ANSWERS_MIN: u32 = 20;
 
-/// A way of judging.
+/// Method of the analysis.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum AnalysisMethod {
-    /// By a sequential test.
+    /// Sequential probability ratio test.
     #[default]
     Sequential,
-    /// By the answers of the last seconds.
+    /// Share of bad answers in a sliding window.
     Window,
 }
 
-/// Why a version is bad, for lines.
+/// Why a version was rejected, for logs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RejectionCause {
-    /// Hash of the route; none for all together.
+    /// Hash of the route that was found bad; `None` if all routes together were.
     pub route: Option<u32>,
-    /// Its answers of the ordered version.
+    /// Answers of the ordered version on the route.
     pub target: AnswerCounts,
-    /// Servers of the ordered version that gave bad answers.
+    /// Number of servers of the ordered version that gave bad answers.
     pub servers: usize,
-    /// Part of bad answers of the other versions lately.
+    /// Share of bad answers that the last test of the route took as usual: that of the other
+    /// versions, scaled and bounded; 0 to 1.
     pub usual_bad_share: f64,
 }
 
-/// Answers that fade.
+/// Counts of answers that decay exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingCounts {
     good: f64,
@@ -81,10 +84,10 @@
 }
 
 impl DecayingCounts {
-    fn add(&mut self, now: Time, marks: AnswerCounts) {
-        let left = (-(now.since(self.at) as f64) / FADES).exp();
-        self.good = self.good * left + f64::from(marks.good);
-        self.bad = self.bad * left + f64::from(marks.bad);
+    fn add(&mut self, now: Time, counts: AnswerCounts) {
+        let decay = (-(now.since(self.at) as f64) / DECAY_TIME_US).exp();
+        self.good = self.good * decay + f64::from(counts.good);
+        self.bad = self.bad * decay + f64::from(counts.bad);
         self.at = now;
     }
 
@@ -92,113 +95,116 @@
         self.good + self.bad
     }
 
-    fn part(&self) -> f64 {
+    fn bad_share(&self) -> f64 {
         (self.bad + 0.5) / (self.all() + 1.0)
     }
 }
 
-/// The test of one route, or of all together.
+/// Test of the answers of one route, or of all routes.
 #[derive(Clone, Debug, Default)]
 struct SampleTest {
-    /// How much more likely the last answers are of a bad version, as a logarithm; never below
-    /// 0, so that good ones before do not make up for them.
-    ratio: f64,
-    /// The same of all answers; bounded, so that what a fault did can be made up for.
-    sum: f64,
-    marks: AnswerCounts,
-    /// Servers that answered, and those whose answers were bad.
+    /// Log-likelihood ratio of a bad version over the last answers; never below 0, so that earlier
+    /// good answers can't offset bad ones.
+    recent_log_ratio: f64,
+    /// Log-likelihood ratio over all answers; bounded above, so that good answers can offset those
+    /// of a passing fault.
+    total_log_ratio: f64,
+    counts: AnswerCounts,
+    /// Servers that answered, and those that gave a bad answer.
     servers: BTreeSet<u32>,
     bad: BTreeSet<u32>,
-    usual: f64,
+    baseline: f64,
     recent: VecDeque<(Time, AnswerCounts)>,
 }
 
 impl SampleTest {
-    fn take(&mut self, now: Time, server: u32, marks: AnswerCounts, usual: f64) {
-        let usual = (usual * USUAL_TIMES).clamp(USUAL_LEAST, 0.7);
-        let worse = usual + WORSE;
-        let good = ((1.0 - worse) / (1.0 - usual)).ln();
-        let bad = (worse / usual).ln();
-        let new = f64::from(marks.good) * good + f64::from(marks.bad) * bad;
-        self.ratio = (self.ratio + new).max(0.0);
-        self.sum = (self.sum + new).min(DOUBT);
-        self.marks.good += marks.good;
-        self.marks.bad += marks.bad;
-        self.usual = usual;
+    fn record(&mut self, now: Time, server: u32, counts: AnswerCounts, baseline: f64) {
+        let baseline = (baseline * BASELINE_FACTOR).clamp(BASELINE_BAD_SHARE_MIN, 0.7);
+        let bad_share = baseline + BAD_SHARE_MARGIN;
+        let good_weight = ((1.0 - bad_share) / (1.0 - baseline)).ln();
+        let bad_weight = (bad_share / baseline).ln();
+        let log_ratio = f64::from(counts.good) * good_weight + f64::from(counts.bad) * bad_weight;
+        self.recent_log_ratio = (self.recent_log_ratio + log_ratio).max(0.0);
+        self.total_log_ratio = (self.total_log_ratio + log_ratio).min(DOUBT_LOG_RATIO);
+        self.counts.good += counts.good;
+        self.counts.bad += counts.bad;
+        self.baseline = baseline;
         self.servers.insert(server);
-        if marks.bad > 0 {
+        if counts.bad > 0 {
             self.bad.insert(server);
         }
-        self.recent.push_back((now, marks));
-        while self.recent.front().is_some_and(|(at, _)| now.since(*at) >= WINDOW) {
+        self.recent.push_back((now, counts));
+        while self.recent.front().is_some_and(|(at, _)| now.since(*at) >= ANALYSIS_WINDOW) {
             self.recent.pop_front();
         }
     }
 
-    fn is_bad(&self, judging: AnalysisMethod) -> bool {
-        let shown = self.bad.len() >= SERVERS.min(self.servers.len());
-        let worse = match judging {
-            AnalysisMethod::Sequential => self.ratio >= SURE,
+    fn is_bad(&self, method: AnalysisMethod) -> bool {
+        let enough_servers = self.bad.len() >= BAD_SERVERS_MIN.min(self.servers.len());
+        let over_threshold = match method {
+            AnalysisMethod::Sequential => self.recent_log_ratio >= REJECT_LOG_RATIO,
             AnalysisMethod::Window => {
-                let bad: u32 = self.recent.iter().map(|(_, marks)| marks.bad).sum();
-                let all: u32 = self.recent.iter().map(|(_, marks)| marks.total()).sum();
-                all >= WINDOW_LEAST && f64::from(bad) > (self.usual + WORSE) * f64::from(all)
+                let bad: u32 = self.recent.iter().map(|(_, counts)| counts.bad).sum();
+                let all: u32 = self.recent.iter().map(|(_, counts)| counts.total()).sum();
+                all >= WINDOW_ANSWERS_MIN
+                    && f64::from(bad) > (self.baseline + BAD_SHARE_MARGIN) * f64::from(all)
             }
         };
-        shown && worse
+        enough_servers && over_threshold
     }
 }
 
-/// Sums up the reports of all hosts on one order.
+/// Analysis of the reports of all hosts on one order.
 #[derive(Clone, Debug, Default)]
 pub struct CanaryAnalysis {
-    judging: AnalysisMethod,
-    /// Last report of each host, by the hash of its address.
+    method: AnalysisMethod,
+    /// Last report of each host and when it came in, by the hash of the host's address.
     reports: HashMap<u64, (RolloutReport, Time)>,
     old: HashMap<(String, u32), DecayingCounts>,
     old_all: DecayingCounts,
-    /// Answers of the other versions so far, by route.
+    /// Answers of the other versions since the order, by route.
     old_counts: BTreeMap<u32, u32>,
     routes: BTreeMap<u32, SampleTest>,
     all: SampleTest,
-    /// The first time that the version was found to be bad stands.
+    /// Cause of the first rejection, which is final.
     cause: Option<RejectionCause>,
 }
 
 impl CanaryAnalysis {
-    /// One that judges in a given way.
-    pub fn new(judging: AnalysisMethod) -> CanaryAnalysis {
-        CanaryAnalysis { judging, ..CanaryAnalysis::default() }
+    /// Creates an analysis without reports that uses the given method.
+    pub fn new(method: AnalysisMethod) -> CanaryAnalysis {
+        CanaryAnalysis { method, ..CanaryAnalysis::default() }
     }
 
-    /// Takes a report in.
+    /// Takes in a report of a host and tests the answers that are new in it.
     pub fn on_report(&mut self, now: Time, report: RolloutReport) {
         let before = self.reports.get(&report.address_hash).map(|(before, _)| before.clone());
         let before = before.filter(|before| before.start == report.start);
-        self.take_old(now, &report, before.as_ref());
-        let known = |server: u32, route: u32| {
-            let told = before.iter().flat_map(|before| &before.target);
-            let mut told = told.filter(|(s, r, _)| (*s, *r) == (server, route));
-            told.next().map_or(AnswerCounts::default(), |(_, _, marks)| *marks)
+        self.record_old(now, &report, before.as_ref());
+        let known_counts = |server: u32, route: u32| {
+            let reported = before.iter().flat_map(|before| &before.target);
+            let mut reported = reported.filter(|(s, r, _)| (*s, *r) == (server, route));
+            reported.next().map_or(AnswerCounts::default(), |(_, _, counts)| *counts)
         };
-        for (server, route, marks) in &report.target {
-            let new = marks.since(known(*server, *route));
+        for (server, route, counts) in &report.target {
+            let new = counts.since(known_counts(*server, *route));
             if new.total() > 0 {
-                let now_usual = own_part(&report, before.as_ref());
-                let usual = self.usual(&report.region, *route).max(now_usual);
-                self.routes.entry(*route).or_default().take(now, *server, new, usual);
-                self.all.take(now, *server, new, usual);
+                let current_share = fault_share(&report, before.as_ref());
+                let baseline = self.baseline(&report.region, *route).max(current_share);
+                self.routes.entry(*route).or_default().record(now, *server, new, baseline);
+                self.all.record(now, *server, new, baseline);
             }
         }
         self.reports.insert(report.address_hash, (report, now));
-        self.judge();
+        self.update_rejection();
     }
 
-    fn take_old(&mut self, now: Time, report: &RolloutReport, before: Option<&RolloutReport>) {
-        for (route, marks) in &report.old {
-            let told = before.iter().flat_map(|before| &before.old);
-            let mut told = told.filter(|(known, _)| known == route);
-            let new = marks.since(told.next().map_or(AnswerCounts::default(), |(_, marks)| *marks));
+    fn record_old(&mut self, now: Time, report: &RolloutReport, before: Option<&RolloutReport>) {
+        for (route, counts) in &report.old {
+            let reported = before.iter().flat_map(|before| &before.old);
+            let mut reported = reported.filter(|(known, _)| known == route);
+            let new = counts
+                .since(reported.next().map_or(AnswerCounts::default(), |(_, counts)| *counts));
             self.old.entry((report.region.clone(), *route)).or_default().add(now, new);
             self.old_all.add(now, new);
             let count = self.old_counts.entry(*route).or_default();
@@ -206,90 +212,93 @@
         }
     }
 
-    /// Part of bad answers that is usual for a route in a region.
-    fn usual(&self, region: &str, route: u32) -> f64 {
-        let own = self.old.get(&(region.to_owned(), route));
-        own.filter(|own| own.all() >= KNOWN).map_or(self.old_all.part(), DecayingCounts::part)
+    /// Baseline share of bad answers for a route in a region.
+    fn baseline(&self, region: &str, route: u32) -> f64 {
+        let route_counts = self.old.get(&(region.to_owned(), route));
+        route_counts
+            .filter(|route_counts| route_counts.all() >= BASELINE_ANSWERS_MIN)
+            .map_or(self.old_all.bad_share(), DecayingCounts::bad_share)
     }
 
-    fn judge(&mut self) {
+    fn update_rejection(&mut self) {
         if self.cause.is_some() {
             return;
         }
-        let routes = self.routes.iter().map(|(route, trial)| (Some(*route), trial));
-        let mut trials = routes.chain([(None, &self.all)]);
-        let judging = self.judging;
+        let routes = self.routes.iter().map(|(route, test)| (Some(*route), test));
+        let mut tests = routes.chain([(None, &self.all)]);
+        let method = self.method;
         self.cause =
-            trials.find(|(_, trial)| trial.is_bad(judging)).map(|(route, trial)| RejectionCause {
+            tests.find(|(_, test)| test.is_bad(method)).map(|(route, test)| RejectionCause {
                 route,
-                target: trial.marks,
-                servers: trial.bad.len(),
-                usual_bad_share: trial.usual,
+                target: test.counts,
+                servers: test.bad.len(),
+                usual_bad_share: test.baseline,
             });
     }
 
-    /// Why the version is bad; none if it is not known to be.
+    /// Why the version is bad; `None` if it hasn't been found to be.
     pub fn rejection(&self) -> Option<&RejectionCause> {
         self.cause.as_ref()
     }
 
-    /// Whether nothing speaks against the version now.
+    /// Whether neither a rejection nor the last answers count against the version.
     pub fn is_clear(&self) -> bool {
-        let trials = self.routes.values().chain([&self.all]);
-        self.cause.is_none() && trials.into_iter().all(|trial| trial.ratio < DOUBT)
+        let tests = self.routes.values().chain([&self.all]);
+        self.cause.is_none()
+            && tests.into_iter().all(|test| test.recent_log_ratio < DOUBT_LOG_RATIO)
     }
 
     /// Whether enough answers were good, over all routes.
     pub fn is_trusted(&self) -> bool {
-        self.is_clear() && self.all.sum <= -TRUST
+        self.is_clear() && self.all.total_log_ratio <= -TRUST_LOG_RATIO
     }
 
-    /// Whether enough answers were good of each route that callers ask for.
+    /// Whether enough answers were good on each route that callers use.
     pub fn are_routes_trusted(&self) -> bool {
-        let asked = f64::from(self.old_answers());
-        let matters = |count: u32| f64::from(count) >= asked * ROUTE_PART;
-        let good = |trial: &SampleTest| trial.sum <= -TRUST;
-        let routes = self.old_counts.iter().filter(|(_, count)| matters(**count));
+        let old_answers = f64::from(self.old_answers());
+        let is_relevant = |count: u32| f64::from(count) >= old_answers * TESTED_ROUTE_FRACTION;
+        let good = |test: &SampleTest| test.total_log_ratio <= -TRUST_LOG_RATIO;
+        let routes = self.old_counts.iter().filter(|(_, count)| is_relevant(**count));
         let mut routes = routes.map(|(route, _)| self.routes.get(route).is_some_and(good));
         self.is_clear() && routes.all(|good| good)
     }
 
-    /// Answers of the other versions so far.
+    /// Number of answers of the other versions since the order.
     pub fn old_answers(&self) -> u32 {
         self.old_counts.values().sum()
     }
 
-    /// Answers of the ordered version so far.
+    /// Answers of the ordered version since the order.
     pub fn target_counts(&self) -> AnswerCounts {
-        self.all.marks
+        self.all.counts
     }
 
-    /// Whether a host, by the hash of its address, has said lately that it has left the servers
-    /// of other versions.
-    pub fn has_drained_old(&self, now: Time, place: u64) -> bool {
-        let report = self.reports.get(&place);
+    /// Whether the host with this address hash has reported recently that it no longer uses the
+    /// servers of other versions.
+    pub fn has_drained_old(&self, now: Time, address_hash: u64) -> bool {
+        let report = self.reports.get(&address_hash);
         report.is_some_and(|(report, at)| report.old_drained && now.since(*at) < 3 * SECOND)
     }
 }
 
-/// Part of bad answers of the other versions since a host's last report, if they show a fault;
-/// else 0.
-fn own_part(report: &RolloutReport, before: Option<&RolloutReport>) -> f64 {
+/// Share of bad answers of the other versions since a host's last report, if they show a fault;
+/// otherwise 0.
+fn fault_share(report: &RolloutReport, before: Option<&RolloutReport>) -> f64 {
     let sum = |report: &RolloutReport| {
-        let marks = report.old.iter().map(|(_, marks)| *marks);
-        marks.fold(AnswerCounts::default(), |sum, marks| AnswerCounts {
-            good: sum.good + marks.good,
-            bad: sum.bad + marks.bad,
+        let counts = report.old.iter().map(|(_, counts)| *counts);
+        counts.fold(AnswerCounts::default(), |sum, counts| AnswerCounts {
+            good: sum.good + counts.good,
+            bad: sum.bad + counts.bad,
         })
     };
     let new = sum(report).since(before.map(sum).unwrap_or_default());
-    match new.bad >= FAULT {
+    match new.bad >= FAULT_BAD_ANSWERS {
         true => f64::from(new.bad) / f64::from(new.total()),
         false => 0.0,
     }
 }
 
-/// Hash of a route's name, as reports have it.
+/// Hash of a route's name, as used in reports.
 pub fn route_hash(name: &str) -> u32 {
     hash::of(name) as u32
 }
--- a/elmstream_steer/src/rollout_control.rs
+++ b/elmstream_steer/src/rollout_control.rs
@@ -1,5 +1,5 @@
-//! Carries roll-outs out at one host: where servers stand, which of them a request may go to,
-//! what is counted and reported, and what the host that writes for all writes next.
+//! Roll-outs at one host: roles of servers, the servers that a request may go to, counting and
+//! reporting outcomes, and the progress that the store reader of the fleet writes next.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -17,8 +17,8 @@
     heartbeat::Message,
     reader_rank::RankedReader,
     rollout::{
-        self, CANARY_SHARE, Rollout, RolloutArm, RolloutOrder, RolloutProgress, RolloutRole,
-        RolloutStage, STOPPED,
+        self, CANARY_SHARE, COMPLETED_EXCLUSION, Rollout, RolloutArm, RolloutOrder,
+        RolloutProgress, RolloutRole, RolloutStage,
     },
     rollout_counts::{Baselines, ObservedAnswer, RolloutCounts, RolloutReport},
     rollout_steps::{self, StepContext, StepPolicy},
@@ -29,50 +29,50 @@
     view::{RowContent, RowKey, Table},
 };
 
-/// A host that learned of an order this soon after its own start goes by when another one saw
-/// it first.
-const LATE_START: u64 = 3 * SECOND;
+/// A host that learned of an order this soon after its own start takes the age of the order from
+/// the stored progress, that is, from the host that saw the order first.
+const RECENT_START: u64 = 3 * SECOND;
 
-/// After the progress was too old to go by, a host sends nothing on trial for this long: a
-/// verdict that nobody could write meanwhile is written and told first.
-const RESUMED: u64 = 2 * SECOND;
-/// Part of the slack on a bad version's requests that the last ones may use.
-const FEW_PART: f64 = 0.5;
-/// Routes of a service that are tried out at most.
-const ROUTES: usize = 4;
+/// Time without canary requests after the progress was too old to act on. A rejection that could
+/// not be stored meanwhile is written and announced within it.
+const STALE_PROGRESS_PAUSE: u64 = 2 * SECOND;
+/// Fraction of the exposure slack that the last requests before the deadline may use.
+const LAST_REQUESTS_SLACK_FRACTION: f64 = 0.5;
+/// Highest number of routes of a service that have canary budgets of their own.
+const CANARY_ROUTES_MAX: usize = 4;
 
 /// Roll-outs as one host knows them.
 #[derive(Clone, Debug)]
 pub(crate) struct Rollouts {
     by_service: BTreeMap<String, Rollout>,
-    /// What may be sent on trial, by service.
-    exposures: Budgets,
-    evidence: HashMap<String, RolloutCounts>,
-    /// Routes of each service that callers have asked this host for since the order.
+    /// Budgets of canary requests, by service and route.
+    canary_budgets: Budgets,
+    counts: HashMap<String, RolloutCounts>,
+    /// Routes of each service that callers requested at this host since the order.
     routes: HashMap<String, BTreeSet<String>>,
-    usuals: Baselines,
-    judges: HashMap<String, CanaryAnalysis>,
+    baselines: Baselines,
+    analyses: HashMap<String, CanaryAnalysis>,
     versions: Versions,
-    /// Servers, orders or their progress have changed since servers were last looked at.
+    /// Whether servers, orders or progress changed since roles were last assigned.
     changed: bool,
-    /// When what is known of the progress was last too old to go by; none if it never was.
-    stale: Option<Time>,
-    ways: (AnalysisMethod, StepPolicy),
+    /// When the progress was last too old to act on; `None` if it never was.
+    progress_stale_at: Option<Time>,
+    policies: (AnalysisMethod, StepPolicy),
 }
 
 impl Rollouts {
     pub fn new(seed: u64) -> Rollouts {
         Rollouts {
             by_service: BTreeMap::new(),
-            exposures: Budgets::new(seed),
-            evidence: HashMap::new(),
+            canary_budgets: Budgets::new(seed),
+            counts: HashMap::new(),
             routes: HashMap::new(),
-            usuals: Baselines::default(),
-            judges: HashMap::new(),
+            baselines: Baselines::default(),
+            analyses: HashMap::new(),
             versions: Versions::default(),
             changed: false,
-            stale: None,
-            ways: (AnalysisMethod::default(), StepPolicy::default()),
+            progress_stale_at: None,
+            policies: (AnalysisMethod::default(), StepPolicy::default()),
         }
     }
 
@@ -80,74 +80,82 @@
         self.by_service.get(service)
     }
 
-    /// Where servers stand may change without news.
-    fn moves(&self, now: Time) -> bool {
-        let recent = |(_, since): &(RolloutProgress, Time)| now.since(*since) < STOPPED + SECOND;
-        let going = |r: &Rollout| r.is_active() || r.progress.as_ref().is_some_and(recent);
-        self.changed || self.versions.waits() || self.by_service.values().any(going)
+    /// Whether roles of servers may change without new input, because time passes.
+    fn may_change_roles(&self, now: Time) -> bool {
+        let recent =
+            |(_, since): &(RolloutProgress, Time)| now.since(*since) < COMPLETED_EXCLUSION + SECOND;
+        let changes_with_time =
+            |r: &Rollout| r.is_active() || r.progress.as_ref().is_some_and(recent);
+        self.changed || self.versions.has_held() || self.by_service.values().any(changes_with_time)
     }
 }
 
-/// Versions that servers of each service have been seen with. A new one may be of an order
-/// that this host has not heard of yet, so it waits until the rules are known as of a later
-/// moment.
+/// Versions that servers of each service were seen with, and since when a version is held back. A
+/// new version may belong to an order that this host has not learned of yet, so its servers receive
+/// nothing until the rules are confirmed as of a later time.
 #[derive(Clone, Debug, Default)]
 struct Versions(HashMap<String, HashMap<String, Option<Time>>>);
 
 impl Versions {
-    fn see(&mut self, now: Time, service: &str, version: &str, first_reading: bool) {
+    fn record(&mut self, now: Time, service: &str, version: &str, first_read: bool) {
         let known = self.0.entry(service.to_owned()).or_default();
         if !known.contains_key(version) {
-            let first = first_reading || known.is_empty();
-            known.insert(version.to_owned(), (!first).then_some(now));
+            let is_first = first_read || known.is_empty();
+            known.insert(version.to_owned(), (!is_first).then_some(now));
         }
     }
 
-    fn accept(&mut self, rules_fresh: Option<Time>) {
+    fn release(&mut self, rules_confirmed_at: Option<Time>) {
         for since in self.0.values_mut().flat_map(HashMap::values_mut) {
-            if since.is_some_and(|since| rules_fresh.is_some_and(|fresh| fresh > since)) {
+            if since.is_some_and(|since| {
+                rules_confirmed_at.is_some_and(|confirmed_at| confirmed_at > since)
+            }) {
                 *since = None;
             }
         }
     }
 
-    fn waits(&self) -> bool {
+    fn has_held(&self) -> bool {
         self.0.values().flat_map(HashMap::values).any(Option::is_some)
     }
 
-    fn holds_back(&self, service: &str, version: &str) -> bool {
+    fn is_held(&self, service: &str, version: &str) -> bool {
         self.0.get(service).and_then(|known| known.get(version)).is_some_and(Option::is_some)
     }
 }
 
-/// Requests that are counted apart on trial.
-fn kind(service: &str, route: &str) -> String {
+/// Key of the canary budget of a route.
+fn budget_key(service: &str, route: &str) -> String {
     format!("{service} {route}")
 }
 
-/// What the host that writes for all has to write of a roll-out.
+/// Conditional write of a roll-out's progress, made by the store reader of the fleet.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RolloutWrite {
-    /// The service.
+    /// Service that is rolled out.
     pub service: String,
-    /// What is to be written.
+    /// Progress to write.
     pub progress: RolloutProgress,
-    /// The store's counters that the rows of the progress and of the order must have; 0 for
-    /// one that is not there.
+    /// Store counters that the rows of the progress and of the order must have for the write to
+    /// succeed; 0 for a row that must not exist.
     pub expected: (u64, u64),
-    /// Why the version is turned away, if it is.
+    /// Why the version is rejected; `None` if the write doesn't reject it.
     pub cause: Option<RejectionCause>,
 }
 
 impl Steer {
-    /// Judges and steps in other ways than usual.
-    pub fn set_rollout_policies(&mut self, judging: AnalysisMethod, stepping: StepPolicy) {
-        self.rollouts.ways = (judging, stepping);
+    /// Replaces the analysis method and the step policy; used by simulations that compare them.
+    pub fn set_rollout_policies(
+        &mut self,
+        analysis_method: AnalysisMethod,
+        step_policy: StepPolicy,
+    ) {
+        self.rollouts.policies = (analysis_method, step_policy);
     }
 
-    // The store.
+    // Store updates.
 
-    /// An order has come, changed or gone.
+    /// Applies a new, changed or removed order of a service.
     pub(crate) fn on_rollout_order(
         &mut self,
         now: Time,
@@ -161,35 +169,36 @@
             self.rollouts.by_service.remove(service);
             return;
         };
-        let known = self.rollouts.by_service.get_mut(service);
-        // A store that came back from a copy counts anew; the order is the same.
-        let same = known.filter(|k| k.order == *order && k.version.era < version.era);
-        if let Some(known) = same {
-            known.version = version;
+        let existing = self.rollouts.by_service.get_mut(service);
+        // A store restored from a backup numbers its rows again, in a new era; the order is
+        // unchanged.
+        let carried_over = existing.filter(|k| k.order == *order && k.version.era < version.era);
+        if let Some(existing) = carried_over {
+            existing.version = version;
         } else {
-            self.rollouts.evidence.remove(service);
+            self.rollouts.counts.remove(service);
             self.rollouts.routes.remove(service);
-            self.rollouts.judges.remove(service);
-            let trials = rollout::canary_multiplier(self.hash, version, self.fleet_size);
+            self.rollouts.analyses.remove(service);
+            let canary_multiplier = rollout::canary_multiplier(self.hash, version, self.fleet_size);
             let new = Rollout {
                 order: order.clone(),
                 version,
                 learned_at: now,
                 progress: None,
-                canary_multiplier: trials,
+                canary_multiplier,
             };
             self.rollouts.by_service.insert(service.to_owned(), new);
         }
         self.on_rollout_progress(now, service);
     }
 
-    /// How far the roll-out of a service has come; none if it has not begun.
+    /// Stage of a service's roll-out; `None` if there is no order or it has not begun.
     pub fn rollout_stage(&self, service: &str) -> Option<RolloutStage> {
         self.rollouts.get(service)?.stage()
     }
 
-    /// The progress of a service's order may have changed; its version and stage if that is
-    /// new.
+    /// Applies the stored progress of a service's order. Returns the ordered version and the stage
+    /// if the stage is new.
     pub(crate) fn on_rollout_progress(
         &mut self,
         now: Time,
@@ -198,8 +207,8 @@
         self.rollouts.changed = true;
         self.urgent = true;
         let rollout = self.rollouts.by_service.get_mut(service)?;
-        let item = self.view.get(&RowKey::Progress(service.to_owned()));
-        let Some(RowContent::Progress(progress)) = item else { return None };
+        let content = self.view.get(&RowKey::Progress(service.to_owned()));
+        let Some(RowContent::Progress(progress)) = content else { return None };
         if !progress.belongs_to(&rollout.order, rollout.version) {
             return None;
         }
@@ -209,18 +218,18 @@
         since.is_none().then(|| (progress.target.clone(), progress.stage))
     }
 
-    /// Whether roll-outs are under way, so that their progress has to be known.
+    /// Whether any roll-out is undecided, so that its progress must be known.
     pub(crate) fn has_active_rollouts(&self) -> bool {
         self.rollouts.by_service.values().any(Rollout::is_active)
     }
 
-    /// Since when this host has had to know the progress of roll-outs.
+    /// Since when this host has needed the progress of roll-outs; `None` if none is active.
     pub(crate) fn active_rollout_since(&self) -> Option<Time> {
-        let going = self.rollouts.by_service.values().filter(|rollout| rollout.is_active());
-        going.map(|rollout| rollout.learned_at).min()
+        let active = self.rollouts.by_service.values().filter(|rollout| rollout.is_active());
+        active.map(|rollout| rollout.learned_at).min()
     }
 
-    /// Whether this host has an order of which it cannot know how far it has come.
+    /// Whether this host knows an order but has never confirmed the table of progress.
     pub fn awaits_rollout_progress(&self) -> bool {
         !self.rollouts.by_service.is_empty()
             && self.view.watermark(Table::Rollouts).confirmed_at.is_none()
@@ -228,35 +237,36 @@
 
     // Servers and requests.
 
-    /// A server has been listed with a version.
+    /// Records the version of a server that was listed.
     pub(crate) fn record_version(&mut self, now: Time, service: &str, version: &str) {
-        let first = self.view.watermark(Table::Servers).confirmed_at.is_none();
+        let first_read = self.view.watermark(Table::Servers).confirmed_at.is_none();
         self.rollouts.changed = true;
-        self.rollouts.versions.see(now, service, version, first);
+        self.rollouts.versions.record(now, service, version, first_read);
     }
 
-    /// Finds out where servers stand, if that may have changed.
+    /// Assigns roles to servers if they may have changed.
     pub(crate) fn assign_rollout_roles(&mut self, now: Time) {
-        if !self.rollouts.moves(now) {
+        if !self.rollouts.may_change_roles(now) {
             return;
         }
         self.rollouts.changed = false;
-        let begun = self.rollouts.by_service.values().any(|r| r.is_active() && r.stage().is_some());
-        if begun && !self.knows_progress(now) {
-            self.rollouts.stale = Some(now);
+        let any_begun =
+            self.rollouts.by_service.values().any(|r| r.is_active() && r.stage().is_some());
+        if any_begun && !self.knows_progress(now) {
+            self.rollouts.progress_stale_at = Some(now);
         }
-        self.rollouts.versions.accept(self.view.watermark(Table::Rules).confirmed_at);
-        let firsts = self.canaries();
-        let undecided = self.without_order();
+        self.rollouts.versions.release(self.view.watermark(Table::Rules).confirmed_at);
+        let canaries = self.canaries();
+        let undecided_targets = self.undecided_without_order();
         let rollouts = &self.rollouts;
         for (index, entry) in self.servers.all_mut_indexed() {
             let (service, version) = (&entry.server.service, &entry.server.version);
             entry.rollout_role = match rollouts.get(service) {
                 Some(rollout) => {
-                    rollout.role(now, version, firsts.contains(&index), entry.known_since)
+                    rollout.role(now, version, canaries.contains(&index), entry.known_since)
                 }
-                None if rollouts.versions.holds_back(service, version) => RolloutRole::Excluded,
-                None if undecided.get(service).is_some_and(|target| target == version) => {
+                None if rollouts.versions.is_held(service, version) => RolloutRole::Excluded,
+                None if undecided_targets.get(service).is_some_and(|target| target == version) => {
                     RolloutRole::Excluded
                 }
                 None => RolloutRole::Unaffected,
@@ -264,11 +274,11 @@
         }
     }
 
-    /// Versions that were not rolled out to the end and whose order is gone, by service. They get
-    /// nothing: they may be bad, and a store that came back from a copy may have lost the order.
-    fn without_order(&self) -> BTreeMap<String, String> {
+    /// Versions whose order is gone though it was not completed, by service. They receive nothing:
+    /// they may be bad, and a store restored from a backup may have lost the order.
+    fn undecided_without_order(&self) -> BTreeMap<String, String> {
         let services = self.servers.services().filter(|name| self.rollouts.get(name).is_none());
-        let undecided = services.filter_map(|service| {
+        let undecided_targets = services.filter_map(|service| {
             match self.view.get(&RowKey::Progress(service.to_owned()))? {
                 RowContent::Progress(progress) if progress.stage != RolloutStage::Completed => {
                     Some((service.to_owned(), progress.target.clone()))
@@ -276,64 +286,72 @@
                 _ => None,
             }
         });
-        undecided.collect()
+        undecided_targets.collect()
     }
 
-    /// Servers that get requests on trial: the first ones by a draw of the order.
+    /// Servers that receive canary requests: the first ones of the ordered version, ranked by a
+    /// hash of server and order.
     fn canaries(&self) -> Vec<ServerIndex> {
         let mut canaries = Vec::new();
         for (service, rollout) in self.rollouts.by_service.iter().filter(|(_, r)| r.is_active()) {
-            let target = &rollout.order.target;
-            let target =
-                |entry: &ServerEntry| entry.server.version == *target && !entry.is_leaving();
-            let all = self.servers.of_service(service).filter(|(_, entry)| target(entry));
-            let mut ranked: Vec<(u64, ServerIndex)> = all
+            let target_version = &rollout.order.target;
+            let is_target = |entry: &ServerEntry| {
+                entry.server.version == *target_version && !entry.is_leaving()
+            };
+            let target_servers =
+                self.servers.of_service(service).filter(|(_, entry)| is_target(entry));
+            let mut ranked: Vec<(u64, ServerIndex)> = target_servers
                 .map(|(index, entry)| (hash::combine(entry.hash, rollout.version.count), index))
                 .collect();
             ranked.sort_unstable();
             let share = self.settings.bounds.exposure_share;
-            let most = rollout::canary_count(ranked.len(), share, self.fleet_size);
-            canaries.extend(ranked.into_iter().take(most).map(|(_, index)| index));
+            let canary_count = rollout::canary_count(ranked.len(), share, self.fleet_size);
+            canaries.extend(ranked.into_iter().take(canary_count).map(|(_, index)| index));
         }
         canaries
     }
 
-    /// Which servers a request may go to.
-    pub(crate) fn pick_rollout_arm(&mut self, now: Time, ask: &PickRequest<'_>) -> RolloutArm {
-        let PickRequest { service, key, route, .. } = *ask;
+    /// Servers that a request may go to.
+    pub(crate) fn pick_rollout_arm(&mut self, now: Time, request: &PickRequest<'_>) -> RolloutArm {
+        let PickRequest { service, key, route, .. } = *request;
         if self.rollouts.by_service.is_empty() {
             return RolloutArm::Any;
         }
-        let again = !ask.tried.is_empty();
-        let rested = self.rollouts.stale.is_none_or(|stale| now.since(stale) >= RESUMED);
-        let young = rested && self.knows_progress(now);
-        let Rollouts { by_service, exposures, .. } = &mut self.rollouts;
+        let is_retry = !request.tried.is_empty();
+        let pause_is_over = self
+            .rollouts
+            .progress_stale_at
+            .is_none_or(|progress_stale_at| now.since(progress_stale_at) >= STALE_PROGRESS_PAUSE);
+        let progress_recent = pause_is_over && self.knows_progress(now);
+        let Rollouts { by_service, canary_budgets, .. } = &mut self.rollouts;
         let Some(rollout) = by_service.get(service) else { return RolloutArm::Any };
-        rollout.pick_arm(key, young, again, || exposures.can_withdraw(&kind(service, &route.name)))
+        rollout.pick_arm(key, progress_recent, is_retry, || {
+            canary_budgets.can_withdraw(&budget_key(service, &route.name))
+        })
     }
 
-    /// Whether what is known of the progress of roll-outs is young enough to go by.
+    /// Whether the progress of roll-outs is known recently enough to act on.
     fn knows_progress(&self, now: Time) -> bool {
-        let most = rollout::max_progress_age(self.settings.bounds.rollback_ms);
-        self.view.age(now, Table::Rollouts).is_some_and(|age| age < most)
+        let max_age = rollout::max_progress_age(self.settings.bounds.rollback_ms);
+        self.view.age(now, Table::Rollouts).is_some_and(|age| age < max_age)
     }
 
-    /// Whether the servers of other versions get nothing more, whatever those of the ordered
-    /// version can take.
+    /// Whether servers of other versions receive nothing any more, whatever load the servers of the
+    /// ordered version can take.
     pub(crate) fn traffic_shifted(&self, service: &str) -> bool {
         self.rollout_stage(service) == Some(RolloutStage::Shift(100))
     }
 
-    /// A request was sent to a server; on trial it is spent.
+    /// Records that a request was sent to a server; a canary request is withdrawn from its budget.
     pub(crate) fn record_canary_request(&mut self, service: &str, route: &str, index: ServerIndex) {
         let stage = self.rollout_stage(service);
-        let standing = self.servers.get(index).map(|entry| entry.rollout_role);
-        if stage == Some(RolloutStage::Canary) && standing == Some(RolloutRole::Canary) {
-            self.rollouts.exposures.withdraw(&kind(service, route));
+        let role = self.servers.get(index).map(|entry| entry.rollout_role);
+        if stage == Some(RolloutStage::Canary) && role == Some(RolloutRole::Canary) {
+            self.rollouts.canary_budgets.withdraw(&budget_key(service, route));
         }
     }
 
-    /// What became of a request of a route counts for its service's roll-out.
+    /// Counts the outcome of a request of a route for the roll-out of the server's service.
     pub fn count_rollout_outcome(
         &mut self,
         now: Time,
@@ -344,53 +362,58 @@
         let Some(entry) = self.servers.get(index) else { return };
         let service = entry.server.service.as_str();
         let rollout = self.rollouts.by_service.get(service).filter(|r| r.is_active());
-        let sent = match outcome {
+        let sent_at = match outcome {
             Outcome::Answered { micros, .. } => Time(now.0.saturating_sub(micros)),
             _ => now,
         };
-        let seen = ObservedAnswer {
+        let answer = ObservedAnswer {
             server: entry.hash as u32,
             route: route_hash(route),
             outcome,
-            cold: entry.is_cold(sent),
+            cold: entry.is_cold(sent_at),
             target: rollout.is_some_and(|r| entry.server.version == r.order.target),
         };
         let slow = match outcome {
-            Outcome::Answered { micros, was_warm: knew } => {
-                self.rollouts.usuals.is_slow(&seen, micros, knew)
+            Outcome::Answered { micros, was_warm } => {
+                self.rollouts.baselines.record_time(&answer, micros, was_warm)
             }
             _ => false,
         };
         let Some((rollout, stage)) = rollout.and_then(|r| Some((r, r.stage()?))) else { return };
-        let evidence = self.rollouts.evidence.entry(service.to_owned()).or_default();
-        let answered = evidence.count(&seen, slow);
-        if answered && stage == RolloutStage::Canary && rollout.canary_multiplier > 0.0 {
+        let counts = self.rollouts.counts.entry(service.to_owned()).or_default();
+        let counted = counts.count(&answer, slow);
+        if counted && stage == RolloutStage::Canary && rollout.canary_multiplier > 0.0 {
             let service = service.to_owned();
-            self.earn_trial(&service, route);
+            self.deposit_canary(&service, route);
         }
     }
 
-    /// An answer earns a part of a request on trial, shared out evenly among the routes, so
-    /// that one with few requests is tried out as well.
-    fn earn_trial(&mut self, service: &str, route: &str) {
+    /// Deposits a fraction of a canary request for an answer. The deposit is split evenly among the
+    /// routes, so that a route with few requests is tested as well.
+    fn deposit_canary(&mut self, service: &str, route: &str) {
         let bounds = &self.settings.bounds;
         let (slack, hosts) = (bounds.exposure_slack, self.address_hashes.len());
-        let Rollouts { routes, exposures, by_service, .. } = &mut self.rollouts;
+        let Rollouts { routes, canary_budgets, by_service, .. } = &mut self.rollouts;
         let Some(rollout) = by_service.get(service) else { return };
         let routes = routes.entry(service.to_owned()).or_default();
-        if routes.len() < ROUTES && routes.insert(route.to_owned()) {
-            // A host that restarts may have used its part of the slack before.
-            let ran = rollout.learned_at.since(self.started) >= LATE_START;
-            let slack = if ran { slack * rollout.canary_multiplier / ROUTES as f64 } else { 0.0 };
-            exposures.grant(&kind(service, route), slack, hosts);
+        if routes.len() < CANARY_ROUTES_MAX && routes.insert(route.to_owned()) {
+            // A host that restarts may have used its share of the slack before, so it gets none.
+            let ran_before = rollout.learned_at.since(self.started) >= RECENT_START;
+            let slack = if ran_before {
+                slack * rollout.canary_multiplier / CANARY_ROUTES_MAX as f64
+            } else {
+                0.0
+            };
+            canary_budgets.grant(&budget_key(service, route), slack, hosts);
         }
-        let part = 1.0 / routes.len() as f64;
-        let share = bounds.exposure_share * CANARY_SHARE * rollout.canary_multiplier * part;
+        let route_fraction = 1.0 / routes.len() as f64;
+        let share =
+            bounds.exposure_share * CANARY_SHARE * rollout.canary_multiplier * route_fraction;
         for route in routes.iter() {
-            exposures.deposit(
-                &kind(service, route),
+            canary_budgets.deposit(
+                &budget_key(service, route),
                 share,
-                slack * rollout.canary_multiplier * part,
+                slack * rollout.canary_multiplier * route_fraction,
                 hosts,
             );
         }
@@ -398,7 +421,8 @@
 
     // Reports.
 
-    /// Reports on roll-outs that are due, and where they go; this host's own are taken in.
+    /// Reports on roll-outs that are due, with their destination. If this host is the destination,
+    /// it takes them in itself.
     pub(crate) fn rollout_reports(&mut self, now: Time) -> Vec<(SocketAddr, Message)> {
         let mut due = Vec::new();
         for (service, rollout) in &self.rollouts.by_service {
@@ -411,14 +435,14 @@
                 due.push((service.clone(), report));
             }
         }
-        let judge = if due.is_empty() { None } else { self.first_reader(now) };
+        let reader = if due.is_empty() { None } else { self.first_reader(now) };
         let mut messages = Vec::new();
         for (service, report) in due {
-            let evidence = self.rollouts.evidence.entry(service).or_default();
-            let Some(report) = evidence.report(now, report) else { continue };
-            match judge {
+            let counts = self.rollouts.counts.entry(service).or_default();
+            let Some(report) = counts.report(now, report) else { continue };
+            match reader {
                 None => self.on_rollout_report(now, report),
-                Some(judge) => messages.push((judge, Message::RolloutReport(Box::new(report)))),
+                Some(reader) => messages.push((reader, Message::RolloutReport(Box::new(report)))),
             }
         }
         messages
@@ -445,132 +469,149 @@
 
     /// Takes in a host's report on a roll-out.
     pub fn on_rollout_report(&mut self, now: Time, report: RolloutReport) {
-        let Rollouts { by_service, judges, ways, .. } = &mut self.rollouts;
+        let Rollouts { by_service, analyses, policies, .. } = &mut self.rollouts;
         let service = by_service.iter().find(|(service, rollout)| {
             hash::of(service) as u32 == report.service && rollout.version == report.order
         });
         let Some((service, _)) = service else { return };
-        let judge = judges.entry(service.clone()).or_insert_with(|| CanaryAnalysis::new(ways.0));
-        judge.on_report(now, report);
+        let analysis =
+            analyses.entry(service.clone()).or_insert_with(|| CanaryAnalysis::new(policies.0));
+        analysis.on_report(now, report);
     }
 
-    /// Where the host is that reads, and writes, for all; none if that is this one.
+    /// Peer address of the first-ranked store reader, which analyses reports and writes progress
+    /// for the fleet; `None` if that is this host.
     fn first_reader(&self, now: Time) -> Option<SocketAddr> {
         let own = RankedReader { host: self.hash, read_ms: self.store_ms, location: ("", "") };
-        let served = self.members.live(now).filter(|member| !member.leaving);
-        let others = served.filter_map(|member| {
+        let candidates = self.members.live(now).filter(|member| !member.leaving);
+        let others = candidates.filter_map(|member| {
             let reader =
                 RankedReader { host: member.hash, read_ms: member.store_ms?, location: ("", "") };
             Some((reader.order(), member.host.peers))
         });
         let first = others.min()?;
-        let reads = self.store_schedule.is_served() && !self.leaving && own.order() < first.0;
-        (!reads).then_some(first.1)
+        let is_reader = self.store_schedule.is_served() && !self.leaving && own.order() < first.0;
+        (!is_reader).then_some(first.1)
     }
 
-    // Decisions for all.
+    // Decisions for the fleet.
 
-    /// What this host has to write of roll-outs now, if it writes for all.
+    /// The next write of roll-out progress; `None` if nothing is due or another host is the writer.
     ///
-    /// `unix_ms` is the time of day, by which hosts that start later know when an order came.
+    /// `unix_ms` is the wall clock in Unix milliseconds. It is stored so that hosts that start
+    /// later know when the order came.
     pub fn due_rollout_write(&mut self, now: Time, unix_ms: u64) -> Option<RolloutWrite> {
-        let idle = !self.has_active_rollouts() && !self.rewrites();
+        let idle = !self.has_active_rollouts() && !self.needs_rewrite();
         if idle || !self.knows_progress(now) || !self.maintains_host_list(now) {
             return None;
         }
         let services: Vec<String> = self.rollouts.by_service.keys().cloned().collect();
-        services.into_iter().find_map(|service| self.due_of(now, unix_ms, &service))
+        services.into_iter().find_map(|service| self.due_write_of(now, unix_ms, &service))
     }
 
-    /// Whether the progress of some order has to be written again as it is.
-    fn rewrites(&self) -> bool {
-        let held = self.view.retained(Table::Rollouts);
-        let again = |rollout: &Rollout| {
+    /// Whether the progress of an order must be written again unchanged: the store lost it, or
+    /// numbers the order's row differently.
+    fn needs_rewrite(&self) -> bool {
+        let retained = self.view.retained(Table::Rollouts);
+        let order_renumbered = |rollout: &Rollout| {
             let progress = rollout.progress.as_ref();
             progress.is_some_and(|(progress, _)| progress.order != rollout.version)
         };
-        !held.is_empty() || self.rollouts.by_service.values().any(again)
+        !retained.is_empty() || self.rollouts.by_service.values().any(order_renumbered)
     }
 
-    fn due_of(&self, now: Time, unix_ms: u64, service: &str) -> Option<RolloutWrite> {
+    fn due_write_of(&self, now: Time, unix_ms: u64, service: &str) -> Option<RolloutWrite> {
         let rollout = self.rollouts.get(service)?;
         let key = RowKey::Progress(service.to_owned());
-        let known = rollout.progress.as_ref().map(|(progress, _)| progress);
-        let lost = known
-            .is_some_and(|known| known.order != rollout.version || self.view.is_retained(&key));
-        let judge = self.rollouts.judges.get(service);
-        let sight = self.sight(now, unix_ms, service, rollout);
-        let next = rollout_steps::next_stage(self.rollouts.ways.1, &sight);
-        let stage = next.or(known.filter(|_| lost).map(|known| known.stage))?;
-        let since_order = sight.since_order_ms;
+        let stored = rollout.progress.as_ref().map(|(progress, _)| progress);
+        let must_rewrite = stored
+            .is_some_and(|stored| stored.order != rollout.version || self.view.is_retained(&key));
+        let analysis = self.rollouts.analyses.get(service);
+        let context = self.step_context(now, unix_ms, service, rollout);
+        let due_stage = rollout_steps::next_stage(self.rollouts.policies.1, &context);
+        let stage = due_stage.or(stored.filter(|_| must_rewrite).map(|stored| stored.stage))?;
+        let since_order = context.since_order_ms;
         let progress = RolloutProgress {
             order: rollout.version,
             target: rollout.order.target.clone(),
             stage,
-            began_unix_ms: known.map_or(unix_ms.saturating_sub(since_order), |p| p.began_unix_ms),
+            began_unix_ms: stored.map_or(unix_ms.saturating_sub(since_order), |p| p.began_unix_ms),
         };
         let expected = (self.view.store_count(&key), rollout.version.count);
-        let cause = judge
+        let cause = analysis
             .and_then(CanaryAnalysis::rejection)
             .filter(|_| stage == RolloutStage::RolledBack)
             .cloned();
         Some(RolloutWrite { service: service.to_owned(), progress, expected, cause })
     }
 
-    /// Whether so few requests are left until the deadline that a version which is bad could
-    /// not get too many.
-    fn few(&self, since_order_ms: u64, service: &str, rollout: &Rollout) -> bool {
-        let asked = self.rollouts.judges.get(service).map_or(0, CanaryAnalysis::old_answers);
-        let left = rollout.order.duration_ms.saturating_sub(since_order_ms);
-        let told = (rollout::SENDERS / self.fleet_size as f64).min(1.0);
-        let rate = f64::from(asked) / since_order_ms.max(1) as f64 / told;
-        rate * left as f64 <= self.settings.bounds.exposure_slack * FEW_PART
+    /// Whether so few requests are expected until the deadline that a bad version could not receive
+    /// too many.
+    fn few_requests_left(&self, since_order_ms: u64, service: &str, rollout: &Rollout) -> bool {
+        let old_answers =
+            self.rollouts.analyses.get(service).map_or(0, CanaryAnalysis::old_answers);
+        let left_ms = rollout.order.duration_ms.saturating_sub(since_order_ms);
+        let reporting_fraction = (rollout::CANARY_SENDERS_MAX / self.fleet_size as f64).min(1.0);
+        let answers_per_ms =
+            f64::from(old_answers) / since_order_ms.max(1) as f64 / reporting_fraction;
+        answers_per_ms * left_ms as f64
+            <= self.settings.bounds.exposure_slack * LAST_REQUESTS_SLACK_FRACTION
     }
 
-    fn sight(&self, now: Time, unix_ms: u64, service: &str, rollout: &Rollout) -> StepContext {
-        let judge = self.rollouts.judges.get(service);
+    fn step_context(
+        &self,
+        now: Time,
+        unix_ms: u64,
+        service: &str,
+        rollout: &Rollout,
+    ) -> StepContext {
+        let analysis = self.rollouts.analyses.get(service);
         let since = |at: Time| now.since(at) / MILLI;
         let mut since_order_ms = since(rollout.learned_at);
-        if rollout.learned_at.since(self.started) < LATE_START
+        if rollout.learned_at.since(self.started) < RECENT_START
             && let Some((progress, _)) = &rollout.progress
         {
-            let told = unix_ms.saturating_sub(progress.began_unix_ms);
-            since_order_ms = since_order_ms.max(told.min(2 * rollout.order.duration_ms));
+            let stored_age_ms = unix_ms.saturating_sub(progress.began_unix_ms);
+            since_order_ms = since_order_ms.max(stored_age_ms.min(2 * rollout.order.duration_ms));
         }
-        let calm = judge.is_none_or(CanaryAnalysis::is_clear);
-        let few = calm && self.few(since_order_ms, service, rollout);
-        let others_left = judge.is_some_and(|judge| {
-            let own =
-                self.address_hashes.first().is_some_and(|place| judge.has_drained_old(now, *place));
+        let is_clear = analysis.is_none_or(CanaryAnalysis::is_clear);
+        let few_requests_left =
+            is_clear && self.few_requests_left(since_order_ms, service, rollout);
+        let old_drained = analysis.is_some_and(|analysis| {
+            let own = self
+                .address_hashes
+                .first()
+                .is_some_and(|address_hash| analysis.has_drained_old(now, *address_hash));
             own && self
                 .members
                 .live(now)
-                .all(|member| judge.has_drained_old(now, member.address_hash))
+                .all(|member| analysis.has_drained_old(now, member.address_hash))
         });
         StepContext {
             stage: rollout.stage(),
             since_order_ms,
             since_stage_ms: rollout.progress.as_ref().map_or(0, |(_, at)| since(*at)),
             duration_ms: rollout.order.duration_ms,
-            longest_request_ms: self.longest_ms(service),
+            longest_request_ms: self.longest_request_ms(service),
             propagation_ms: self.settings.bounds.configuration_ms,
-            is_bad: judge.is_some_and(|judge| judge.rejection().is_some()),
-            trusted: judge.is_some_and(CanaryAnalysis::is_trusted) || few,
-            routes_trusted: judge.is_some_and(CanaryAnalysis::are_routes_trusted) || few,
-            old_drained: others_left,
+            is_bad: analysis.is_some_and(|analysis| analysis.rejection().is_some()),
+            trusted: analysis.is_some_and(CanaryAnalysis::is_trusted) || few_requests_left,
+            routes_trusted: analysis.is_some_and(CanaryAnalysis::are_routes_trusted)
+                || few_requests_left,
+            old_drained,
             slots: self.slots(service, &rollout.order.target),
         }
     }
 
-    /// The longest time that a request of a service may take, in milliseconds.
-    fn longest_ms(&self, service: &str) -> u64 {
+    /// Longest timeout of the service's routes, in milliseconds.
+    fn longest_request_ms(&self, service: &str) -> u64 {
         let configuration = self.view.configuration().into_iter();
         let routes = configuration.flat_map(|configuration| &configuration.routes);
-        let own = routes.filter(|r| r.parts.iter().any(|part| part.service == service));
-        own.map(|route| route.timeout_ms).max().unwrap_or(0)
+        let service_routes = routes.filter(|r| r.parts.iter().any(|part| part.service == service));
+        service_routes.map(|route| route.timeout_ms).max().unwrap_or(0)
     }
 
-    /// Slots of a service's usable servers of a version, and of the others.
+    /// Slots of a service's usable servers: of the given version, and of all others.
     fn slots(&self, service: &str, version: &str) -> (u32, u32) {
         let mut slots = (0, 0);
         for (_, entry) in self.servers.of_service(service).filter(|(_, entry)| !entry.is_leaving())
@@ -583,7 +624,7 @@
         slots
     }
 
-    /// The store took what was written; its counter for it.
+    /// Applies a write that the store accepted; `version` is the store version of the written row.
     pub fn on_rollout_written(
         &mut self,
         now: Time,
@@ -591,13 +632,12 @@
         version: StoreVersion,
     ) -> Vec<StateChange> {
         let key = RowKey::Progress(write.service.clone());
-        let item = Some(RowContent::Progress(write.progress.clone()));
-        self.apply_rows(now, Table::Rollouts, vec![crate::view::Row::new(key, version, item)])
+        let content = Some(RowContent::Progress(write.progress.clone()));
+        self.apply_rows(now, Table::Rollouts, vec![crate::view::Row::new(key, version, content)])
     }
 
-    /// Answers of the ordered version that are known here, and why it is bad if it is, for
-    /// lines and metrics.
+    /// Canary analysis of a service, for logs and metrics; `None` if no report has come in.
     pub fn rollout_analysis(&self, service: &str) -> Option<&CanaryAnalysis> {
-        self.rollouts.judges.get(service)
+        self.rollouts.analyses.get(service)
     }
 }
--- a/elmstream_steer/src/rollout_counts.rs
+++ b/elmstream_steer/src/rollout_counts.rs
@@ -1,7 +1,8 @@
-//! What a host counts of a roll-out's requests, and tells the host that judges.
+//! Answers that a host counts during a roll-out and reports to the host that runs the canary
+//! analysis.
 //!
-//! Counts only rise during a start, so a report that is lost costs nothing once the next
-//! one comes, and a judge that takes over learns all from the next reports.
+//! Counts only grow between two starts of a host. A lost report is therefore made up for by the
+//! next one, and a host that takes over the analysis learns everything from the next reports.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,35 +11,37 @@
 
 use crate::{hash, rollout::RolloutStage, server::Outcome, version::StoreVersion};
 
-/// Time between two reports of a host that has something to say.
+/// Time between two reports of a host whose counts have changed, in microseconds.
 pub const REPORT_INTERVAL: u64 = 500 * MILLI;
-/// The same if nothing has changed, so that a judge that took over learns it.
-const REPEAT_EVERY: u64 = SECOND;
-/// An answer is slow if it took this many times as long as the other versions' do: bad
-/// versions are several times slower.
-const SLOW: f64 = 2.5;
-/// Time by which answers differ for the host's own sake, in milliseconds.
+/// Time between two reports with equal content, so that a host that takes over the analysis learns
+/// it.
+const UNCHANGED_REPORT_INTERVAL: u64 = SECOND;
+/// An answer is slow if it took this many times the baseline; bad versions are several times
+/// slower.
+const SLOW_FACTOR: f64 = 2.5;
+/// Differences in answer time up to this are caused by the host itself, in milliseconds.
 const NOISE_MS: f64 = 10.0;
-/// Answers of the other versions from which on their mean is known.
-const KNOWN: u32 = 5;
-/// How many times as long a server takes that does not know the key, till learned.
-const UNKNOWING: f64 = 3.0;
-/// Weight of one more answer in that mean.
-const WEIGHT: f64 = 0.05;
-/// Kinds that are counted apart at most: pairs of a server and a route, or routes.
-const KINDS: usize = 96;
-
-/// Answers by how they were.
+/// Number of baseline answers from which their mean is used.
+const BASELINE_ANSWERS_MIN: u32 = 5;
+/// Ratio of answer times on servers that aren't warm for the key to those that are, until it is
+/// measured.
+const COLD_KEY_FACTOR: f64 = 3.0;
+/// Weight of one more answer in the moving mean.
+const MEAN_WEIGHT: f64 = 0.05;
+/// Highest number of separate counters: pairs of server and route, or routes.
+const COUNTERS_MAX: usize = 96;
+
+/// Answers, counted by whether they were good.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AnswerCounts {
-    /// As they should be.
+    /// Successful answers in the usual time.
     pub good: u32,
-    /// Failures, and answers that took too long.
+    /// Failures and slow answers.
     pub bad: u32,
 }
 
 impl AnswerCounts {
-    /// All of them.
+    /// Number of all answers.
     pub fn total(self) -> u32 {
         self.good + self.bad
     }
@@ -50,40 +53,40 @@
         }
     }
 
-    /// What has come since an earlier count of the same start.
+    /// Answers counted since an earlier count of the same start of a host.
     pub fn since(self, before: AnswerCounts) -> AnswerCounts {
         let good = self.good.saturating_sub(before.good);
         AnswerCounts { good, bad: self.bad.saturating_sub(before.bad) }
     }
 }
 
-/// What a host tells of one roll-out.
+/// Report of one host on one roll-out.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RolloutReport {
-    /// Hash of the service.
+    /// Hash of the service's name, cut to 32 bits.
     pub service: u32,
-    /// The store's version of the order's row.
+    /// Store version of the order's row.
     pub order: StoreVersion,
-    /// Hash of the host's address, and of its start.
+    /// Hash of the host's address.
     pub address_hash: u64,
-    /// Hash of the start.
+    /// Hash of the host's start.
     pub start: u64,
     /// Region of the host.
     pub region: String,
-    /// Answers of servers of the ordered version, by hashes of the server and the route.
+    /// Answers of servers of the ordered version, by hashes of server and route.
     pub target: Vec<(u32, u32, AnswerCounts)>,
     /// Answers of the other servers, by hash of the route.
     pub old: Vec<(u32, AnswerCounts)>,
-    /// The stage that the host acts on.
+    /// Stage that the host acts on.
     pub stage: Option<RolloutStage>,
-    /// Whether it has nothing in flight at servers of other versions and sends nothing more
-    /// there.
+    /// Whether the host sends nothing more to servers of other versions and has no request in
+    /// flight there.
     pub old_drained: bool,
 }
 
-/// How long answers of versions that are not on trial take, by route, and by whether the
-/// server was taken to know the key: one that has just started knows none, and is slower for
-/// it, but not bad. Counted all the time, as warm servers seldom meet a key that is new.
+/// Usual answer times of versions that aren't being tested, by route and by whether the server was
+/// expected to be warm for the key: a server that has just started is warm for none and slower for
+/// it, but not bad. Counted at all times, as warm servers seldom meet a new key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Baselines(HashMap<(u32, bool), Baseline>);
 
@@ -94,60 +97,68 @@
 }
 
 impl Baselines {
-    /// Takes an answer's time in, unless its server is on trial; whether it is far longer
-    /// than usual.
-    pub fn is_slow(&mut self, seen: &ObservedAnswer, micros: u64, knew: bool) -> bool {
+    /// Records the time of an answer, unless its server is being tested or cold. Returns whether
+    /// the answer was slow against the baseline before it.
+    pub fn record_time(&mut self, answer: &ObservedAnswer, micros: u64, was_warm: bool) -> bool {
         let millis = micros as f64 / MILLI as f64;
-        if self.0.len() >= KINDS && !self.0.contains_key(&(seen.route, knew)) {
+        if self.0.len() >= COUNTERS_MAX && !self.0.contains_key(&(answer.route, was_warm)) {
             return false;
         }
-        let usually = self.mean_ms(seen.route, knew);
-        let slow = usually.is_some_and(|usually| millis > usually * SLOW + NOISE_MS);
-        if !seen.target && !seen.cold {
-            let usual = self.0.entry((seen.route, knew)).or_default();
-            usual.count = usual.count.saturating_add(1);
-            let weight = WEIGHT.max(1.0 / f64::from(usual.count));
-            usual.mean_ms += (millis - usual.mean_ms) * weight;
+        let baseline_ms = self.mean_ms(answer.route, was_warm);
+        let slow =
+            baseline_ms.is_some_and(|baseline_ms| millis > baseline_ms * SLOW_FACTOR + NOISE_MS);
+        if !answer.target && !answer.cold {
+            let baseline = self.0.entry((answer.route, was_warm)).or_default();
+            baseline.count = baseline.count.saturating_add(1);
+            let weight = MEAN_WEIGHT.max(1.0 / f64::from(baseline.count));
+            baseline.mean_ms += (millis - baseline.mean_ms) * weight;
         }
         slow
     }
 
-    /// Mean time of a route's answers of one kind; none if too few of either are known.
-    ///
-    /// Of the kind of which few have come it is worked out from the other one, by how the two
-    /// are on the other routes.
-    fn mean_ms(&self, route: u32, knew: bool) -> Option<f64> {
-        self.known(route, knew).or_else(|| {
-            let other = self.known(route, !knew)?;
-            Some(if knew { other / self.ratio() } else { other * self.ratio() })
+    /// Mean time of a route's answers, warm or not; `None` if too few of either kind are known. For
+    /// a kind with too few answers it is derived from the other kind and the ratio on other routes.
+    fn mean_ms(&self, route: u32, was_warm: bool) -> Option<f64> {
+        self.known_mean_ms(route, was_warm).or_else(|| {
+            let other = self.known_mean_ms(route, !was_warm)?;
+            Some(if was_warm {
+                other / self.cold_key_ratio()
+            } else {
+                other * self.cold_key_ratio()
+            })
         })
     }
 
-    fn known(&self, route: u32, knew: bool) -> Option<f64> {
-        let usual = self.0.get(&(route, knew))?;
-        (usual.count >= KNOWN).then_some(usual.mean_ms)
+    fn known_mean_ms(&self, route: u32, was_warm: bool) -> Option<f64> {
+        let baseline = self.0.get(&(route, was_warm))?;
+        (baseline.count >= BASELINE_ANSWERS_MIN).then_some(baseline.mean_ms)
     }
 
-    /// How many times as long servers take that do not know the key.
-    fn ratio(&self) -> f64 {
-        let knowing = self.0.keys().filter(|(_, knew)| *knew);
-        let both = knowing
-            .filter_map(|(route, _)| Some(self.known(*route, false)? / self.known(*route, true)?));
-        let both: Vec<f64> = both.collect();
-        if both.is_empty() { UNKNOWING } else { both.iter().sum::<f64>() / both.len() as f64 }
+    /// Mean ratio of answer times without and with a warm key.
+    fn cold_key_ratio(&self) -> f64 {
+        let warm = self.0.keys().filter(|(_, was_warm)| *was_warm);
+        let ratios = warm.filter_map(|(route, _)| {
+            Some(self.known_mean_ms(*route, false)? / self.known_mean_ms(*route, true)?)
+        });
+        let ratios: Vec<f64> = ratios.collect();
+        if ratios.is_empty() {
+            COLD_KEY_FACTOR
+        } else {
+            ratios.iter().sum::<f64>() / ratios.len() as f64
+        }
     }
 }
 
-/// What one host has counted of a roll-out.
+/// Answers that one host counted for a roll-out.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RolloutCounts {
     target: BTreeMap<(u32, u32), AnswerCounts>,
     old: BTreeMap<u32, AnswerCounts>,
-    /// Last report, and what it said.
-    told: Option<(Time, u64)>,
+    /// Time and content hash of the last report.
+    last_report: Option<(Time, u64)>,
 }
 
-/// An answer that counts.
+/// Answer to count.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservedAnswer {
     /// Hash of the server.
@@ -157,15 +168,16 @@
     pub outcome: Outcome,
     /// Whether the server was cold, and so slower than usual.
     pub cold: bool,
-    /// Whether it is of the ordered version.
+    /// Whether the server has the ordered version.
     pub target: bool,
 }
 
 impl RolloutCounts {
-    /// Counts an answer, which took far longer than usual or not; whether it was one.
-    pub fn count(&mut self, seen: &ObservedAnswer, slow: bool) -> bool {
-        let bad = match seen.outcome {
-            Outcome::Answered { .. } => slow && !seen.cold,
+    /// Counts an outcome; `slow` tells whether the answer was slow. Returns whether the outcome
+    /// says anything about the server's version.
+    pub fn count(&mut self, answer: &ObservedAnswer, slow: bool) -> bool {
+        let bad = match answer.outcome {
+            Outcome::Answered { .. } => slow && !answer.cold,
             Outcome::Failed | Outcome::Unknown | Outcome::ServerCrashed | Outcome::Silent => true,
             Outcome::Full
             | Outcome::WrongServer
@@ -173,42 +185,43 @@
             | Outcome::NotSent
             | Outcome::CallerGone => return false,
         };
-        let marks = match seen.target {
-            true => bounded(&mut self.target, (seen.server, seen.route), (0, seen.route)),
-            false => bounded(&mut self.old, seen.route, 0),
+        let counts = match answer.target {
+            true => counter_for(&mut self.target, (answer.server, answer.route), (0, answer.route)),
+            false => counter_for(&mut self.old, answer.route, 0),
         };
-        marks.add(bad);
+        counts.add(bad);
         true
     }
 
-    /// The report that is due, given all but what was counted.
+    /// Completes `report` with the counts; `None` if no report is due.
     pub fn report(&mut self, now: Time, report: RolloutReport) -> Option<RolloutReport> {
-        let target = self.target.iter().map(|((server, route), marks)| (*server, *route, *marks));
-        let old = self.old.iter().map(|(route, marks)| (*route, *marks));
+        let target = self.target.iter().map(|((server, route), counts)| (*server, *route, *counts));
+        let old = self.old.iter().map(|(route, counts)| (*route, *counts));
         let report = RolloutReport { target: target.collect(), old: old.collect(), ..report };
-        let digest = hash::of(words(&report));
-        let due = self.told.is_none_or(|(at, told)| {
-            let apart = if told == digest { REPEAT_EVERY } else { REPORT_INTERVAL };
-            now.since(at) >= apart
+        let digest = hash::of(content_text(&report));
+        let due = self.last_report.is_none_or(|(at, last_digest)| {
+            let interval =
+                if last_digest == digest { UNCHANGED_REPORT_INTERVAL } else { REPORT_INTERVAL };
+            now.since(at) >= interval
         });
         due.then(|| {
-            self.told = Some((now, digest));
+            self.last_report = Some((now, digest));
             report
         })
     }
 }
 
-/// A text that differs if what a report says does.
-fn words(report: &RolloutReport) -> String {
+/// Text that differs if the counted content of two reports differs; hashed within one host only.
+fn content_text(report: &RolloutReport) -> String {
     format!("{:?}{:?}{:?}{}", report.target, report.old, report.stage, report.old_drained)
 }
 
-/// The count of a kind, or of all others if there are too many kinds.
-fn bounded<K: Copy + Ord>(
+/// Counter for `key`, or the one for `others` if there are too many counters.
+fn counter_for<K: Copy + Ord>(
     counts: &mut BTreeMap<K, AnswerCounts>,
-    kind: K,
+    key: K,
     others: K,
 ) -> &mut AnswerCounts {
-    let room = counts.len() < KINDS || counts.contains_key(&kind);
-    counts.entry(if room { kind } else { others }).or_default()
+    let has_room = counts.len() < COUNTERS_MAX || counts.contains_key(&key);
+    counts.entry(if has_room { key } else { others }).or_default()
 }
--- a/elmstream_steer/src/rollout_steps.rs
+++ b/elmstream_steer/src/rollout_steps.rs
@@ -1,124 +1,128 @@
-//! When a roll-out goes on to its next stage.
+//! Transitions between the stages of a roll-out.
 //!
-//! A version that turns out to be bad may have had a small part of all requests until the
-//! deadline. So it is on trial for as long as the shift to it leaves time, and the shift is
-//! short: a quarter of the keys first, under which a version that is bad under load shows,
-//! then all, until nothing is in flight at the other servers.
+//! A version that turns out to be bad may receive a small fraction of all requests until the
+//! deadline. So the canary phase lasts as long as possible, and the shift is short: first a quarter
+//! of the keys, under which failures under load show, then all keys, until nothing is in flight at
+//! the other servers.
 
 use crate::rollout::RolloutStage;
 
-/// Part of the keys that go to the version first, in hundredths.
-const FIRST_SHIFT: u8 = 25;
-/// Time of the first shift at least: news reach all hosts, requests are answered, hosts
-/// report, in milliseconds.
-const FIRST_SHIFT_MS: u64 = 900;
-/// Time for the rest beside the longest request: news, reports, a write, in milliseconds.
-const REST_MS: u64 = 1_600;
-/// Part of the time until the deadline that the shift takes at most.
-const SHIFT_PART: f64 = 0.5;
-/// A shift is not begun with less time than this until the deadline, in milliseconds.
-const SHIFT_LEAST_MS: u64 = 2_500;
-/// A roll-out that cannot be trusted is rolled back this long before its deadline, in
-/// milliseconds: the store may take half a second, and may have to be asked again.
-const ROOM_MS: u64 = 1_200;
-/// Part of the other servers' slots that the ordered version must have.
-const SLOTS_PART: f64 = 0.5;
-/// Shares of the other way of stepping, in hundredths, at even parts of the time.
-const FIXED: [u8; 3] = [10, 25, 50];
+/// Percentage of the keys in the first step of the shift.
+const FIRST_SHIFT_PERCENT: u8 = 25;
+/// Shortest time of the first step, in milliseconds: all hosts learn of it, requests are answered,
+/// hosts report.
+const FIRST_SHIFT_MIN_MS: u64 = 900;
+/// Time that the rest of the shift takes beside the longest request, in milliseconds:
+/// notifications, reports and a store write.
+const FULL_SHIFT_MS: u64 = 1_600;
+/// Largest fraction of the time until the deadline that the shift may take.
+const SHIFT_MAX_FRACTION: f64 = 0.5;
+/// A shift isn't begun with less time than this until the deadline, in milliseconds.
+const SHIFT_MIN_MS: u64 = 2_500;
+/// A version that isn't trusted is rolled back this long before the deadline, in milliseconds: the
+/// store may take half a second, and the write may have to be repeated.
+const ROLLBACK_MARGIN_MS: u64 = 1_200;
+/// Slots that the ordered version must have, as a fraction of the other servers' slots.
+const SLOTS_MIN_FRACTION: f64 = 0.5;
+/// Percentages of the fixed policy, at even intervals.
+const FIXED_PERCENTAGES: [u8; 3] = [10, 25, 50];
 
-/// A way of stepping.
+/// Policy for the times of the steps.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StepPolicy {
-    /// On trial for as long as the shift leaves time.
+    /// The canary phase lasts as long as the time for the shift allows.
     #[default]
     Late,
-    /// At fixed times, whatever is known of the version by then.
+    /// Steps at fixed times, whatever is known of the version by then.
     Fixed,
 }
 
-/// What the next stage rests on.
+/// Facts that the next stage depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct StepContext {
-    /// The present stage; none if the order has not begun.
+    /// Present stage; `None` if the order has not begun.
     pub stage: Option<RolloutStage>,
     /// Time since the order, in milliseconds.
     pub since_order_ms: u64,
     /// Time since the stage began, in milliseconds.
     pub since_stage_ms: u64,
-    /// Time from the order until it has to be decided, in milliseconds.
+    /// Time from the order until it must be decided, in milliseconds.
     pub duration_ms: u64,
-    /// The longest time that a request of the service may take, in milliseconds.
+    /// Longest time that a request of the service may take, in milliseconds.
     pub longest_request_ms: u64,
-    /// Time in which news reach all hosts, in milliseconds.
+    /// Time in which a change reaches all hosts, in milliseconds.
     pub propagation_ms: u64,
-    /// Whether the version is found to be bad.
+    /// Whether the analysis rejects the version.
     pub is_bad: bool,
     /// Whether enough of its answers were good.
     pub trusted: bool,
-    /// The same of each route that callers ask for.
+    /// Whether enough of its answers were good on each route that callers use.
     pub routes_trusted: bool,
-    /// Whether all hosts have left the servers of other versions.
+    /// Whether no host uses the servers of other versions any more.
     pub old_drained: bool,
-    /// Slots of usable servers of the ordered version, and of the others.
+    /// Slots of usable servers: of the ordered version, and of all others.
     pub slots: (u32, u32),
 }
 
 impl StepContext {
-    /// Time since the order at which traffic begins to shift.
-    fn shift_at(&self) -> u64 {
-        let shift = FIRST_SHIFT_MS + REST_MS + self.longest_request_ms;
-        let most = (self.duration_ms as f64 * SHIFT_PART) as u64;
-        self.duration_ms - shift.min(most)
+    /// Time since the order at which the shift begins, in milliseconds.
+    fn shift_at_ms(&self) -> u64 {
+        let shift_ms = FIRST_SHIFT_MIN_MS + FULL_SHIFT_MS + self.longest_request_ms;
+        let shift_max_ms = (self.duration_ms as f64 * SHIFT_MAX_FRACTION) as u64;
+        self.duration_ms - shift_ms.min(shift_max_ms)
     }
 
     fn may_shift(&self) -> bool {
         let (target, others) = self.slots;
-        self.trusted && target > 0 && f64::from(target) >= f64::from(others) * SLOTS_PART
+        self.trusted && target > 0 && f64::from(target) >= f64::from(others) * SLOTS_MIN_FRACTION
     }
 
-    /// Whether nobody sends to the servers of other versions any more. Hosts that cannot be
-    /// heard have learned it by the time that news take, if they can know anything.
-    fn moved(&self) -> bool {
+    /// Whether no host sends to the servers of other versions any more. A host that can't report
+    /// has learned of the stage after the propagation time, or its knowledge is too old to act on.
+    fn has_moved(&self) -> bool {
         self.old_drained || self.since_stage_ms >= self.propagation_ms + self.longest_request_ms
     }
 }
 
-/// The stage that follows now; none if the present one goes on.
-pub fn next_stage(stepping: StepPolicy, sight: &StepContext) -> Option<RolloutStage> {
-    let Some(stage) = sight.stage else { return Some(RolloutStage::Canary) };
+/// Stage that must follow now; `None` if the present one continues.
+pub fn next_stage(policy: StepPolicy, context: &StepContext) -> Option<RolloutStage> {
+    let Some(stage) = context.stage else { return Some(RolloutStage::Canary) };
     if stage.is_final() {
         return None;
     }
-    if sight.is_bad {
+    if context.is_bad {
         return Some(RolloutStage::RolledBack);
     }
-    let late = sight.since_order_ms + ROOM_MS >= sight.duration_ms;
-    let first_shift = sight.since_stage_ms >= FIRST_SHIFT_MS;
-    match (stage, stepping) {
-        (RolloutStage::Shift(100), _) => sight.moved().then_some(RolloutStage::Completed),
-        (RolloutStage::Canary, StepPolicy::Late) if sight.since_order_ms >= sight.shift_at() => {
-            let time = sight.since_order_ms + SHIFT_LEAST_MS <= sight.duration_ms;
-            let shift = (time && sight.may_shift()).then_some(RolloutStage::Shift(FIRST_SHIFT));
-            shift.or(late.then_some(RolloutStage::RolledBack))
+    let at_deadline = context.since_order_ms + ROLLBACK_MARGIN_MS >= context.duration_ms;
+    let first_step_done = context.since_stage_ms >= FIRST_SHIFT_MIN_MS;
+    match (stage, policy) {
+        (RolloutStage::Shift(100), _) => context.has_moved().then_some(RolloutStage::Completed),
+        (RolloutStage::Canary, StepPolicy::Late)
+            if context.since_order_ms >= context.shift_at_ms() =>
+        {
+            let has_time = context.since_order_ms + SHIFT_MIN_MS <= context.duration_ms;
+            let shift = (has_time && context.may_shift())
+                .then_some(RolloutStage::Shift(FIRST_SHIFT_PERCENT));
+            shift.or(at_deadline.then_some(RolloutStage::RolledBack))
         }
         (RolloutStage::Canary, StepPolicy::Late) => None,
         (_, StepPolicy::Late) => {
-            // A route with few requests may not have been tried before; now it is.
-            let goes_on = first_shift && sight.routes_trusted;
-            let shift = goes_on.then_some(RolloutStage::Shift(100));
-            shift.or(late.then_some(RolloutStage::RolledBack))
+            // A route with few requests may have had no canary requests; the first step tests it.
+            let may_continue = first_step_done && context.routes_trusted;
+            let shift = may_continue.then_some(RolloutStage::Shift(100));
+            shift.or(at_deadline.then_some(RolloutStage::RolledBack))
         }
-        (stage, StepPolicy::Fixed) => fixed(sight, stage),
+        (stage, StepPolicy::Fixed) => next_fixed_stage(context, stage),
     }
 }
 
-fn fixed(sight: &StepContext, stage: RolloutStage) -> Option<RolloutStage> {
-    let step = sight.shift_at() / (FIXED.len() as u64 + 1);
-    let steps = (sight.since_order_ms / step.max(1)) as usize;
-    let percent = match steps {
+fn next_fixed_stage(context: &StepContext, stage: RolloutStage) -> Option<RolloutStage> {
+    let interval_ms = context.shift_at_ms() / (FIXED_PERCENTAGES.len() as u64 + 1);
+    let passed = (context.since_order_ms / interval_ms.max(1)) as usize;
+    let percent = match passed {
         0 => return None,
-        steps => FIXED.get(steps - 1).copied().unwrap_or(100),
+        passed => FIXED_PERCENTAGES.get(passed - 1).copied().unwrap_or(100),
     };
     let next = RolloutStage::Shift(percent);
-    (next != stage && sight.slots.0 > 0).then_some(next)
+    (next != stage && context.slots.0 > 0).then_some(next)
 }
