--- a/elmstream_steer/src/limit_senders.rs
+++ b/elmstream_steer/src/limit_senders.rs
@@ -1,4 +1,4 @@
-//! What servers of one host's tables name as limits: told, heard, and shared out.
+//! Limits of all backend servers that a host knows: notices, and the election of senders.
 
 use std::collections::HashMap;
 
@@ -12,14 +12,15 @@
     steer::Steer,
 };
 
-/// Limits of servers that one beat tells at most.
-const TOLD: usize = 24;
+/// Highest number of server limits in one heartbeat.
+const NOTICES_PER_HEARTBEAT_MAX: usize = 24;
 
-/// A service, and a region that servers of it are in.
-type Kind = (String, String);
+/// Service and region of a group of servers.
+type ServerGroup = (String, String);
 
 impl Steer {
-    /// A server named a limit in an answer, or none; whether that is another one than before.
+    /// Takes in the limit, or `None`, of a server's answer to this host. Returns whether it differs
+    /// from the one before.
     pub fn on_server_limit(
         &mut self,
         now: Time,
@@ -27,105 +28,119 @@
         limit: Option<RequestRate>,
     ) -> bool {
         let Some(entry) = self.servers.get_mut(index) else { return false };
-        let new = entry.server_limit.on_answer(now, limit);
-        if new {
+        let changed = entry.server_limit.on_answer(now, limit);
+        if changed {
             self.urgent = true;
             self.elect_limit_senders(now);
         }
-        new
+        changed
     }
 
-    /// Servers whose limit this host knows of.
+    /// Number of servers with a known limit.
     pub fn limited_servers(&self) -> usize {
         self.servers.all().filter(|(_, entry)| entry.server_limit.limit().is_some()).count()
     }
 
-    /// Limits that servers named to this host; in a beat with many, others the next time.
+    /// Limits that servers set in answers to this host; if there are too many for one heartbeat,
+    /// heartbeats carry them in rotation.
     pub(crate) fn limit_notices(&self, now: Time) -> Vec<LimitNotice> {
-        let told =
+        let notice =
             |entry: &ServerEntry| entry.server_limit.notice(now, entry.hash, entry.start_hash());
-        let mut limits: Vec<LimitNotice> =
-            self.servers.all().filter_map(|(_, entry)| told(entry)).collect();
-        if limits.len() > TOLD {
-            let begin = self.heartbeat_number as usize * TOLD % limits.len();
-            limits.rotate_left(begin);
-            limits.truncate(TOLD);
+        let mut notices: Vec<LimitNotice> =
+            self.servers.all().filter_map(|(_, entry)| notice(entry)).collect();
+        if notices.len() > NOTICES_PER_HEARTBEAT_MAX {
+            let first = self.heartbeat_number as usize * NOTICES_PER_HEARTBEAT_MAX % notices.len();
+            notices.rotate_left(first);
+            notices.truncate(NOTICES_PER_HEARTBEAT_MAX);
         }
-        limits
+        notices
     }
 
-    /// Takes in limits that servers named to another host; those that are new.
+    /// Merges the notices of another host. Returns ids and limits of servers whose limit is new.
     pub(crate) fn merge_limit_notices(
         &mut self,
         now: Time,
-        told: &[LimitNotice],
+        notices: &[LimitNotice],
     ) -> Vec<(String, Option<RequestRate>)> {
-        let mut new = Vec::new();
-        for told in told {
-            let Some(entry) = self.servers.get_mut_by_hash(told.server) else { continue };
-            if entry.start_hash() as u32 == told.start && entry.server_limit.on_notice(now, told) {
-                new.push((entry.id.clone(), told.limit));
+        let mut changed = Vec::new();
+        for notice in notices {
+            let Some(entry) = self.servers.get_mut_by_hash(notice.server) else { continue };
+            if entry.start_hash() as u32 == notice.start
+                && entry.server_limit.on_notice(now, notice)
+            {
+                changed.push((entry.id.clone(), notice.limit));
             }
         }
-        if !new.is_empty() {
+        if !changed.is_empty() {
             self.elect_limit_senders(now);
         }
-        new
+        changed
     }
 
-    /// Finds out which servers with a limit this host may send to, and how fast, where that
+    /// Determines to which servers with a limit this host may send, and how fast, where an election
     /// is due.
     pub(crate) fn elect_limit_senders(&mut self, now: Time) {
         let due = self.servers.all().filter(|(_, entry)| entry.server_limit.election_due(now));
-        let due: Vec<(ServerIndex, Kind)> = due
+        let due: Vec<(ServerIndex, ServerGroup)> = due
             .map(|(index, entry)| (index, (entry.server.service.clone(), entry.region.clone())))
             .collect();
-        let part = self.reachable as f64 / self.fleet_size.max(self.reachable).max(1) as f64;
-        let own = self.address_hashes.first().copied().unwrap_or_default();
-        let mut candidates: HashMap<Kind, Vec<SenderCandidate>> = HashMap::new();
-        for (index, kind) in due {
-            let among = candidates.entry(kind);
-            let among = among.or_insert_with_key(|kind| self.candidates(now, kind));
+        let reachable_fraction =
+            self.reachable as f64 / self.fleet_size.max(self.reachable).max(1) as f64;
+        let own_hash = self.address_hashes.first().copied().unwrap_or_default();
+        let mut candidates_by_group: HashMap<ServerGroup, Vec<SenderCandidate>> = HashMap::new();
+        for (index, group) in due {
+            let candidates = candidates_by_group.entry(group);
+            let candidates = candidates.or_insert_with_key(|group| self.candidates(now, group));
             if let Some(entry) = self.servers.get_mut(index) {
-                entry.server_limit.elect(now, own, among, entry.hash, part);
+                entry.server_limit.elect(now, own_hash, candidates, entry.hash, reachable_fraction);
             }
         }
     }
 
-    /// Hosts that may send to servers of a kind that named limits.
-    fn candidates(&self, now: Time, (service, region): &Kind) -> Vec<SenderCandidate> {
-        let hash = hash::of(service) as u32;
-        let asked = |member: &Member| {
-            let told = member.demand.iter().find(|(service, _)| *service == hash);
-            told.map_or(0, |(_, requests)| *requests)
+    /// Hosts that may send to servers with a limit of one service and region.
+    fn candidates(&self, now: Time, (service, region): &ServerGroup) -> Vec<SenderCandidate> {
+        let service_hash = hash::of(service) as u32;
+        let requests_of = |member: &Member| {
+            let demand = member.demand.iter().find(|(service, _)| *service == service_hash);
+            demand.map_or(0, |(_, requests)| *requests)
         };
-        let own = self.demand_counts.get(service).map_or(0, |count| count.value(now) as u32);
-        let most = self.members.live(now).map(asked).max().unwrap_or(0).max(own);
-        let near = |other: &str| other == region;
-        let place = self.address_hashes.first().copied().unwrap_or_default();
-        let own_weight = server_limit::sender_weight(own, most, near(&self.settings.host.region));
-        let mut candidates = vec![SenderCandidate { address_hash: place, weight: own_weight }];
+        let own_requests =
+            self.demand_counts.get(service).map_or(0, |count| count.value(now) as u32);
+        let max_requests =
+            self.members.live(now).map(requests_of).max().unwrap_or(0).max(own_requests);
+        let is_near = |other: &str| other == region;
+        let own_hash = self.address_hashes.first().copied().unwrap_or_default();
+        let own_weight = server_limit::sender_weight(
+            own_requests,
+            max_requests,
+            is_near(&self.settings.host.region),
+        );
+        let mut candidates = vec![SenderCandidate { address_hash: own_hash, weight: own_weight }];
         candidates.extend(self.members.live(now).map(|member| SenderCandidate {
             address_hash: member.address_hash,
-            weight: server_limit::sender_weight(asked(member), most, near(&member.host.region)),
+            weight: server_limit::sender_weight(
+                requests_of(member),
+                max_requests,
+                is_near(&member.host.region),
+            ),
         }));
-        // Of hosts that were only named nothing is known, so as much as possible is left
-        // to them until they are heard.
-        let weight = server_limit::sender_weight(most, most, true);
+        // Nothing is known of the requests of unconfirmed hosts, so they get the highest weight
+        // until they are confirmed.
+        let weight = server_limit::sender_weight(max_requests, max_requests, true);
         candidates.extend(
             self.members
                 .unconfirmed_hashes()
-                .map(|place| SenderCandidate { address_hash: place, weight }),
+                .map(|address_hash| SenderCandidate { address_hash, weight }),
         );
         candidates
     }
 
-    /// Forgets limits that nobody has heard for long.
+    /// Drops limits that no host has received for long.
     pub(crate) fn expire_limits(&mut self, now: Time) {
         self.servers.all_mut().for_each(|entry| entry.server_limit.expire(now));
     }
 
-    /// Hosts have come or gone.
+    /// Makes elections due as hosts have joined or left.
     pub(crate) fn invalidate_limit_senders(&mut self) {
         self.servers.all_mut().for_each(|entry| entry.server_limit.invalidate());
     }
--- a/elmstream_steer/src/poison.rs
+++ b/elmstream_steer/src/poison.rs
@@ -1,14 +1,14 @@
-//! Requests under which backend servers end, counted over the whole fleet.
+//! Poison requests: requests under which backend servers crash, counted over the whole fleet.
 //!
-//! A request that ends the server which begins to run it comes again under a new id, at
-//! any host, so it is known by a digest of its content. Each ending is told to all hosts
-//! with the start of the server, so two tellers of one ending count once. Endings are a
-//! set that only grows, or is voided, so hosts can merge what they hear in any order.
+//! A request that crashes the server which runs it comes again under a new id, at any host, so it
+//! is identified by a digest of its content. Each crash is reported to all hosts with the hash of
+//! the server's start, so two reports of one crash count once. Crashes are a set that only grows,
+//! or whose elements are voided, so hosts can merge reports in any order.
 //!
-//! Others were at work on the server that ended, and callers repeat harmless requests
-//! often. So endings count by generations: one counts beyond those before it only if its
-//! request was sent when they were known. Copies that are in flight while many servers
-//! are killed at once are of one generation, and the next whole answer voids them all.
+//! A crashed server was also running other requests, and callers often repeat harmless requests. So
+//! crashes count by generations: a crash counts beyond the earlier ones only if its request was
+//! sent when these were known. Copies that are in flight while many servers are killed at once
+//! belong to one generation, and the next complete answer voids all their crashes.
 
 use std::collections::HashMap;
 
@@ -20,94 +20,96 @@
     poison_record::{CrashRecord, Suspect, crash_report, crash_reports},
 };
 
-/// Endings that are kept of one request; those that are void go first.
-const ENDINGS: usize = 16;
-/// Requests that are kept at most: with all endings some 1.3 MB. Those that are not refused go
-/// first, of them those with the fewest generations, of these the oldest: each server that
-/// ends leaves as many as were at work there.
-const KEPT: usize = 1_024;
-/// Time for which what is new is told in each beat: beats are lost, and hosts of a large
-/// fleet are reached by turns, the last ones after 0.9 s.
-const TELL: u64 = 4 * SECOND;
-/// Endings in one beat, 33 bytes each, so that it stays one packet.
-const TOLD: usize = 12;
-/// Time for which the end of a server's start is remembered: no host sends to it longer
-/// than its entry stays in the store, some seconds.
-const ENDED: u64 = 60 * SECOND;
-/// Time after a whole answer, or an operator's word, in which endings that are heard of count as
-/// before it.
-const CLEARED: u64 = 2 * SECOND;
-/// Seconds after its last ending for which a request is suspected. Callers come back in
-/// seconds; a harmful one that comes more rarely ends one server each time.
-const SUSPECT_S: u64 = 600;
-/// Seconds after its last ending for which a request is refused. It may be harmless after
-/// the next release of its service.
-const REFUSE_S: u64 = 24 * 3_600;
-/// Time after which a host looks whether another one has listed a request: longer than a
-/// call to a store that answers slowly, 0.6 s, and a second one.
-const LIST_LATER: u64 = 2 * SECOND;
+/// Highest number of crashes that are kept of one request; voided ones are dropped first.
+const CRASHES_PER_REQUEST_MAX: usize = 16;
+/// Highest number of requests that are kept: about 1.3 MB with all their crashes. Requests that
+/// aren't refused are dropped first, of these the ones with the fewest generations, then the
+/// oldest: each crash adds all requests that the server was running.
+const SUSPECTS_MAX: usize = 1_024;
+/// Time for which a change is repeated in heartbeats: heartbeats get lost, and hosts of a large
+/// fleet are reached in rotation, the last ones after 0.9 s.
+const REPORT_FOR: u64 = 4 * SECOND;
+/// Highest number of crashes in one heartbeat, 33 bytes each, so that it fits into one packet.
+const CRASHES_PER_HEARTBEAT_MAX: usize = 12;
+/// Time for which the crash of a server's start is remembered: no host sends to it longer than its
+/// entry stays in the store, some seconds.
+const CRASHED_START_KEPT_FOR: u64 = 60 * SECOND;
+/// Time after a complete answer, or after an operator readmitted the request, in which reported
+/// crashes count as earlier.
+const CLEARED_FOR: u64 = 2 * SECOND;
+/// Seconds after its last crash for which a request is suspected. Callers retry within seconds; a
+/// poison request that comes more rarely crashes one server each time.
+const SUSPECT_FOR_S: u64 = 600;
+/// Seconds after its last crash for which a request is refused. It may be harmless after the next
+/// release of its service.
+const REFUSE_FOR_S: u64 = 24 * 3_600;
+/// Time after which a host checks whether another one has listed a request: longer than two calls
+/// to a store that answers slowly, 0.6 s each.
+const LISTING_CHECK_DELAY: u64 = 2 * SECOND;
 
-/// What a change came to, for lines.
+/// Effect of a crash on what is known of its request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PoisonChange {
-    /// Nothing that is to be told at once.
+    /// No change that is urgent.
     None,
-    /// The count has grown to where it matters.
+    /// The number of generations rose above one.
     GenerationRaised,
     /// The request is refused from now on.
     Refused(PoisonEvidence),
 }
 
-/// A refused request that is to be listed in the store.
+/// Refused request to be listed in the store.
 #[derive(Clone, Debug)]
 pub struct PendingListing {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// Ends of servers under it.
+    /// Server crashes under the request.
     pub crashes: Vec<ServerCrash>,
-    /// Whether it is this host's to list it; else only if nobody has.
+    /// Whether this host observed the crash that decided the refusal and lists it; otherwise the
+    /// host lists it only if no other host has.
     pub decided_here: bool,
 }
 
-/// What one host knows of such requests.
+/// Suspected and refused requests as one host knows them.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTracker {
     suspects: HashMap<RequestDigest, Suspect>,
-    /// Starts of servers that have ended, and when this host learned of it.
-    ended: HashMap<u64, Time>,
-    /// When this host last learned of anything that is to be told.
-    news: Option<Time>,
+    /// Hashes of server starts that crashed, and when this host learned of it.
+    crashed_starts: HashMap<u64, Time>,
+    /// When this host last learned of a change that is to be reported.
+    last_change: Option<Time>,
 }
 
 impl PoisonTracker {
-    /// Whether no server has ended under any request, so that no digest is needed.
+    /// Whether no request is suspected, so that no digest is needed.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Whether a start of a server is known to have ended.
+    /// Whether the server's start with this hash is known to have crashed.
     pub fn knows_crash(&self, server: u64) -> bool {
-        self.ended.contains_key(&server)
+        self.crashed_starts.contains_key(&server)
     }
 
-    /// Generations of endings that are known of a request.
+    /// Number of generations of crashes known of a request.
     pub fn generation(&self, digest: &RequestDigest) -> u8 {
         self.suspects.get(digest).map_or(0, Suspect::generation)
     }
 
-    /// Servers that have ended under a request.
+    /// Number of servers that crashed under a request, without voided crashes.
     pub fn crashed_servers(&self, digest: &RequestDigest) -> usize {
         self.suspects.get(digest).map_or(0, |suspect| suspect.active_crashes().count())
     }
 
-    /// Why a request is refused; none if it is not.
+    /// Why a request is refused; `None` if it isn't.
     pub fn refusal(&self, digest: &RequestDigest) -> Option<PoisonEvidence> {
         let suspect = self.suspects.get(digest)?;
-        suspect.refused().then(|| suspect.harm())
+        suspect.is_refused().then(|| suspect.evidence())
     }
 
-    /// A server ended under a request of this host, which was sent when so many
-    /// generations were `known`.
+    /// Records that a server crashed under a request of this host. `known` is the number of
+    /// generations that were known when the request was sent, `unix_s` the wall clock in Unix
+    /// seconds.
     pub fn record_crash(
         &mut self,
         now: Time,
@@ -117,134 +119,145 @@
         known: u8,
     ) -> PoisonChange {
         let generation = known.saturating_add(1);
-        let ending = ServerCrash { digest, server, generation, at_s: unix_s, voided: false };
-        let turn = self.merge(now, &ending);
+        let crash = ServerCrash { digest, server, generation, at_s: unix_s, voided: false };
+        let change = self.merge(now, &crash);
         if let Some(suspect) = self.suspects.get_mut(&digest) {
-            suspect.own = true;
-            suspect.decided |= matches!(turn, PoisonChange::Refused(_));
+            suspect.observed_here = true;
+            suspect.decided_here |= matches!(change, PoisonChange::Refused(_));
         }
-        turn
+        change
     }
 
-    /// Takes in an ending that another host tells of.
-    pub fn merge(&mut self, now: Time, ending: &ServerCrash) -> PoisonChange {
-        if !self.suspects.contains_key(&ending.digest) {
+    /// Merges a crash that another host reported.
+    pub fn merge(&mut self, now: Time, crash: &ServerCrash) -> PoisonChange {
+        if !self.suspects.contains_key(&crash.digest) {
             self.make_room();
         }
-        self.ended.entry(ending.server).or_insert(now);
-        self.news = Some(now);
-        let suspect = self.suspects.entry(ending.digest).or_default();
-        let (before, was_refused) = (suspect.generation(), suspect.refused());
-        let cleared = suspect.cleared.is_some_and(|at| now.since(at) < CLEARED);
-        if !suspect.crashes.contains_key(&ending.server) && suspect.crashes.len() >= ENDINGS {
-            suspect.drop_void();
+        self.crashed_starts.entry(crash.server).or_insert(now);
+        self.last_change = Some(now);
+        let suspect = self.suspects.entry(crash.digest).or_default();
+        let (generation_before, was_refused) = (suspect.generation(), suspect.is_refused());
+        let recently_cleared = suspect.cleared_at.is_some_and(|at| now.since(at) < CLEARED_FOR);
+        if !suspect.crashes.contains_key(&crash.server)
+            && suspect.crashes.len() >= CRASHES_PER_REQUEST_MAX
+        {
+            suspect.drop_oldest_voided();
         }
-        let full = suspect.crashes.len() >= ENDINGS;
-        match suspect.crashes.get_mut(&ending.server) {
-            Some(mark) => {
-                if ending.voided && !mark.void {
-                    mark.void = true;
-                    mark.learned = now;
+        let is_full = suspect.crashes.len() >= CRASHES_PER_REQUEST_MAX;
+        match suspect.crashes.get_mut(&crash.server) {
+            Some(record) => {
+                if crash.voided && !record.voided {
+                    record.voided = true;
+                    record.learned_at = now;
                 }
-                // Of two tellers the one that knew less when it sent: that ending would
-                // have come anyway.
-                mark.generation = mark.generation.min(ending.generation);
+                // Of two reports the one whose sender knew less counts: that crash would have
+                // happened regardless.
+                record.generation = record.generation.min(crash.generation);
             }
-            None if full => {}
+            None if is_full => {}
             None => {
-                let ServerCrash { generation, at_s, voided: void, .. } = *ending;
-                let void = void || cleared;
-                let mark = CrashRecord { generation, at_s, void, learned: now, told: Time(0) };
-                suspect.crashes.insert(ending.server, mark);
+                let ServerCrash { generation, at_s, voided, .. } = *crash;
+                let voided = voided || recently_cleared;
+                let record =
+                    CrashRecord { generation, at_s, voided, learned_at: now, reported_at: Time(0) };
+                suspect.crashes.insert(crash.server, record);
             }
         }
-        match suspect.refused() {
+        match suspect.is_refused() {
             true if !was_refused => {
                 suspect.refused_at = Some(now);
-                PoisonChange::Refused(suspect.harm())
+                PoisonChange::Refused(suspect.evidence())
+            }
+            false if suspect.generation() > generation_before.max(1) => {
+                PoisonChange::GenerationRaised
             }
-            false if suspect.generation() > before.max(1) => PoisonChange::GenerationRaised,
             _ => PoisonChange::None,
         }
     }
 
-    /// A request got a whole answer, so it is none that ends its server.
+    /// Records that a request got a complete answer, which clears it.
     pub fn record_answer(&mut self, now: Time, digest: &RequestDigest) {
         if let Some(suspect) = self.suspects.get_mut(digest) {
-            suspect.cleared = Some(now);
-            suspect.void(now);
-            self.news = Some(now);
+            suspect.cleared_at = Some(now);
+            suspect.void_crashes(now);
+            self.last_change = Some(now);
         }
     }
 
-    /// Endings that the next beat tells: those of refused requests first, and of these
-    /// the ones that were told longest ago.
+    /// Crashes to report in the next heartbeat: those of refused requests first, and of these the
+    /// ones whose last report is oldest.
     pub fn next_reports(&mut self, now: Time) -> Vec<ServerCrash> {
-        // Beats are many, and mostly there is nothing to tell.
-        if self.news.is_none_or(|at| now.since(at) >= TELL) {
+        // Heartbeats are frequent, and there is rarely anything to report.
+        if self.last_change.is_none_or(|at| now.since(at) >= REPORT_FOR) {
             return Vec::new();
         }
         let mut due: Vec<(bool, Time, RequestDigest, u64)> = Vec::new();
         for (digest, suspect) in &self.suspects {
-            let refused = suspect.refused();
-            let new = suspect.crashes.iter().filter(|(_, mark)| now.since(mark.learned) < TELL);
-            due.extend(new.map(|(server, mark)| (!refused, mark.told, *digest, *server)));
+            let refused = suspect.is_refused();
+            let unreported = suspect
+                .crashes
+                .iter()
+                .filter(|(_, record)| now.since(record.learned_at) < REPORT_FOR);
+            due.extend(
+                unreported.map(|(server, record)| (!refused, record.reported_at, *digest, *server)),
+            );
         }
         due.sort_unstable();
-        due.truncate(TOLD);
-        let told = due.into_iter().filter_map(|(_, _, digest, server)| {
-            let mark = self.suspects.get_mut(&digest)?.crashes.get_mut(&server)?;
-            mark.told = now;
-            Some(crash_report(digest, server, mark))
+        due.truncate(CRASHES_PER_HEARTBEAT_MAX);
+        let reports = due.into_iter().filter_map(|(_, _, digest, server)| {
+            let record = self.suspects.get_mut(&digest)?.crashes.get_mut(&server)?;
+            record.reported_at = now;
+            Some(crash_report(digest, server, record))
         });
-        told.collect()
+        reports.collect()
     }
 
-    /// A host has come, or is back: what is refused is told again.
+    /// Reports refused requests again, for a host that joined or is back.
     pub fn rebroadcast(&mut self, now: Time) {
-        self.news = Some(now);
-        for suspect in self.suspects.values_mut().filter(|suspect| suspect.refused()) {
-            suspect.crashes.values_mut().for_each(|mark| mark.learned = now);
+        self.last_change = Some(now);
+        for suspect in self.suspects.values_mut().filter(|suspect| suspect.is_refused()) {
+            suspect.crashes.values_mut().for_each(|record| record.learned_at = now);
         }
     }
 
-    /// All endings that are known of refused requests, for a host that starts.
+    /// All known crashes of refused requests, for a host that starts.
     pub fn refused_crashes(&self) -> Vec<ServerCrash> {
-        let refused = self.suspects.iter().filter(|(_, suspect)| suspect.refused());
+        let refused = self.suspects.iter().filter(|(_, suspect)| suspect.is_refused());
         refused.flat_map(|(digest, suspect)| crash_reports(*digest, suspect)).collect()
     }
 
-    /// Refused requests that this host has to write down in the store, as it saw an ending
-    /// itself and does not know them to be listed.
+    /// Refused requests that this host must list in the store: it observed a crash itself and
+    /// doesn't know the request to be listed.
     ///
-    /// The host that saw the last one does it at once. The others look some time later
-    /// whether it did: one that wrote as well could undo an operator's lift.
+    /// The host that observed the deciding crash lists the request at once. The others check some
+    /// time later whether it did: if they wrote too, they could undo an operator's readmission.
     pub fn pending_listings(&self, now: Time) -> Vec<PendingListing> {
         let mut due = Vec::new();
         for (digest, suspect) in &self.suspects {
-            let since = suspect.refused_at.map_or(0, |at| now.since(at));
-            let turn = suspect.decided || suspect.own && since >= LIST_LATER;
-            if turn && !suspect.listed && suspect.refused() {
-                let endings = crash_reports(*digest, suspect).collect();
+            let refused_for = suspect.refused_at.map_or(0, |at| now.since(at));
+            let may_list =
+                suspect.decided_here || suspect.observed_here && refused_for >= LISTING_CHECK_DELAY;
+            if may_list && !suspect.listed && suspect.is_refused() {
+                let crashes = crash_reports(*digest, suspect).collect();
                 due.push(PendingListing {
                     digest: *digest,
-                    crashes: endings,
-                    decided_here: suspect.decided,
+                    crashes,
+                    decided_here: suspect.decided_here,
                 });
             }
         }
         due
     }
 
-    /// All requests that are refused, with the ends of servers that decided it.
+    /// All refused requests, with their crashes.
     pub fn refused_requests(&self) -> Vec<(RequestDigest, Vec<ServerCrash>)> {
-        let refused = self.suspects.iter().filter(|(_, suspect)| suspect.refused());
+        let refused = self.suspects.iter().filter(|(_, suspect)| suspect.is_refused());
         refused
             .map(|(digest, suspect)| (*digest, crash_reports(*digest, suspect).collect()))
             .collect()
     }
 
-    /// Whether a request was refused, or suspected, and is cleared: by a whole answer, or by an
+    /// Whether a request was suspected or refused and is cleared, by a complete answer or by an
     /// operator.
     pub fn is_cleared(&self, digest: &RequestDigest) -> bool {
         let suspect = self.suspects.get(digest);
@@ -253,59 +266,60 @@
         })
     }
 
-    /// The store lists a request.
+    /// Records that the store lists a request.
     pub fn mark_listed(&mut self, digest: &RequestDigest) {
         if let Some(suspect) = self.suspects.get_mut(digest) {
             suspect.listed = true;
         }
     }
 
-    /// Lets a request in again, as an operator asks for; whether it was refused.
+    /// Readmits a request on an operator's order. Returns whether it was refused.
     ///
-    /// Ends that other hosts have seen and this one has not heard of yet count as before that.
+    /// Crashes that other hosts observed and this one has not learned of yet count as earlier.
     pub fn readmit(&mut self, now: Time, digest: &RequestDigest) -> bool {
         if !self.suspects.contains_key(digest) {
             self.make_room();
         }
         let suspect = self.suspects.entry(*digest).or_default();
-        let refused = suspect.refused();
-        suspect.cleared = Some(now);
-        suspect.void(now);
-        self.news = Some(now);
+        let refused = suspect.is_refused();
+        suspect.cleared_at = Some(now);
+        suspect.void_crashes(now);
+        self.last_change = Some(now);
         refused
     }
 
-    /// Requests that are refused now.
+    /// Number of requests that are refused now.
     pub fn refused_count(&self) -> usize {
-        self.suspects.values().filter(|suspect| suspect.refused()).count()
+        self.suspects.values().filter(|suspect| suspect.is_refused()).count()
     }
 
-    /// Forgets what is long past.
+    /// Forgets expired crashes and requests; `unix_s` is the wall clock in Unix seconds.
     pub fn expire(&mut self, now: Time, unix_s: u64) {
-        self.ended.retain(|_, at| now.since(*at) < ENDED);
+        self.crashed_starts.retain(|_, at| now.since(*at) < CRASHED_START_KEPT_FOR);
         self.suspects.retain(|_, suspect| {
-            let keep = if suspect.refused() { REFUSE_S } else { SUSPECT_S };
-            let cleared = suspect.cleared.is_some_and(|at| now.since(at) < CLEARED);
-            cleared || unix_s.saturating_sub(suspect.last_s()) < keep
+            let keep_s = if suspect.is_refused() { REFUSE_FOR_S } else { SUSPECT_FOR_S };
+            let recently_cleared = suspect.cleared_at.is_some_and(|at| now.since(at) < CLEARED_FOR);
+            recently_cleared || unix_s.saturating_sub(suspect.last_s()) < keep_s
         });
     }
 
-    /// Drops the request that matters least if there is no room for another.
+    /// Drops the least important request if there is no room for another.
     fn make_room(&mut self) {
-        if self.suspects.len() < KEPT {
+        if self.suspects.len() < SUSPECTS_MAX {
             return;
         }
-        let rank = |suspect: &Suspect| (suspect.refused(), suspect.generation(), suspect.last_s());
-        let least = self.suspects.iter().min_by_key(|(digest, known)| (rank(known), **digest));
+        let rank =
+            |suspect: &Suspect| (suspect.is_refused(), suspect.generation(), suspect.last_s());
+        let least = self.suspects.iter().min_by_key(|(digest, suspect)| (rank(suspect), **digest));
         if let Some(digest) = least.map(|(digest, _)| *digest) {
             self.suspects.remove(&digest);
         }
     }
 }
 
-/// Whether a listed request is no longer refused for what has ended under it. One without
-/// ends was let in again by an operator, whose it is to take that off the list.
-pub fn listing_expired(endings: &[ServerCrash], unix_s: u64) -> bool {
-    let last = endings.iter().map(|ending| ending.at_s).max();
-    last.is_some_and(|last| unix_s.saturating_sub(last) >= REFUSE_S)
+/// Whether a listed request is no longer refused for its crashes, as the last one is too old. A
+/// listing without crashes was readmitted by an operator, who also removes it from the list.
+pub fn listing_expired(crashes: &[ServerCrash], unix_s: u64) -> bool {
+    let last = crashes.iter().map(|crash| crash.at_s).max();
+    last.is_some_and(|last| unix_s.saturating_sub(last) >= REFUSE_FOR_S)
 }
--- a/elmstream_steer/src/poison_record.rs
+++ b/elmstream_steer/src/poison_record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request under which servers ended, and when it is refused.
+//! Crashes of servers under one request, and the rule by which the request is refused.
 
 use std::collections::BTreeMap;
 
@@ -7,136 +7,143 @@
 
 use crate::digest::RequestDigest;
 
-/// Generations of endings after which a request is refused.
-const GENERATIONS: u8 = 3;
-/// The same if as many servers as [`SERVERS`] have ended: copies that came at once end
-/// several servers in one generation, and few more may follow.
-const GENERATIONS_OF_SEVERAL: u8 = 2;
-/// Servers that may end under a request.
-const SERVERS: usize = 3;
+/// Number of generations of crashes at which a request is refused.
+const REFUSE_GENERATIONS: u8 = 3;
+/// Number of generations at which a request is refused if at least [`REFUSE_SERVERS`] servers have
+/// crashed: copies that come at once crash several servers in one generation, and few more may
+/// follow.
+const REFUSE_GENERATIONS_SEVERAL_SERVERS: u8 = 2;
+/// Number of servers that may crash under a request.
+const REFUSE_SERVERS: usize = 3;
 
-/// The end of a server under a request, as hosts tell it.
+/// Crash of a server under a request, as reported between hosts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServerCrash {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
     /// Hash of the server's start.
     pub server: u64,
-    /// One more than the generations that were known when the request was sent.
+    /// Number of generations that were known when the request was sent, plus one.
     pub generation: u8,
-    /// When it was seen, in seconds of the teller's time of day.
+    /// When it was observed, in Unix seconds by the observer's wall clock.
     pub at_s: u64,
-    /// Whether it says nothing: the request has had a whole answer, or was let in again.
+    /// Whether it no longer counts: the request got a complete answer, or was readmitted.
     pub voided: bool,
 }
 
-/// Why a request is refused, for lines.
+/// Why a request is refused, for logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PoisonEvidence {
-    /// Servers that have ended under it.
+    /// Number of servers that crashed under it.
     pub servers: usize,
-    /// Generations of their endings.
+    /// Number of generations of these crashes.
     pub generations: u8,
-    /// When the last one was seen, in seconds of the teller's time of day.
+    /// When the last crash was observed, in Unix seconds by the observer's wall clock.
     pub last_s: u64,
-    /// Whether this host saw one of them itself.
+    /// Whether this host observed a crash itself.
     pub observed_here: bool,
 }
 
-/// An ending as it is kept.
+/// Crash as kept by a host.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CrashRecord {
-    /// One more than the generations that were known when the request was sent.
+    /// Number of generations that were known when the request was sent, plus one.
     pub generation: u8,
-    /// When it was seen, in seconds of the teller's time of day.
+    /// When it was observed, in Unix seconds by the observer's wall clock.
     pub at_s: u64,
-    /// Whether it says nothing.
-    pub void: bool,
-    /// When this host learned of it, or that it is void.
-    pub learned: Time,
-    /// When it was last told.
-    pub told: Time,
+    /// Whether it no longer counts.
+    pub voided: bool,
+    /// When this host learned of the crash, or that it is voided.
+    pub learned_at: Time,
+    /// When it was last reported.
+    pub reported_at: Time,
 }
 
-/// What is known of one request.
+/// What a host knows of one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspect {
-    /// Ends of servers, by the hashes of their starts.
+    /// Crashes, by the hashes of the servers' starts.
     pub crashes: BTreeMap<u64, CrashRecord>,
-    /// Whether this host saw an ending itself.
-    pub own: bool,
-    /// Whether it saw the one for which the request is refused.
-    pub decided: bool,
-    /// When it began to refuse the request.
+    /// Whether this host observed a crash itself.
+    pub observed_here: bool,
+    /// Whether this host observed the crash for which the request is refused.
+    pub decided_here: bool,
+    /// When this host began to refuse the request.
     pub refused_at: Option<Time>,
-    /// Whether the store lists it.
+    /// Whether the store lists the request.
     pub listed: bool,
-    /// Last whole answer that this host gave to it, or an operator's word that lets it in.
-    pub cleared: Option<Time>,
+    /// When this host last gave the request a complete answer, or an operator readmitted it.
+    pub cleared_at: Option<Time>,
 }
 
 impl Suspect {
-    /// Endings that count.
+    /// Crashes that count.
     pub fn active_crashes(&self) -> impl Iterator<Item = &CrashRecord> {
-        self.crashes.values().filter(|mark| !mark.void)
+        self.crashes.values().filter(|record| !record.voided)
     }
 
-    /// Generations of endings; no more than there are endings, as those before may have
-    /// been voided or not be known here.
+    /// Number of generations of crashes; at most the number of crashes that count, as earlier ones
+    /// may be voided or unknown here.
     pub fn generation(&self) -> u8 {
-        let last = self.active_crashes().map(|mark| mark.generation).max().unwrap_or(0);
+        let last = self.active_crashes().map(|record| record.generation).max().unwrap_or(0);
         last.min(self.active_crashes().count() as u8)
     }
 
     /// Whether the request is refused.
-    pub fn refused(&self) -> bool {
+    pub fn is_refused(&self) -> bool {
         let (generation, servers) = (self.generation(), self.active_crashes().count());
-        generation >= GENERATIONS || generation >= GENERATIONS_OF_SEVERAL && servers >= SERVERS
+        generation >= REFUSE_GENERATIONS
+            || generation >= REFUSE_GENERATIONS_SEVERAL_SERVERS && servers >= REFUSE_SERVERS
     }
 
-    /// When the last server ended, in seconds of its teller's time of day.
+    /// When the last server crashed, in Unix seconds by the observer's wall clock.
     pub fn last_s(&self) -> u64 {
-        self.crashes.values().map(|mark| mark.at_s).max().unwrap_or(0)
+        self.crashes.values().map(|record| record.at_s).max().unwrap_or(0)
     }
 
-    /// Why it is refused, for lines.
-    pub fn harm(&self) -> PoisonEvidence {
+    /// Why the request is refused, for logs.
+    pub fn evidence(&self) -> PoisonEvidence {
         PoisonEvidence {
             servers: self.active_crashes().count(),
             generations: self.generation(),
             last_s: self.last_s(),
-            observed_here: self.own,
+            observed_here: self.observed_here,
         }
     }
 
-    /// Forgets the void ending that has been known for the longest time.
-    pub fn drop_void(&mut self) {
-        let void = self.crashes.iter().filter(|(_, mark)| mark.void);
-        let oldest = void.min_by_key(|(_, mark)| mark.learned).map(|(server, _)| *server);
+    /// Drops the voided crash that has been known for the longest time.
+    pub fn drop_oldest_voided(&mut self) {
+        let voided_crashes = self.crashes.iter().filter(|(_, record)| record.voided);
+        let oldest =
+            voided_crashes.min_by_key(|(_, record)| record.learned_at).map(|(server, _)| *server);
         if let Some(server) = oldest {
             self.crashes.remove(&server);
         }
     }
 
-    /// None of what has ended speaks against the request any more.
-    pub fn void(&mut self, now: Time) {
-        for mark in self.crashes.values_mut().filter(|mark| !mark.void) {
-            mark.void = true;
-            mark.learned = now;
+    /// Voids all crashes of the request.
+    pub fn void_crashes(&mut self, now: Time) {
+        for record in self.crashes.values_mut().filter(|record| !record.voided) {
+            record.voided = true;
+            record.learned_at = now;
         }
     }
 }
 
-/// All endings of a request, as hosts tell them.
+/// All crashes of a request, as reported between hosts.
 pub(crate) fn crash_reports(
     digest: RequestDigest,
     suspect: &Suspect,
 ) -> impl Iterator<Item = ServerCrash> {
-    suspect.crashes.iter().map(move |(server, mark)| crash_report(digest, *server, mark))
+    suspect.crashes.iter().map(move |(server, record)| crash_report(digest, *server, record))
 }
 
-/// An ending as hosts tell it.
-pub(crate) fn crash_report(digest: RequestDigest, server: u64, mark: &CrashRecord) -> ServerCrash {
-    let CrashRecord { generation, at_s, void, .. } = *mark;
-    ServerCrash { digest, server, generation, at_s, voided: void }
+/// Crash as reported between hosts.
+pub(crate) fn crash_report(
+    digest: RequestDigest,
+    server: u64,
+    record: &CrashRecord,
+) -> ServerCrash {
+    let CrashRecord { generation, at_s, voided, .. } = *record;
+    ServerCrash { digest, server, generation, at_s, voided }
 }
--- a/elmstream_steer/src/server_limit.rs
+++ b/elmstream_steer/src/server_limit.rs
@@ -1,92 +1,94 @@
-//! The limit that a backend server in need names in its answers.
+//! Request limit that a backend server sets in its answers.
 //!
-//! It counts for all hosts together. So a few of them, the senders of this server, send to
-//! it, each no faster than its part; the others leave it. They are drawn by rendezvous
-//! hashing, and have their parts, by how much each is asked: what a host may send that
-//! nobody asks is lost. Whoever is told a limit by the server tells the other hosts.
+//! The limit applies to all hosts together. So a few hosts, the senders of the server, send to it,
+//! each at its share of the limit, and the other hosts don't. Senders are drawn by weighted
+//! rendezvous hashing, and the limit is divided among them, by the number of requests that each
+//! host receives: the share of a host without requests would be lost. A host that receives a limit
+//! from the server notifies the other hosts.
 //!
-//! In a window each sender sends its part of the limit and one request more, which it had
-//! saved up. With the senders that [`sender_count`] names that is 3 + 5.5 x limit in
-//! four seconds, where 5 + 6 x limit are allowed: what is left is for senders that change. If
-//! each host sent its part, each would save up one request, and a large fleet would send
-//! more than is allowed.
+//! In a window each sender sends its share of the limit and one more request that it had saved up.
+//! With the senders of [`sender_count`] these are `3 + 5.5 * limit` requests in four seconds, of the
+//! `5 + 6 * limit` allowed; the difference is for changes of senders. If every host sent its share,
+//! each would save up one request, and a large fleet would send more than is allowed.
 
 use elmstream::time::{MILLI, SECOND, Time};
 use serde::{Deserialize, Serialize};
 
 use crate::hash;
 
-/// Senders of a server that names a limit of 0, and more for each request a second.
-const SENDERS: f64 = 3.0;
+/// Senders of a server with a limit of 0, and further senders for each request a second.
+const SENDERS_BASE: f64 = 3.0;
 const SENDERS_PER_S: f64 = 1.5;
-/// Least limit that is gone by, in requests a second: a server that wants nothing at all
-/// could not say that this is over.
-const LEAST: f64 = 0.25;
-/// An answer on its way when another one named a limit may still lack it. So what is laxer
-/// holds only if it was said this much later.
-const SETTLE: u64 = 300 * MILLI;
-/// How long a host tells others what a server last said to it.
-const TELL: u64 = 10 * SECOND;
-/// Time between two looks at who the senders are, as long as no host comes or goes.
-const PICK_EVERY: u64 = 500 * MILLI;
-/// Requests of lately below which no host counts as asked more than another.
-const FEW_ASKED: u64 = 16;
-/// A host of another region counts as one that is asked this many times less.
-const FAR: f64 = 16.0;
-/// A limit that nobody has heard again for so long is tried without.
-const FORGET: u64 = 300 * SECOND;
+/// Lowest limit that is applied, in requests a second: a server that received no request at all
+/// could not lift its limit.
+const LIMIT_APPLIED_MIN: f64 = 0.25;
+/// An answer that was sent before the server set a limit may arrive after the limit. So a laxer
+/// limit is accepted only if it was set at least this much later.
+const LAXER_LIMIT_DELAY: u64 = 300 * MILLI;
+/// Time for which a host notifies others of the last limit that a server set in an answer to it.
+const NOTICE_FOR: u64 = 10 * SECOND;
+/// Time between two elections of senders as long as no host joins or leaves.
+const ELECTION_INTERVAL: u64 = 500 * MILLI;
+/// Highest recent number of requests of a host below which all hosts get the same weight.
+const WEIGHTED_REQUESTS_MIN: u64 = 16;
+/// Factor by which the weight of hosts outside the server's region is reduced.
+const FAR_WEIGHT_DIVISOR: f64 = 16.0;
+/// A limit is dropped if no host has received it for this long.
+const LIMIT_KEPT_FOR: u64 = 300 * SECOND;
 
-/// Requests a second that a backend server takes from all hosts together.
+/// Requests a second that a backend server accepts from all hosts together.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, PartialOrd, Serialize)]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// Reads a decimal number; none if it is not one, or below 0.
+    /// Parses a decimal number; `None` if it is not a finite number of at least 0.
     pub fn parse(text: &str) -> Option<RequestRate> {
         let number: f64 = text.trim().parse().ok()?;
         (number.is_finite() && number >= 0.0).then_some(RequestRate(number))
     }
 
-    /// The number.
+    /// Requests a second.
     pub fn value(self) -> f64 {
         self.0
     }
 }
 
-/// What a server last said to a host, as that tells the others.
+/// Last limit that a server set in an answer to a host, as reported to the other hosts.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitNotice {
     /// Hash of the server's id, cut to 32 bits.
     pub server: u32,
-    /// Hash of its start, cut to 32 bits.
+    /// Hash of the server's start, cut to 32 bits.
     pub start: u32,
-    /// The limit; none if it names none any more.
+    /// The limit; `None` if the server sets none any more.
     pub limit: Option<RequestRate>,
-    /// Time since it said so, in milliseconds.
+    /// Time since the answer, in milliseconds.
     pub age_ms: u16,
 }
 
-/// How many hosts send to a server with a limit, if this host hears a part of the fleet.
+/// Number of senders that a host expects for a server with a limit; `reachable_fraction` is the
+/// fraction of the fleet that the host can reach.
 ///
-/// The hosts that it does not hear may have been cut off and have senders of their own.
-pub fn sender_count(limit: RequestRate, part: f64) -> usize {
-    ((limit.0 * SENDERS_PER_S + SENDERS) * part).max(1.0) as usize
+/// Hosts that it can't reach may be partitioned and have senders of their own.
+pub fn sender_count(limit: RequestRate, reachable_fraction: f64) -> usize {
+    ((limit.0 * SENDERS_PER_S + SENDERS_BASE) * reachable_fraction).max(1.0) as usize
 }
 
-/// What a host knows of one server's limit, and what it may send there itself.
+/// Limit of one server, and the rate at which this host may send to the server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerLimit {
     limit: Option<RequestRate>,
-    /// When the server last said so to any host.
-    said: Time,
-    /// When it last said so to this host, if that has to be told.
-    own: Option<Time>,
-    /// Time between two requests of this host; none if it is no sender.
+    /// When the server last set the limit, in an answer to any host.
+    set_at: Time,
+    /// When the server last set the limit in an answer to this host; `None` if that need not be
+    /// reported.
+    answered_at: Option<Time>,
+    /// Time between two requests of this host, in microseconds; `None` if it is not a sender.
     spacing: Option<u64>,
-    /// When that was last found out.
-    picked: Option<Time>,
-    /// Last request, or when this host would have sent one had it been a sender before.
-    last: Time,
+    /// When senders were last elected; `None` if an election is due.
+    elected_at: Option<Time>,
+    /// Last request, or an earlier time in its place if this host has just become a sender.
+    last_sent: Time,
 }
 
 impl ServerLimit {
@@ -100,158 +102,171 @@
         self.limit.is_none() || self.next_send().is_some_and(|next| now >= next)
     }
 
-    /// Time between two requests of this host, in microseconds; none if it is no sender.
+    /// Time between two requests of this host, in microseconds; `None` if it is not a sender.
     pub fn spacing(&self) -> Option<u64> {
         self.spacing
     }
 
-    /// When this host may send its next request; none if it may send none.
+    /// When this host may send its next request; `None` if it is not a sender.
     pub fn next_send(&self) -> Option<Time> {
-        Some(self.last + self.spacing?)
+        Some(self.last_sent + self.spacing?)
     }
 
-    /// A request is sent.
+    /// Records that a request is sent.
     pub fn record_sent(&mut self, now: Time) {
         if self.limit.is_some() {
-            self.last = now;
+            self.last_sent = now;
         }
     }
 
-    /// The server said this in an answer to this host; whether it is new.
+    /// Takes in the limit in an answer of the server to this host. Returns whether it is new.
     pub fn on_answer(&mut self, now: Time, limit: Option<RequestRate>) -> bool {
         let new = self.learn(limit, now);
         if self.limit == limit && (new || limit.is_some()) {
-            self.own = Some(now);
+            self.answered_at = Some(now);
         }
         new
     }
 
-    /// Another host was told this by the server; whether it is new.
-    pub fn on_notice(&mut self, now: Time, told: &LimitNotice) -> bool {
-        let said = Time(now.0.saturating_sub(u64::from(told.age_ms) * MILLI));
-        let new = self.learn(told.limit, said);
+    /// Takes in a notice of another host. Returns whether the limit is new.
+    pub fn on_notice(&mut self, now: Time, notice: &LimitNotice) -> bool {
+        let set_at = Time(now.0.saturating_sub(u64::from(notice.age_ms) * MILLI));
+        let new = self.learn(notice.limit, set_at);
         if new {
-            // What this host was told itself before is out of date.
-            self.own = None;
+            // The limit in the last answer to this host is outdated.
+            self.answered_at = None;
         }
         new
     }
 
-    fn learn(&mut self, limit: Option<RequestRate>, said: Time) -> bool {
+    fn learn(&mut self, limit: Option<RequestRate>, set_at: Time) -> bool {
         if limit == self.limit {
-            self.said = self.said.max(said);
+            self.set_at = self.set_at.max(set_at);
             return false;
         }
         let stricter = limit.is_some_and(|new| self.limit.is_none_or(|old| new < old));
-        let holds = match stricter {
-            true => said + SETTLE >= self.said,
-            false => said >= self.said + SETTLE,
+        let is_accepted = match stricter {
+            true => set_at + LAXER_LIMIT_DELAY >= self.set_at,
+            false => set_at >= self.set_at + LAXER_LIMIT_DELAY,
         };
-        if holds {
-            (self.limit, self.said) = (limit, said);
-            self.picked = None;
+        if is_accepted {
+            (self.limit, self.set_at) = (limit, set_at);
+            self.elected_at = None;
             self.spacing = self.spacing.filter(|_| limit.is_some());
         }
-        holds
+        is_accepted
     }
 
-    /// What the other hosts have to know; `hash` and `start` are the server's.
+    /// Notice for the other hosts, or `None` if there is nothing to report; `hash` and `start` are
+    /// the hashes of the server's id and start.
     pub fn notice(&self, now: Time, hash: u64, start: u64) -> Option<LimitNotice> {
-        let age = now.since(self.own.filter(|own| now.since(*own) < TELL)?);
+        let age =
+            now.since(self.answered_at.filter(|answered_at| now.since(*answered_at) < NOTICE_FOR)?);
         let (server, start) = (hash as u32, start as u32);
         Some(LimitNotice { server, start, limit: self.limit, age_ms: (age / MILLI) as u16 })
     }
 
-    /// Forgets a limit that nobody has heard for long.
+    /// Drops a limit that no host has received for [`LIMIT_KEPT_FOR`].
     pub fn expire(&mut self, now: Time) {
-        if self.limit.is_some() && now.since(self.said) >= FORGET {
-            *self = ServerLimit { said: now, ..ServerLimit::default() };
+        if self.limit.is_some() && now.since(self.set_at) >= LIMIT_KEPT_FOR {
+            *self = ServerLimit { set_at: now, ..ServerLimit::default() };
         }
     }
 
-    /// It has to be found out anew whether this host is a sender.
+    /// Makes an election of senders due.
     pub fn invalidate(&mut self) {
-        self.picked = None;
+        self.elected_at = None;
     }
 
-    /// Whether it has to be found out anew whether this host is a sender.
+    /// Whether an election of senders is due.
     pub fn election_due(&self, now: Time) -> bool {
-        self.limit.is_some() && self.picked.is_none_or(|at| now.since(at) >= PICK_EVERY)
+        self.limit.is_some() && self.elected_at.is_none_or(|at| now.since(at) >= ELECTION_INTERVAL)
     }
 
-    /// Finds out whether this host is a sender; `own` is the hash of its address, `part` the
-    /// part of the fleet that it hears.
+    /// Determines whether this host is a sender, and its spacing. `own_hash` is the hash of its
+    /// address, `server` that of the server's id, `reachable_fraction` the fraction of the fleet
+    /// that it can reach.
     pub fn elect(
         &mut self,
         now: Time,
-        own: u64,
-        among: &[SenderCandidate],
+        own_hash: u64,
+        candidates: &[SenderCandidate],
         server: u64,
-        part: f64,
+        reachable_fraction: f64,
     ) {
-        self.picked = Some(now);
+        self.elected_at = Some(now);
         let Some(limit) = self.limit else { return };
-        let Some(share) = share(own, among, server, sender_count(limit, part)) else {
+        let Some(share) =
+            share(own_hash, candidates, server, sender_count(limit, reachable_fraction))
+        else {
             self.spacing = None;
             return;
         };
-        let rate = limit.0.max(LEAST) * part.max(f64::MIN_POSITIVE) * share;
+        let rate =
+            limit.0.max(LIMIT_APPLIED_MIN) * reachable_fraction.max(f64::MIN_POSITIVE) * share;
         let spacing = (SECOND as f64 / rate) as u64;
         if self.spacing.is_none() {
-            // Senders begin at different times, not all of them at once.
-            let saved = spacing as f64 * hash::unit_interval(hash::combine(own, server));
-            self.last = self.last.max(Time(now.0.saturating_sub(saved as u64)));
+            // Senders start at different times, not all at once.
+            let offset = spacing as f64 * hash::unit_interval(hash::combine(own_hash, server));
+            self.last_sent = self.last_sent.max(Time(now.0.saturating_sub(offset as u64)));
         }
         self.spacing = Some(spacing);
     }
 }
 
-/// A host that may become a sender.
+/// Host that may become a sender.
 #[derive(Clone, Copy, Debug)]
 pub struct SenderCandidate {
-    /// Hash of its address.
+    /// Hash of the host's address.
     pub address_hash: u64,
-    /// How much it is asked, against the others; none for 0.
+    /// Weight by the requests that the host receives; a host with weight 0 is never a sender.
     pub weight: f64,
 }
 
-/// How much a host is asked against the one that is asked most, in steps of four, so that
-/// hosts that know each other's requests half a second late mostly agree. 0 for less than a
-/// sixty-fourth.
+/// Weight of a host by its number of `requests` against the highest number `max_requests` of any
+/// host, in steps of a factor of four, so that hosts mostly agree though they learn each other's
+/// numbers half a second late. 0 for less than a sixty-fourth.
 ///
-/// `near` hosts are in the server's region and go before all others that are asked as much:
-/// it is them whose requests meet the server.
-pub fn sender_weight(asked: u32, most: u32, near: bool) -> f64 {
-    let step = match u64::from(most) {
-        most if most < FEW_ASKED => 64.0,
-        most if u64::from(asked) * 4 >= most => 64.0,
-        most if u64::from(asked) * 16 >= most => 16.0,
-        most if u64::from(asked) * 64 >= most => 4.0,
+/// Hosts in the server's region (`near`) have precedence over other hosts with as many requests: it
+/// is their requests that the server is meant to serve.
+pub fn sender_weight(requests: u32, max_requests: u32, near: bool) -> f64 {
+    let step = match u64::from(max_requests) {
+        max_requests if max_requests < WEIGHTED_REQUESTS_MIN => 64.0,
+        max_requests if u64::from(requests) * 4 >= max_requests => 64.0,
+        max_requests if u64::from(requests) * 16 >= max_requests => 16.0,
+        max_requests if u64::from(requests) * 64 >= max_requests => 4.0,
         _ => 0.0,
     };
-    if near { step } else { step / FAR }
+    if near { step } else { step / FAR_WEIGHT_DIVISOR }
 }
 
-/// The part of a host among the senders, which are drawn by weight; none if it is not one.
-fn share(own: u64, among: &[SenderCandidate], server: u64, senders: usize) -> Option<f64> {
+/// Share of a host's weight among the senders, which are drawn by weight; `None` if the host is not
+/// a sender.
+fn share(
+    own_hash: u64,
+    candidates: &[SenderCandidate],
+    server: u64,
+    senders: usize,
+) -> Option<f64> {
     // Weighted rendezvous hashing.
     let rank = |candidate: &SenderCandidate| {
         let draw = hash::unit_interval(hash::combine(candidate.address_hash, server))
             .max(f64::MIN_POSITIVE);
         -draw.ln() / candidate.weight
     };
-    let me =
-        among.iter().find(|candidate| candidate.address_hash == own && candidate.weight > 0.0)?;
-    let mut ranks: Vec<(f64, f64)> = among
+    let own_candidate = candidates
+        .iter()
+        .find(|candidate| candidate.address_hash == own_hash && candidate.weight > 0.0)?;
+    let mut ranked: Vec<(f64, f64)> = candidates
         .iter()
         .filter(|candidate| candidate.weight > 0.0)
         .map(|candidate| (rank(candidate), candidate.weight))
         .collect();
-    if ranks.len() > senders {
-        ranks.select_nth_unstable_by(senders - 1, |one, other| one.0.total_cmp(&other.0));
-        ranks.truncate(senders);
+    if ranked.len() > senders {
+        ranked.select_nth_unstable_by(senders - 1, |one, other| one.0.total_cmp(&other.0));
+        ranked.truncate(senders);
     }
-    let last = ranks.iter().map(|(rank, _)| *rank).fold(0.0, f64::max);
-    let all: f64 = ranks.iter().map(|(_, weight)| *weight).sum();
-    (rank(me) <= last).then_some(me.weight / all)
+    let threshold = ranked.iter().map(|(rank, _)| *rank).fold(0.0, f64::max);
+    let total_weight: f64 = ranked.iter().map(|(_, weight)| *weight).sum();
+    (rank(own_candidate) <= threshold).then_some(own_candidate.weight / total_weight)
 }
