--- a/elmstream_steer/tests/steps.rs
+++ b/elmstream_steer/tests/steps.rs
@@ -1,4 +1,4 @@
-//! When a roll-out goes on to its next stage.
+//! Transitions between the stages of a roll-out.
 
 use elmstream_steer::{
     rollout::{RolloutOrder, RolloutProgress, RolloutStage},
@@ -7,8 +7,8 @@
 };
 use quickcheck::quickcheck;
 
-/// A version that is on trial, and trusted.
-const TRIED: StepContext = StepContext {
+/// A trusted version in the canary phase, at the time when the shift begins.
+const TRUSTED: StepContext = StepContext {
     stage: Some(RolloutStage::Canary),
     since_order_ms: 8_000,
     since_stage_ms: 7_000,
@@ -22,66 +22,74 @@
     slots: (40, 40),
 };
 
-fn late(sight: StepContext) -> Option<RolloutStage> {
-    next_stage(StepPolicy::Late, &sight)
+fn next_late(context: StepContext) -> Option<RolloutStage> {
+    next_stage(StepPolicy::Late, &context)
 }
 
 #[test]
-fn a_trusted_version_is_shifted_to_late_and_in_two_parts() {
-    assert_eq!(late(StepContext { stage: None, ..TRIED }), Some(RolloutStage::Canary));
-    assert_eq!(late(StepContext { since_order_ms: 5_000, ..TRIED }), None);
-    assert_eq!(late(TRIED), Some(RolloutStage::Shift(25)));
-    let first = StepContext { stage: Some(RolloutStage::Shift(25)), since_stage_ms: 500, ..TRIED };
-    assert_eq!(late(first), None);
+fn trusted_version_is_shifted_late_and_in_two_steps() {
+    assert_eq!(next_late(StepContext { stage: None, ..TRUSTED }), Some(RolloutStage::Canary));
+    assert_eq!(next_late(StepContext { since_order_ms: 5_000, ..TRUSTED }), None);
+    assert_eq!(next_late(TRUSTED), Some(RolloutStage::Shift(25)));
+    let first_step =
+        StepContext { stage: Some(RolloutStage::Shift(25)), since_stage_ms: 500, ..TRUSTED };
+    assert_eq!(next_late(first_step), None);
     assert_eq!(
-        late(StepContext { since_stage_ms: 1_000, ..first }),
+        next_late(StepContext { since_stage_ms: 1_000, ..first_step }),
         Some(RolloutStage::Shift(100))
     );
-    let untried = StepContext { since_stage_ms: 1_000, routes_trusted: false, ..first };
-    assert_eq!(late(untried), None);
+    let route_untested = StepContext { since_stage_ms: 1_000, routes_trusted: false, ..first_step };
+    assert_eq!(next_late(route_untested), None);
 }
 
 #[test]
-fn the_others_are_stopped_once_nobody_sends_there() {
-    let all = StepContext { stage: Some(RolloutStage::Shift(100)), since_stage_ms: 1_000, ..TRIED };
-    assert_eq!(late(all), None);
-    assert_eq!(late(StepContext { old_drained: true, ..all }), Some(RolloutStage::Completed));
-    // News have reached whoever cannot be heard, and the longest request is over.
-    assert_eq!(late(StepContext { since_stage_ms: 5_000, ..all }), Some(RolloutStage::Completed));
+fn other_versions_stop_once_no_host_sends_there() {
+    let full_shift =
+        StepContext { stage: Some(RolloutStage::Shift(100)), since_stage_ms: 1_000, ..TRUSTED };
+    assert_eq!(next_late(full_shift), None);
+    assert_eq!(
+        next_late(StepContext { old_drained: true, ..full_shift }),
+        Some(RolloutStage::Completed)
+    );
+    // Every host has learned of the stage or can't act on it, and the longest request is over.
+    assert_eq!(
+        next_late(StepContext { since_stage_ms: 5_000, ..full_shift }),
+        Some(RolloutStage::Completed)
+    );
 }
 
 #[test]
-fn a_version_that_is_not_trusted_in_time_is_turned_away_before_the_deadline() {
-    let unsure = StepContext { trusted: false, ..TRIED };
-    assert_eq!(late(unsure), None);
+fn untrusted_version_is_rolled_back_before_the_deadline() {
+    let untrusted = StepContext { trusted: false, ..TRUSTED };
+    assert_eq!(next_late(untrusted), None);
     assert_eq!(
-        late(StepContext { since_order_ms: 10_900, ..unsure }),
+        next_late(StepContext { since_order_ms: 10_900, ..untrusted }),
         Some(RolloutStage::RolledBack)
     );
-    let few = StepContext { slots: (10, 40), since_order_ms: 10_900, ..TRIED };
-    assert_eq!(late(few), Some(RolloutStage::RolledBack));
+    let few_slots = StepContext { slots: (10, 40), since_order_ms: 10_900, ..TRUSTED };
+    assert_eq!(next_late(few_slots), Some(RolloutStage::RolledBack));
 }
 
 quickcheck! {
-    fn a_bad_version_is_turned_away_at_any_stage_but_the_last(percent: u8, at: u16) -> bool {
+    fn bad_version_is_rolled_back_at_any_stage_but_final_ones(percent: u8, at: u16) -> bool {
         let stages = [RolloutStage::Canary, RolloutStage::Shift(percent)];
         let bad = |stage| StepContext {
             stage: Some(stage),
             since_order_ms: u64::from(at),
             is_bad: true,
             old_drained: true,
-            ..TRIED
+            ..TRUSTED
         };
-        let ends = [RolloutStage::Completed, RolloutStage::RolledBack];
-        stages.iter().all(|stage| late(bad(*stage)) == Some(RolloutStage::RolledBack))
-            && ends.iter().all(|stage| late(bad(*stage)).is_none())
+        let final_stages = [RolloutStage::Completed, RolloutStage::RolledBack];
+        stages.iter().all(|stage| next_late(bad(*stage)) == Some(RolloutStage::RolledBack))
+            && final_stages.iter().all(|stage| next_late(bad(*stage)).is_none())
     }
 }
 
-/// An order that is written again is a new one; what the operator writes again because the
-/// store lost it is not.
+/// An order that is written again is a new order, unless the operator writes it because a restored
+/// store had lost it. A decision must apply to its own order only.
 #[test]
-fn a_verdict_is_of_one_order() {
+fn decision_applies_to_one_order_only() {
     let order = RolloutOrder { target: "v2".into(), duration_ms: 12_000 };
     let progress = RolloutProgress {
         order: StoreVersion::new(1, 7),
