--- a/elmstream_steer/tests/rollouts.rs
+++ b/elmstream_steer/tests/rollouts.rs
@@ -1,7 +1,7 @@
-//! A version of a service is rolled out or turned away, and nobody is hurt on the way.
+//! Roll-outs: good versions complete, bad ones are rolled back, and few requests are affected.
 //!
-//! A fleet of hosts with a store, servers of two versions and callers, in virtual time; what
-//! the new version does is drawn.
+//! Simulates a fleet of hosts with a store, servers of two versions and callers in virtual time;
+//! the defects of the new version and the troubles of the fleet are drawn by seeds.
 
 mod support;
 
@@ -14,215 +14,226 @@
     canary_analysis::AnalysisMethod, rollout::RolloutStage, rollout_steps::StepPolicy,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
-use rollouts::{DURATION, Flaw, ORDER, Play, Seen, Without, World};
+use rollouts::{DURATION, DisabledRule, Flaw, ORDER, RunResult, Scenario, World};
 
-fn play(play: &Play) -> Seen {
-    World::new(play.clone()).run()
+fn run_scenario(scenario: &Scenario) -> RunResult {
+    World::new(scenario.clone()).run()
 }
 
-fn given(name: &str, usual: u64) -> u64 {
-    env::var(name).ok().and_then(|number| number.parse().ok()).unwrap_or(usual)
+fn env_or(name: &str, default: u64) -> u64 {
+    env::var(name).ok().and_then(|number| number.parse().ok()).unwrap_or(default)
 }
 
-/// Sizes that are played.
+/// Fleet sizes to simulate, from the variable `SIZES`.
 fn sizes() -> Vec<usize> {
     let sizes = env::var("SIZES").unwrap_or_else(|_| "3,12".to_owned());
     sizes.split(',').map(|hosts| hosts.parse().expect("a number of hosts")).collect()
 }
 
 #[test]
-fn a_good_version_is_completed_in_time_and_cuts_nobody() {
+fn good_version_completes_in_time_and_interrupts_no_request() {
     for hosts in sizes() {
         for seed in 0..3 {
-            let seen = play(&Play::plain(hosts, seed));
-            println!("{hosts} hosts, seed {seed}: {seen:?}");
-            assert_eq!(seen.stage, Some(RolloutStage::Completed), "{hosts} hosts, seed {seed}");
-            assert!(seen.decided.is_some_and(|at| at < ORDER + DURATION), "{seen:?}");
-            assert_eq!((seen.cut, seen.undone), (0, 0), "{hosts} hosts, seed {seed}");
+            let result = run_scenario(&Scenario::plain(hosts, seed));
+            println!("{hosts} hosts, seed {seed}: {result:?}");
+            assert_eq!(result.stage, Some(RolloutStage::Completed), "{hosts} hosts, seed {seed}");
+            assert!(result.decided_at.is_some_and(|at| at < ORDER + DURATION), "{result:?}");
+            assert_eq!((result.interrupted, result.reverted), (0, 0), "{hosts} hosts, seed {seed}");
         }
     }
 }
 
 #[test]
-fn a_bad_version_is_turned_away_and_gets_few_requests() {
+fn bad_version_is_rolled_back_and_gets_few_requests() {
     let flaws = [Flaw::Fails(20), Flaw::Fails(60), Flaw::Slow(4.0)];
     for hosts in sizes() {
         for (seed, flaw) in flaws.into_iter().enumerate() {
-            let seen = play(&Play { flaw, ..Play::plain(hosts, seed as u64) });
-            println!("{hosts} hosts, {flaw:?}: {seen:?}");
-            assert_eq!(seen.stage, Some(RolloutStage::RolledBack), "{hosts} hosts, {flaw:?}");
-            assert!(seen.beyond() <= 0.0 && seen.late == 0, "{seen:?}");
+            let result = run_scenario(&Scenario { flaw, ..Scenario::plain(hosts, seed as u64) });
+            println!("{hosts} hosts, {flaw:?}: {result:?}");
+            assert_eq!(result.stage, Some(RolloutStage::RolledBack), "{hosts} hosts, {flaw:?}");
+            assert!(result.excess() <= 0.0 && result.late == 0, "{result:?}");
         }
     }
 }
 
-/// Versions of each kind that a drawn roll-out may be of.
-fn drawn(seed: u64, hosts: usize) -> Play {
+/// Scenario with a bad version whose defect is drawn by a seed.
+fn random_scenario(seed: u64, hosts: usize) -> Scenario {
     let mut random = seed;
-    let mut draw = |below: u64| {
+    let mut random_below = |below: u64| {
         random = elmstream_steer::hash::combine(random, 1);
         random % below
     };
-    let flaw = match draw(3) {
-        0 => Flaw::Fails(15 + draw(45)),
+    let flaw = match random_below(3) {
+        0 => Flaw::Fails(15 + random_below(45)),
         1 => Flaw::Fails(40),
-        _ => Flaw::Slow(3.0 + draw(4) as f64),
+        _ => Flaw::Slow(3.0 + random_below(4) as f64),
     };
-    let mut play = Play { flaw, ..Play::plain(hosts, seed) };
-    match draw(4) {
-        0 => play.later = 2_000 + draw(3_000),
-        1 => play.under_load = 2,
-        2 => play.one_route = true,
+    let mut scenario = Scenario { flaw, ..Scenario::plain(hosts, seed) };
+    match random_below(4) {
+        0 => scenario.defect_delay_ms = 2_000 + random_below(3_000),
+        1 => scenario.under_load = 2,
+        2 => scenario.one_route = true,
         _ => {}
     }
-    play
+    scenario
 }
 
-/// How many drawn versions were judged wrongly: bad ones that were completed or got too much,
-/// good ones that were not completed in time.
+/// Numbers of wrong results: bad versions that completed or received too many requests, good ones
+/// that did not complete in time, and interrupted requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Errors {
     completed: usize,
     exposed: usize,
     late: usize,
-    turned_away: usize,
+    rejected: usize,
     undecided: usize,
-    cut: usize,
+    interrupted: usize,
 }
 
-fn errors(judging: AnalysisMethod, stepping: StepPolicy, plays: u64, hosts: usize) -> Errors {
+fn errors(method: AnalysisMethod, policy: StepPolicy, runs: u64, hosts: usize) -> Errors {
     let mut errors = Errors::default();
-    for seed in 0..plays {
-        let bad = Play { judging, stepping, ..drawn(seed, hosts) };
-        let seen = play(&bad);
-        let shown = (bad.one_route, bad.later, bad.under_load, bad.flaw);
-        if seen.stage == Some(RolloutStage::Completed) || seen.beyond() > 0.0 || seen.late > 0 {
-            println!("{seed}: {shown:?} {seen:?}");
+    for seed in 0..runs {
+        let bad = Scenario { method, policy, ..random_scenario(seed, hosts) };
+        let result = run_scenario(&bad);
+        let traits = (bad.one_route, bad.defect_delay_ms, bad.under_load, bad.flaw);
+        if result.stage == Some(RolloutStage::Completed) || result.excess() > 0.0 || result.late > 0
+        {
+            println!("{seed}: {traits:?} {result:?}");
         }
-        errors.completed += usize::from(seen.stage == Some(RolloutStage::Completed));
-        errors.exposed += usize::from(seen.beyond() > 0.0);
-        errors.late += usize::from(seen.late > 0);
+        errors.completed += usize::from(result.stage == Some(RolloutStage::Completed));
+        errors.exposed += usize::from(result.excess() > 0.0);
+        errors.late += usize::from(result.late > 0);
         let fault = (seed % 2 == 1).then_some((ORDER + 3_000, ORDER + 6_000, 20));
-        let good = Play { judging, stepping, fault, ..Play::plain(hosts, seed) };
-        let seen = play(&good);
-        errors.turned_away += usize::from(seen.stage == Some(RolloutStage::RolledBack));
-        let in_time = seen.decided.is_some_and(|at| at < ORDER + DURATION);
+        let good = Scenario { method, policy, fault, ..Scenario::plain(hosts, seed) };
+        let result = run_scenario(&good);
+        errors.rejected += usize::from(result.stage == Some(RolloutStage::RolledBack));
+        let in_time = result.decided_at.is_some_and(|at| at < ORDER + DURATION);
         errors.undecided += usize::from(!in_time);
-        errors.cut += seen.cut;
-        if seen.stage != Some(RolloutStage::Completed) || !in_time || seen.cut > 0 {
-            println!("good {seed}: {seen:?}");
+        errors.interrupted += result.interrupted;
+        if result.stage != Some(RolloutStage::Completed) || !in_time || result.interrupted > 0 {
+            println!("good {seed}: {result:?}");
         }
     }
     errors
 }
 
 #[test]
-fn both_errors_are_rare_over_drawn_versions() {
-    let (plays, hosts) = (given("PLAYS", 6), given("HOSTS", 12) as usize);
-    let errors = errors(AnalysisMethod::default(), StepPolicy::default(), plays, hosts);
-    println!("{plays} plays, {hosts} hosts: {errors:?}");
+fn random_versions_are_decided_correctly() {
+    let (runs, hosts) = (env_or("PLAYS", 6), env_or("HOSTS", 12) as usize);
+    let errors = errors(AnalysisMethod::default(), StepPolicy::default(), runs, hosts);
+    println!("{runs} runs, {hosts} hosts: {errors:?}");
     assert_eq!(errors, Errors::default());
 }
 
-/// The ways against each other; by hand, with the figures that docs/CAPACITY.md has.
+/// Prints the results of each analysis method and step policy, for comparison by hand; checks
+/// nothing.
 #[test]
-fn ways_of_judging_and_stepping() {
-    let (plays, hosts) = (given("PLAYS", 1), given("HOSTS", 12) as usize);
-    for judging in [AnalysisMethod::Sequential, AnalysisMethod::Window] {
-        for stepping in [StepPolicy::Late, StepPolicy::Fixed] {
-            let errors = errors(judging, stepping, plays, hosts);
-            println!("{judging:?} {stepping:?}: {errors:?} of {plays}");
+fn compare_analysis_methods_and_step_policies() {
+    let (runs, hosts) = (env_or("PLAYS", 1), env_or("HOSTS", 12) as usize);
+    for method in [AnalysisMethod::Sequential, AnalysisMethod::Window] {
+        for policy in [StepPolicy::Late, StepPolicy::Fixed] {
+            let errors = errors(method, policy, runs, hosts);
+            println!("{method:?} {policy:?}: {errors:?} of {runs}");
         }
     }
 }
 
-impl Arbitrary for Play {
-    fn arbitrary(g: &mut Gen) -> Play {
-        let mut up_to = |most: u64| u64::arbitrary(g) % most;
-        let hosts = [1, 2, 3, 5, 12, 30, 60][up_to(7) as usize];
-        let mut play = drawn(up_to(1 << 32), hosts);
-        let long = |draw: u64| (1 + draw) * 500;
-        let within = |draw: u64| ORDER - 1_000 + draw * 500;
-        play.outage = (up_to(3) == 0).then(|| (within(up_to(24)), long(up_to(10))));
-        play.restart =
-            (up_to(3) == 0).then(|| (within(up_to(24)), [10, 30, 60, 100][up_to(4) as usize]));
-        play.apart = (up_to(3) == 0).then(|| (within(up_to(24)), long(up_to(12))));
-        // Where servers are seldom at work on two requests, a flaw under load does not show.
-        let per_s = [40.0, 120.0, 240.0][up_to(3) as usize];
-        play.per_s = if play.under_load > 0 { 240.0 } else { per_s };
-        play
+impl Arbitrary for Scenario {
+    fn arbitrary(g: &mut Gen) -> Scenario {
+        let mut random_below = |most: u64| u64::arbitrary(g) % most;
+        let hosts = [1, 2, 3, 5, 12, 30, 60][random_below(7) as usize];
+        let mut scenario = random_scenario(random_below(1 << 32), hosts);
+        let length_of = |draw: u64| (1 + draw) * 500;
+        let start_of = |draw: u64| ORDER - 1_000 + draw * 500;
+        scenario.outage = (random_below(3) == 0)
+            .then(|| (start_of(random_below(24)), length_of(random_below(10))));
+        scenario.restart = (random_below(3) == 0)
+            .then(|| (start_of(random_below(24)), [10, 30, 60, 100][random_below(4) as usize]));
+        scenario.partition = (random_below(3) == 0)
+            .then(|| (start_of(random_below(24)), length_of(random_below(12))));
+        // Where servers seldom run two requests at once, a defect under load doesn't show.
+        let per_s = [40.0, 120.0, 240.0][random_below(3) as usize];
+        scenario.per_s = if scenario.under_load > 0 { 240.0 } else { per_s };
+        scenario
     }
 
-    fn shrink(&self) -> Box<dyn Iterator<Item = Play>> {
-        let play = self.clone();
-        let fewer = [1, 2, 3, 5].into_iter().filter(move |hosts| *hosts < play.hosts);
-        let play = self.clone();
-        let fewer = fewer.map(move |hosts| Play { hosts, ..play.clone() });
+    fn shrink(&self) -> Box<dyn Iterator<Item = Scenario>> {
+        let scenario = self.clone();
+        let fewer = [1, 2, 3, 5].into_iter().filter(move |hosts| *hosts < scenario.hosts);
+        let scenario = self.clone();
+        let fewer = fewer.map(move |hosts| Scenario { hosts, ..scenario.clone() });
         let plainer = [
-            Play { outage: None, ..self.clone() },
-            Play { restart: None, ..self.clone() },
-            Play { apart: None, ..self.clone() },
+            Scenario { outage: None, ..self.clone() },
+            Scenario { restart: None, ..self.clone() },
+            Scenario { partition: None, ..self.clone() },
         ];
-        let same = format!("{self:?}");
-        Box::new(fewer.chain(plainer).filter(move |play| format!("{play:?}") != same))
+        let own_text = format!("{self:?}");
+        Box::new(fewer.chain(plainer).filter(move |scenario| format!("{scenario:?}") != own_text))
     }
 }
 
-/// What must not be, whatever happens meanwhile.
-fn broken(play: &Play, seen: &Seen) -> Option<String> {
+/// Description of a violated rule, for a rule that must hold in every scenario.
+fn violation(scenario: &Scenario, result: &RunResult) -> Option<String> {
     let rules = [
-        ("the version got too many requests", seen.beyond() > 0.0),
-        ("it got requests after it had to be turned away", seen.late > 0),
-        ("a verdict was undone", seen.undone > 0),
+        ("the version received too many requests", result.excess() > 0.0),
+        ("it received requests after it had to be rolled back", result.late > 0),
+        ("a final stage was replaced", result.reverted > 0),
     ];
-    let broken = rules.into_iter().find(|(_, broken)| *broken);
-    broken.map(|(rule, _)| format!("{rule}: {seen:?}; {play:?}"))
+    let violation = rules.into_iter().find(|(_, violation)| *violation);
+    violation.map(|(rule, _)| format!("{rule}: {result:?}; {scenario:?}"))
 }
 
 #[test]
-fn a_bad_version_is_held_back_in_drawn_fleets() {
-    fn check(drawn: Play) -> TestResult {
-        match broken(&drawn, &play(&drawn)) {
-            Some(broken) => TestResult::error(broken),
+fn bad_version_is_contained_in_random_fleets() {
+    fn check(scenario: Scenario) -> TestResult {
+        match violation(&scenario, &run_scenario(&scenario)) {
+            Some(violation) => TestResult::error(violation),
             None => TestResult::passed(),
         }
     }
-    let drawn = Gen::from_size_and_seed(100, given("SEED", 1));
-    let check = check as fn(Play) -> TestResult;
-    QuickCheck::new().rng(drawn).tests(given("DRAWN", 12)).quickcheck(check);
+    let generator = Gen::from_size_and_seed(100, env_or("SEED", 1));
+    let check = check as fn(Scenario) -> TestResult;
+    QuickCheck::new().rng(generator).tests(env_or("DRAWN", 12)).quickcheck(check);
 }
 
-/// Plays in which each rule matters.
-fn hard(without: Without) -> Vec<Play> {
-    let plain = |seed| Play { without, flaw: Flaw::Fails(60), ..Play::plain(12, seed) };
+/// Scenarios in which each rule matters.
+fn critical_scenarios(disabled: DisabledRule) -> Vec<Scenario> {
+    let plain = |seed| Scenario { disabled, flaw: Flaw::Fails(60), ..Scenario::plain(12, seed) };
     vec![
         plain(1),
-        // The store goes away as the version turns bad.
-        Play {
+        // The store becomes unreachable as the version turns bad.
+        Scenario {
             flaw: Flaw::Fails(95),
-            later: 2_500,
+            defect_delay_ms: 2_500,
             outage: Some((ORDER + 2_500, 15_000)),
             ..plain(2)
         },
-        Play { flaw: Flaw::Slow(5.0), ..plain(3) },
-        Play { hosts: 40, flaw: Flaw::Fails(30), ..plain(4) },
+        Scenario { flaw: Flaw::Slow(5.0), ..plain(3) },
+        Scenario { hosts: 40, flaw: Flaw::Fails(30), ..plain(4) },
     ]
 }
 
 #[test]
-fn each_rule_is_needed() {
-    let all = |without| hard(without).iter().filter(|p| broken(p, &play(p)).is_some()).count();
-    assert_eq!(all(Without::Nothing), 0);
-    for without in [Without::Youth, Without::Bound, Without::Verdict] {
-        let broken = all(without);
-        println!("without {without:?}: {broken} plays are broken");
-        assert!(broken > 0, "nothing is seen without {without:?}");
+fn each_rule_is_necessary() {
+    let violations = |disabled| {
+        critical_scenarios(disabled)
+            .iter()
+            .filter(|p| violation(p, &run_scenario(p)).is_some())
+            .count()
+    };
+    assert_eq!(violations(DisabledRule::Nothing), 0);
+    for disabled in [DisabledRule::ProgressAge, DisabledRule::CanaryBudget, DisabledRule::Analysis]
+    {
+        let violated = violations(disabled);
+        println!("without {disabled:?}: {violated} scenarios violate a rule");
+        assert!(violated > 0, "no scenario violates a rule without {disabled:?}");
     }
 }
 
-/// The operator takes an order back, or the store comes back from a copy without it.
+/// An operator removes the order, or a restored store lacks it. A version that was rejected or not
+/// yet decided must receive nothing then; a completed one is used.
 #[test]
-fn a_version_that_was_turned_away_gets_nothing_without_its_order() {
+fn rejected_version_gets_no_requests_without_its_order() {
     use elmstream_steer::{
         Pick,
         model::Repeatability,
@@ -230,15 +241,15 @@
         view::{Row, RowContent, RowKey, Table},
     };
     use support::{at, gone, id, ms, ready, route, send, server, with};
-    let of = |name: &str, version: &str| {
+    let with_version = |name: &str, version: &str| {
         with(server(name, "a1", 10), 10, |server| server.version = version.into())
     };
-    for (stage, shut) in [
+    for (stage, is_excluded) in [
         (RolloutStage::RolledBack, true),
         (RolloutStage::Canary, true),
         (RolloutStage::Completed, false),
     ] {
-        let mut steer = ready(0, ms(0), vec![of("old", "v1"), of("new", "v2")]);
+        let mut steer = ready(0, ms(0), vec![with_version("old", "v1"), with_version("new", "v2")]);
         let order = RowContent::Rollout(RolloutOrder { target: "v2".into(), duration_ms: 12_000 });
         let key = RowKey::Rollout(support::SERVICE.into());
         steer.on_changes(ms(10), Table::Rules, vec![Row::new(key.clone(), at(20), Some(order))]);
@@ -261,6 +272,6 @@
                 elmstream_steer::servers::Outcome::Answered { micros: 1_000, was_warm: false };
             steer.record_outcome(ms(20_000), index, outcome);
         }
-        assert_eq!(reached == 0, shut, "{stage:?}: {reached} requests");
+        assert_eq!(reached == 0, is_excluded, "{stage:?}: {reached} requests");
     }
 }
