--- a/elmstream_steer/src/store_reads.rs
+++ b/elmstream_steer/src/store_reads.rs
@@ -306,7 +306,7 @@
                 let index = self.servers.insert(now, id, &server, &region);
                 if let Some(entry) = self.servers.get_mut(index) {
                     // The entry may have been deleted and added again, or predate the announcement.
-                    entry.leaving = self.leaving_servers.knows(entry.start_hash());
+                    entry.leaving = self.leaving_servers.contains(entry.start_hash());
                 }
                 let state =
                     if server.draining { ServerState::Draining } else { ServerState::Ready };
