--- a/elmstream_edge/src/store_reader.rs
+++ b/elmstream_edge/src/store_reader.rs
@@ -90,7 +90,7 @@
     let age = steer.view().age(now, table).map(|age| age / MILLI);
     let fields = json!({
         "table": name(table), "error": error.to_string(), "why": why.name(),
-        "kept": error.kept(),
+        "kept": error.was_reused(),
         "took_ms": now.since(asked) / MILLI, "age_ms": age,
         "hosts": steer.members().live(now).count() + 1,
     });
@@ -111,7 +111,7 @@
     let bound = edge.settings.bounds.configuration_ms as f64;
     let wait = Duration::from_micros((bound * reader_rank::WAIT_PART) as u64 * MILLI);
     match call(edge, source, table, (after, wait)).await {
-        Err(SourceError::Unreachable { cause, kept: true }) => {
+        Err(SourceError::Unreachable { cause, reused: true }) => {
             metrics::counter!("elmstream_store_connections_lost").increment(1);
             let fields = json!({"table": name(table), "error": cause});
             edge.event_log.write("store_connection_lost", fields);
--- a/elmstream_edge/src/store_source.rs
+++ b/elmstream_edge/src/store_source.rs
@@ -26,7 +26,7 @@
         /// What the transport said.
         cause: String,
         /// Whether the connection had been kept from an earlier call.
-        kept: bool,
+        reused: bool,
     },
     /// The store refused.
     #[snafu(display("refused with {status}"))]
@@ -53,8 +53,8 @@
 impl SourceError {
     /// Whether the call was made over a connection that had been kept, which may have
     /// fallen silent while new ones work.
-    pub fn kept(&self) -> bool {
-        matches!(self, SourceError::Unreachable { kept: true, .. })
+    pub fn was_reused(&self) -> bool {
+        matches!(self, SourceError::Unreachable { reused: true, .. })
     }
 }
 
--- a/elmstream_soak/src/remote.rs
+++ b/elmstream_soak/src/remote.rs
@@ -97,7 +97,7 @@
 }
 
 fn lost(cause: impl ToString) -> SourceError {
-    SourceError::Unreachable { cause: cause.to_string(), kept: false }
+    SourceError::Unreachable { cause: cause.to_string(), reused: false }
 }
 
 impl StoreSource for Remote {
