--- a/elmstream_edge/src/backend.rs
+++ b/elmstream_edge/src/backend.rs
@@ -269,7 +269,7 @@
     let connecting = waits::within_next(CONNECT, TcpStream::connect(address));
     let stream = connecting.await.ok_or(io::ErrorKind::TimedOut)??;
     stream.set_nodelay(true)?;
-    let bounded = client::bound_silence(&stream, SILENCE);
+    let bounded = client::set_unacked_timeout(&stream, SILENCE);
     Ok((stream, bounded))
 }
 
--- a/elmstream_edge/src/table_fetch.rs
+++ b/elmstream_edge/src/table_fetch.rs
@@ -133,7 +133,7 @@
 }
 
 async fn get(address: SocketAddr, table: Table, asks: SyncRequest) -> io::Result<PeerRows> {
-    let mut sender = client::connect_bounded(address, FETCH, FETCH).await?;
+    let mut sender = client::connect_with_unacked_timeout(address, FETCH, FETCH).await?;
     let SyncRequest { after: StoreVersion { era, count }, complete_to: complete } = asks;
     let complete = format!("complete_era={}&complete={}", complete.era, complete.count);
     let uri = format!("{ROWS_PATH}?table={}&era={era}&after={count}&{complete}", table as usize);
--- a/elmstream_http/src/body.rs
+++ b/elmstream_http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that stay on one thread.
+//! HTTP bodies that stay on one thread.
 
 use std::{
     error::Error,
@@ -13,7 +13,7 @@
 /// Any error of a body.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
-/// A body of any kind, boxed.
+/// A boxed body of any type.
 pub type LocalBody = Pin<Box<dyn Body<Data = Bytes, Error = BoxError>>>;
 
 /// Boxes a body.
@@ -25,17 +25,17 @@
     Box::pin(body.map_err(Into::into))
 }
 
-/// A body without bytes.
+/// An empty body.
 pub fn empty() -> LocalBody {
     boxed(Empty::new())
 }
 
-/// A body of known bytes.
+/// A body of the given bytes.
 pub fn full(bytes: impl Into<Bytes>) -> LocalBody {
     boxed(Full::new(bytes.into()))
 }
 
-/// A body from a stream of chunks; an error cuts it.
+/// A body of a stream of chunks; an error of the stream aborts the body.
 pub fn stream<S>(chunks: S) -> LocalBody
 where
     S: futures_util::Stream<Item = Result<Bytes, BoxError>> + 'static,
@@ -44,7 +44,7 @@
     Box::pin(StreamBody::new(chunks.map(|chunk| chunk.map(Frame::data))))
 }
 
-/// A body from a stream of frames; an error cuts it.
+/// A body of a stream of frames; an error of the stream aborts the body.
 pub fn frames<S>(frames: S) -> LocalBody
 where
     S: futures_util::Stream<Item = Result<Frame<Bytes>, BoxError>> + 'static,
@@ -52,7 +52,7 @@
     Box::pin(StreamBody::new(frames))
 }
 
-/// A body that keeps a value alive, and drops it with the body or at its end.
+/// A body that keeps `value` alive until the body ends or is dropped.
 pub fn holding<T: Unpin + 'static>(body: LocalBody, value: T) -> LocalBody {
     Box::pin(Holding { body, value: Some(value) })
 }
@@ -78,8 +78,8 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // The value must be dropped by a poll or with the body, so hyper has
-        // to poll to the end while it is held.
+        // Only a poll or the drop of the body releases the value, so hyper must poll to the
+        // end while it is held.
         self.value.is_none() && self.body.is_end_stream()
     }
 
--- a/elmstream_http/src/client.rs
+++ b/elmstream_http/src/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to an address by IP number.
+//! HTTP/1.1 client connections to an IP address.
 
 use std::{
     io,
@@ -15,46 +15,62 @@
 
 use crate::LocalBody;
 
-/// Opens a connection; its task ends with the sender.
-pub async fn connect(address: SocketAddr, within: Duration) -> io::Result<SendRequest<LocalBody>> {
-    connect_from(None, address, within).await
+/// Opens a connection; its task ends when the returned sender is dropped.
+///
+/// # Errors
+///
+/// The connection is not open within `timeout`, or fails.
+pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<SendRequest<LocalBody>> {
+    connect_from(None, address, timeout).await
 }
 
-/// Opens a connection from a given IP number of this host.
+/// Opens a connection from a given local IP address, or from any if `source` is `None`.
+///
+/// # Errors
+///
+/// The connection is not open within `timeout`, or fails.
 pub async fn connect_from(
     source: Option<IpAddr>,
     address: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<SendRequest<LocalBody>> {
-    let connecting = compio::time::timeout(within, stream(source, address));
+    let connecting = compio::time::timeout(timeout, stream(source, address));
     let stream = connecting.await.map_err(|_| io::ErrorKind::TimedOut)??;
     start(stream).await
 }
 
-/// The same as [`connect`]; the connection breaks if what is sent over it is not
-/// acknowledged for `silence`.
-pub async fn connect_bounded(
+/// Opens a connection as [`connect`] does, which fails if sent data is not acknowledged
+/// within `unacked_timeout`. If that option is refused, the connection is used without it and
+/// a warning is logged once.
+///
+/// # Errors
+///
+/// The connection is not open within `timeout`, or fails.
+pub async fn connect_with_unacked_timeout(
     address: SocketAddr,
-    within: Duration,
-    silence: Duration,
+    timeout: Duration,
+    unacked_timeout: Duration,
 ) -> io::Result<SendRequest<LocalBody>> {
-    static REFUSED: Once = Once::new();
-    let connecting = compio::time::timeout(within, TcpStream::connect(address));
+    static WARN_ONCE: Once = Once::new();
+    let connecting = compio::time::timeout(timeout, TcpStream::connect(address));
     let stream = connecting.await.map_err(|_| io::ErrorKind::TimedOut)??;
-    if let Err(error) = bound_silence(&stream, silence) {
-        REFUSED.call_once(|| log::warn!("connections that go silent are not broken: {error}"));
+    if let Err(error) = set_unacked_timeout(&stream, unacked_timeout) {
+        WARN_ONCE.call_once(|| log::warn!("cannot limit the time of unacknowledged data: {error}"));
     }
     start(stream).await
 }
 
-/// Lets a connection break if what is sent over it is not acknowledged for so long.
+/// Makes a connection fail if sent data is not acknowledged within `unacked_timeout`.
+///
+/// A connection may stop responding without a reset while new ones work; without this timeout
+/// the kernel retransmits for 15 minutes and more. A peer that does not read waiting bytes
+/// for that long fails the connection as well.
+///
+/// # Errors
 ///
-/// A connection may go silent for good without a reset, while new ones work; without
-/// a bound the kernel sends again for 15 minutes and more. A peer that does not read
-/// for so long although bytes wait for it breaks the connection too. Where the option
-/// is refused the connection should be used without it.
-pub fn bound_silence(stream: &impl AsFd, silence: Duration) -> io::Result<()> {
-    SockRef::from(stream).set_tcp_user_timeout(Some(silence))
+/// The system refuses the option; the connection should be used without it.
+pub fn set_unacked_timeout(stream: &impl AsFd, unacked_timeout: Duration) -> io::Result<()> {
+    SockRef::from(stream).set_tcp_user_timeout(Some(unacked_timeout))
 }
 
 async fn start(stream: TcpStream) -> io::Result<SendRequest<LocalBody>> {
@@ -62,7 +78,7 @@
     let handshake = handshake(HyperStream::new_plain(stream)).await;
     let (sender, connection) = handshake.map_err(io::Error::other)?;
     compio::runtime::spawn(async move {
-        // The request's own future tells of an error.
+        // The future of the request returns the error.
         let _ = connection.await;
     })
     .detach();
--- a/elmstream_http/src/executor.rs
+++ b/elmstream_http/src/executor.rs
@@ -1,8 +1,8 @@
-//! Runs hyper's tasks on the present compio runtime.
+//! Executor of hyper's tasks on the current compio runtime.
 
 use hyper::rt::Executor;
 
-/// Spawns on the runtime of the thread; the futures need not be `Send`.
+/// Spawns on the runtime of the current thread; futures need not be `Send`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalExecutor;
 
--- a/elmstream_http/src/lib.rs
+++ b/elmstream_http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP by `hyper` on `compio`, for programs that run on one thread.
+//! HTTP clients and servers with `hyper` on `compio`, for single-threaded programs.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstream_http/src/server.rs
+++ b/elmstream_http/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 and HTTP/2 on a listener, plain or by TLS.
+//! Serves HTTP/1.1 and HTTP/2 on a listener, in plain text or over TLS.
 
 use std::{
     cell::Cell,
@@ -26,35 +26,36 @@
     watched::{Traffic, WatchedStream},
 };
 
-/// Bytes of headers that are read at most.
-const HEADERS_MAX: usize = 64 << 10;
-/// Time in which a client must send its headers.
+/// Largest size of a request's headers, in bytes.
+const HEADERS_BYTES_MAX: usize = 64 << 10;
+/// Default time in which a client must send its headers.
 const HEADERS_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time in which a client must finish its TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, so that a full table of files does not spin.
+/// Pause after a failed accept, so that the loop does not spin while no file descriptors are
+/// free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time for which a full table of files may hold up the last accepts of a stop.
-const LAST_ACCEPTS: Duration = Duration::from_millis(500);
-/// Pause that takes the runtime once through its reactor, which then gives up the
-/// hold of a cancelled accept on the listener.
-const REACTOR_TURN: Duration = Duration::from_millis(1);
-/// Time in which the first request of a new connection must come after the stop; the
-/// caller has sent it already, unless its link or it itself is slow.
-const FIRST_REQUEST: Duration = Duration::from_millis(500);
-/// Time in which a head that has begun to come must be whole after the stop; a host
-/// with a tenth of a core is some 200 ms behind.
-const HEAD_REST: Duration = Duration::from_secs(1);
-/// Pause between two looks at a connection that waits for its request.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Longest time for which missing file descriptors may delay the last accepts of a stop.
+const LAST_ACCEPTS_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause that lets the runtime run its reactor once, which then releases the listener from a
+/// cancelled accept.
+const REACTOR_TURN_PAUSE: Duration = Duration::from_millis(1);
+/// Time after the stop in which the first request of a new connection must arrive; the caller
+/// has already sent it, unless its network or the caller itself is slow.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time after the stop in which a partly received head must be complete; a host that gets a
+/// tenth of a core lags some 200 ms.
+const PARTIAL_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval of the check for the state of a connection that waits for its request.
+const STATE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a handler ends a request without an answer.
+/// Error by which a handler ends a request without a response.
 #[derive(Clone, Copy, Debug)]
 pub struct Aborted;
 
 impl std::fmt::Display for Aborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the connection is cut on purpose")
+        f.write_str("the handler aborts the connection")
     }
 }
 
@@ -66,20 +67,20 @@
     }
 }
 
-/// How connections are served.
+/// Options of [`serve_with`].
 #[derive(Clone)]
 pub struct Options {
-    /// Terminates TLS; plain if none.
+    /// Terminates TLS; plain text if `None`.
     pub tls: Option<TlsAcceptor>,
-    /// Whether HTTP/2 is spoken beside HTTP/1.1.
+    /// Whether HTTP/2 is served besides HTTP/1.1.
     pub http2: bool,
-    /// Time in which the head of the next request must have come, rest included;
-    /// asked for each connection as it comes.
+    /// Time in which the head of the next request must arrive, idle time included; called
+    /// once for each new connection.
     pub head_timeout: Rc<dyn Fn() -> Duration>,
-    /// Once given, answers of HTTP/1.1 ask callers to leave the connection; the stop
-    /// gives it too.
+    /// Once announced, HTTP/1.1 responses ask callers to close the connection; a stop
+    /// announces it too.
     pub notice: StopNotice,
-    /// Gets each connection that is open at the stop.
+    /// Called for each connection that is open at the stop.
     pub observe: Rc<dyn Fn(StoppedConnection)>,
 }
 
@@ -103,18 +104,23 @@
     }
 }
 
-/// A connection as its server's stop finds it.
+/// State of a connection at the stop of its server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StoppedConnection {
-    /// How far it is.
+    /// How far its requests have come.
     pub state: ConnectionState,
-    /// Whether it was still in the listener's queue.
+    /// Whether it was still waiting in the listener's queue.
     pub queued: bool,
 }
 
 /// Serves until the stop, then lets requests in flight finish.
 ///
-/// The handler gets the client's address; `Err(Aborted)` closes the connection.
+/// The handler gets the client's address; `Err(Aborted)` closes the connection without a
+/// response.
+///
+/// # Errors
+///
+/// None at present: failed accepts are retried.
 pub async fn serve<H, F>(
     listener: TcpListener,
     tls: Option<TlsAcceptor>,
@@ -129,6 +135,10 @@
 }
 
 /// Serves as [`serve`] does, with options.
+///
+/// # Errors
+///
+/// None at present: failed accepts are retried.
 pub async fn serve_with<H, F>(
     listener: TcpListener,
     options: Options,
@@ -140,7 +150,7 @@
     F: Future<Output = Result<Response<LocalBody>, Aborted>> + 'static,
 {
     let open = Rc::new(Cell::new(0usize));
-    let take = |stream, client, queued| {
+    let serve_connection = |stream, client, queued| {
         let connection = Connection {
             stream,
             client,
@@ -160,14 +170,14 @@
     loop {
         let accept = pin!(listener.accept());
         match select(accept, stop.clone()).await {
-            Either::Left((Ok((stream, client)), _)) => take(stream, client, false),
+            Either::Left((Ok((stream, client)), _)) => serve_connection(stream, client, false),
             Either::Left((Err(_), _)) => compio::time::sleep(ACCEPT_PAUSE).await,
             Either::Right(_) => break,
         }
     }
     options.notice.announce();
     for (stream, client) in last_accepts(listener).await {
-        take(stream, client, true);
+        serve_connection(stream, client, true);
     }
     while open.get() > 0 {
         compio::time::sleep(Duration::from_millis(5)).await;
@@ -175,34 +185,36 @@
     Ok(())
 }
 
-/// Empties the listener's queue and closes the listener.
+/// Accepts the connections in the listener's queue, then closes the listener.
 ///
-/// A host that is behind has connections there with whole requests, which the end of
-/// the listener would reset. The last look and the end follow each other at once, so
-/// that hardly anything can come between them.
+/// While a host lags, the queue holds connections with complete requests, which closing the
+/// listener would reset. Nothing is awaited between the last accept and the close, so that
+/// hardly any connection can arrive between them.
 async fn last_accepts(listener: TcpListener) -> Vec<(TcpStream, SocketAddr)> {
-    compio::time::sleep(REACTOR_TURN).await;
+    compio::time::sleep(REACTOR_TURN_PAUSE).await;
     let began = Instant::now();
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     loop {
         match accept_now(&listener) {
-            Ok(accepted) => taken.push(accepted),
+            Ok(connection) => accepted.push(connection),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-            Err(error) if gone(&error) => {}
-            // Files become free as connections end.
-            Err(_) if began.elapsed() < LAST_ACCEPTS => compio::time::sleep(ACCEPT_PAUSE).await,
+            Err(error) if accept_interrupted(&error) => {}
+            // File descriptors become free as connections end.
+            Err(_) if began.elapsed() < LAST_ACCEPTS_TIMEOUT => {
+                compio::time::sleep(ACCEPT_PAUSE).await
+            }
             Err(_) => break,
         }
     }
-    taken
+    accepted
 }
 
 /// Whether the connection ended before it was accepted, or the call was interrupted.
-fn gone(error: &io::Error) -> bool {
+fn accept_interrupted(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted)
 }
 
-/// Accepts what waits; compio's own accept may wait for the reactor first.
+/// Accepts a waiting connection; compio's own accept may wait for the reactor first.
 fn accept_now(listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
     let (socket, client) = SockRef::from(listener).accept()?;
     let stream = TcpStream::from_std(socket.into())?;
@@ -210,11 +222,11 @@
     Ok((stream, client))
 }
 
-/// An accepted connection.
+/// An accepted connection and what is needed to serve it.
 struct Connection<H> {
     stream: TcpStream,
     client: SocketAddr,
-    /// Whether it came out of the queue at the stop.
+    /// Whether it was accepted from the queue at the stop.
     queued: bool,
     options: Options,
     stop: Stop,
@@ -226,7 +238,7 @@
     H: Fn(SocketAddr, Request<Incoming>) -> F + 'static,
     F: Future<Output = Result<Response<LocalBody>, Aborted>> + 'static,
 {
-    /// Serves it to its end.
+    /// Serves the connection until it closes.
     async fn serve(self) {
         let Connection { stream, client, queued, options, stop, handler } = self;
         let _ = stream.set_nodelay(true);
@@ -247,7 +259,7 @@
             let notice = notice.clone();
             async move {
                 let mut response = answering.await?;
-                ask_to_leave(&notice, &mut response);
+                add_connection_close(&notice, &mut response);
                 drop(in_flight);
                 Ok::<_, Aborted>(response)
             }
@@ -260,38 +272,38 @@
         let stopped = Instant::now();
         let mut state = traffic.state(&socket);
         (options.observe)(StoppedConnection { state, queued });
-        // A shutdown closes at once whatever has no request that hyper knows of, so it
-        // has to wait for a request that is in the socket or on its way.
-        while stopped.elapsed() < patience(state) {
-            let pause = pin!(compio::time::sleep(LOOK_PAUSE));
+        // hyper's graceful shutdown immediately closes connections without a request that it
+        // knows, so it must wait for requests that are in the socket or in transit.
+        while stopped.elapsed() < close_delay(state) {
+            let pause = pin!(compio::time::sleep(STATE_CHECK_INTERVAL));
             if let Either::Left(_) = select(serving.as_mut(), pause).await {
                 return;
             }
             state = traffic.state(&socket);
         }
-        // hyper would wait for the rest of a head until its own time for that is over.
-        if state == ConnectionState::Begun {
+        // hyper would wait for the rest of the head until its own timeout.
+        if state == ConnectionState::PartialHead {
             return;
         }
         serving.as_mut().graceful_shutdown();
-        // What ends a connection after its last answer was its client's doing.
+        // An error after the last response is caused by the client.
         let _ = serving.await;
     }
 }
 
-/// Time after the stop for which a connection in this state is left open.
-fn patience(state: ConnectionState) -> Duration {
+/// Time after the stop for which a connection in this state stays open.
+fn close_delay(state: ConnectionState) -> Duration {
     match state {
-        ConnectionState::InFlight | ConnectionState::Resting => Duration::ZERO,
-        ConnectionState::New => FIRST_REQUEST,
-        ConnectionState::Begun | ConnectionState::Unread => HEAD_REST,
+        ConnectionState::InFlight | ConnectionState::Idle => Duration::ZERO,
+        ConnectionState::New => FIRST_REQUEST_TIMEOUT,
+        ConnectionState::PartialHead | ConnectionState::Unread => PARTIAL_HEAD_TIMEOUT,
     }
 }
 
-/// Has the caller leave a connection that will close, at a moment when nothing of its
-/// own can be on the way.
-fn ask_to_leave(notice: &StopNotice, response: &mut Response<LocalBody>) {
-    // HTTP/2 has frames for this, which its own shutdown sends.
+/// Asks the caller to close the connection, at a moment when no request of its own can be in
+/// transit.
+fn add_connection_close(notice: &StopNotice, response: &mut Response<LocalBody>) {
+    // HTTP/2 has frames for this, which its graceful shutdown sends.
     if notice.is_announced() && response.version() <= Version::HTTP_11 {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
@@ -302,7 +314,11 @@
     if !http2 {
         builder = builder.http1_only();
     }
-    builder.http1().timer(CompioTimer).header_read_timeout(head_timeout).max_buf_size(HEADERS_MAX);
-    builder.http2().timer(CompioTimer).max_header_list_size(HEADERS_MAX as u32);
+    builder
+        .http1()
+        .timer(CompioTimer)
+        .header_read_timeout(head_timeout)
+        .max_buf_size(HEADERS_BYTES_MAX);
+    builder.http2().timer(CompioTimer).max_header_list_size(HEADERS_BYTES_MAX as u32);
     builder
 }
--- a/elmstream_http/src/stop.rs
+++ b/elmstream_http/src/stop.rs
@@ -1,4 +1,4 @@
-//! A signal to stop that many tasks can wait for.
+//! A stop signal that many tasks can wait for.
 
 use std::{
     cell::{Cell, RefCell},
@@ -8,19 +8,19 @@
 use futures_channel::oneshot;
 use futures_util::{FutureExt, future::Shared};
 
-/// Waits for the signal; cheap to clone.
+/// Resolves at the stop signal; cheap to clone.
 pub type Stop = Shared<StopFuture>;
 
-/// Resolves once the [`Stopper`] was used or dropped.
+/// Resolves once the [`Stopper`] is used or dropped.
 pub type StopFuture =
     futures_util::future::Map<oneshot::Receiver<()>, fn(Result<(), oneshot::Canceled>)>;
 
-/// Gives the signal.
+/// Sends the stop signal, at the latest when its last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Stopper(Rc<RefCell<Option<oneshot::Sender<()>>>>);
 
 impl Stopper {
-    /// A signal and its waiting side.
+    /// A signal and the future that waits for it.
     pub fn new() -> (Stopper, Stop) {
         let (sender, receiver) = oneshot::channel();
         let ignore: fn(Result<(), oneshot::Canceled>) = drop;
@@ -28,23 +28,23 @@
         (Stopper(Rc::new(RefCell::new(Some(sender)))), stop)
     }
 
-    /// Gives the signal; once is enough.
+    /// Sends the signal; further calls have no effect.
     pub fn stop(&self) {
         self.0.borrow_mut().take();
     }
 }
 
-/// Tells a server that its stop will come; cheap to clone.
+/// Announces a coming stop to a server; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct StopNotice(Rc<Cell<bool>>);
 
 impl StopNotice {
-    /// Gives the notice; once is enough.
+    /// Announces the stop; further calls have no effect.
     pub fn announce(&self) {
         self.0.set(true);
     }
 
-    /// Whether it was given.
+    /// Whether the stop was announced.
     pub fn is_announced(&self) -> bool {
         self.0.get()
     }
--- a/elmstream_http/src/watched.rs
+++ b/elmstream_http/src/watched.rs
@@ -1,4 +1,4 @@
-//! A connection's stream that tells how far its requests have come.
+//! A stream that tracks how far the requests of its connection have come.
 
 use std::{
     cell::Cell,
@@ -15,70 +15,72 @@
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
 
-/// Bytes that are read at once; compio's own buffer has as many.
-const CHUNK: usize = 8 << 10;
-/// What a connection of HTTP/2 begins with; no method of HTTP/1.1 does.
-const HTTP2_BEGINS: &[u8] = b"PRI";
-/// Bytes after which a connection of HTTP/2 can be shut down by its own protocol.
-const HTTP2_PREFACE: usize = 24;
+/// Bytes read at once; compio's own buffer has the same size.
+const READ_BYTES_MAX: usize = 8 << 10;
+/// First bytes of an HTTP/2 connection; no method of HTTP/1.1 begins with them.
+const HTTP2_PREFIX: &[u8] = b"PRI";
+/// Length of the HTTP/2 preface in bytes; after it a connection can be shut down by the
+/// protocol itself.
+const HTTP2_PREFACE_BYTES: usize = 24;
 
-/// How far a connection has come.
+/// How far the requests of a connection have come.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ConnectionState {
     /// A request is being answered.
     InFlight,
     /// A part of the next request's head was read.
-    Begun,
-    /// Bytes lie in the socket that were not read.
+    PartialHead,
+    /// Bytes are waiting unread in the socket.
     Unread,
-    /// It has not sent anything yet.
+    /// The client has not sent anything yet.
     New,
-    /// It has had answers, and rests.
-    Resting,
+    /// Earlier requests were answered, and no other has begun.
+    Idle,
 }
 
 impl ConnectionState {
-    /// Its name in logs and metrics.
+    /// Label of the state in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ConnectionState::InFlight => "in_flight",
-            ConnectionState::Begun => "begun",
+            ConnectionState::PartialHead => "begun",
             ConnectionState::Unread => "unread",
             ConnectionState::New => "new",
-            ConnectionState::Resting => "resting",
+            ConnectionState::Idle => "resting",
         }
     }
 }
 
-/// What was read from a connection, and what became of it.
+/// Counts of what was read from a connection and of requests in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
     bytes: Cell<usize>,
     http2: Cell<bool>,
     in_flight: Cell<usize>,
-    begun: Cell<bool>,
+    partial_head: Cell<bool>,
     served: Cell<bool>,
 }
 
 impl Traffic {
-    /// A request's head was taken; it counts as in flight until the guard is dropped.
+    /// Records that the head of a request was read; the request is in flight until the guard
+    /// is dropped.
     pub(crate) fn enter(self: &Rc<Traffic>) -> InFlight {
-        self.begun.set(false);
+        self.partial_head.set(false);
         self.served.set(true);
         self.in_flight.set(self.in_flight.get() + 1);
         InFlight(self.clone())
     }
 
-    /// How far the connection is, by what was read and what lies in its socket.
+    /// State of the connection, from what was read and what is waiting in its socket.
     pub(crate) fn state(&self, socket: &TcpStream) -> ConnectionState {
         if self.in_flight.get() > 0 {
             ConnectionState::InFlight
-        } else if self.begun.get() {
-            ConnectionState::Begun
-        } else if unread(socket) {
+        } else if self.partial_head.get() {
+            ConnectionState::PartialHead
+        } else if has_unread(socket) {
             ConnectionState::Unread
         } else if self.served.get() {
-            ConnectionState::Resting
+            ConnectionState::Idle
         } else {
             ConnectionState::New
         }
@@ -86,19 +88,19 @@
 
     fn read(&self, bytes: &[u8]) {
         if self.bytes.get() == 0 {
-            self.http2.set(bytes.starts_with(HTTP2_BEGINS));
+            self.http2.set(bytes.starts_with(HTTP2_PREFIX));
         }
         let all = self.bytes.get() + bytes.len();
         self.bytes.set(all);
         if self.http2.get() {
-            self.begun.set(all < HTTP2_PREFACE);
+            self.partial_head.set(all < HTTP2_PREFACE_BYTES);
         } else if self.in_flight.get() == 0 && !bytes.is_empty() {
-            self.begun.set(true);
+            self.partial_head.set(true);
         }
     }
 }
 
-/// A request that is being answered, until this is dropped.
+/// A request in flight; dropping this ends it.
 #[derive(Debug)]
 pub(crate) struct InFlight(Rc<Traffic>);
 
@@ -108,14 +110,14 @@
     }
 }
 
-/// Whether bytes lie in the socket; the socket does not block.
-fn unread(socket: &TcpStream) -> bool {
+/// Whether bytes are waiting in the socket; does not block, as the socket is non-blocking.
+fn has_unread(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
-    // An end or an error is left for the stream's own read to find.
+    // The stream's own read handles an end or an error.
     matches!(SockRef::from(socket).peek(&mut byte), Ok(1))
 }
 
-/// The stream.
+/// A stream that reports what it reads to a [`Traffic`].
 pub(crate) struct WatchedStream {
     stream: HyperStream<TcpStream>,
     traffic: Rc<Traffic>,
@@ -133,8 +135,8 @@
         cx: &mut Context<'_>,
         mut into: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut chunk = [0; CHUNK];
-        let room = into.remaining().min(CHUNK);
+        let mut chunk = [0; READ_BYTES_MAX];
+        let room = into.remaining().min(READ_BYTES_MAX);
         let reading = AsyncRead::poll_read(Pin::new(&mut self.stream), cx, &mut chunk[..room]);
         let bytes = &chunk[..ready!(reading)?];
         self.traffic.read(bytes);
--- a/elmstream_http/tests/client.rs
+++ b/elmstream_http/tests/client.rs
@@ -1,25 +1,25 @@
-//! Options of connections.
+//! Socket options of client connections.
 
 use std::{
     net::{Ipv4Addr, TcpListener, TcpStream},
     time::Duration,
 };
 
-use elmstream_http::client::bound_silence;
+use elmstream_http::client::set_unacked_timeout;
 use socket2::SockRef;
 
 #[test]
-fn a_connection_takes_a_bound_on_silence() {
+fn unacked_timeout_is_set_on_a_tcp_socket() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
     let stream = TcpStream::connect(address).expect("a connection");
-    bound_silence(&stream, Duration::from_millis(700)).expect("the option");
-    let bound = SockRef::from(&stream).tcp_user_timeout().expect("the option");
-    assert_eq!(bound, Some(Duration::from_millis(700)));
+    set_unacked_timeout(&stream, Duration::from_millis(700)).expect("the option");
+    let timeout = SockRef::from(&stream).tcp_user_timeout().expect("the option");
+    assert_eq!(timeout, Some(Duration::from_millis(700)));
 }
 
 #[test]
-fn a_refusal_of_the_bound_is_told() {
+fn refused_socket_option_is_reported() {
     let (one, _other) = std::os::unix::net::UnixStream::pair().expect("a pair");
-    assert!(bound_silence(&one, Duration::from_millis(700)).is_err());
+    assert!(set_unacked_timeout(&one, Duration::from_millis(700)).is_err());
 }
