--- a/elmstream_edge/src/access.rs
+++ b/elmstream_edge/src/access.rs
@@ -1,4 +1,4 @@
-//! Lets requests in by their workspace's key and limit.
+//! Admits requests by their workspace's key and limit.
 
 use std::{cell::Cell, fmt, rc::Rc};
 
@@ -20,13 +20,14 @@
     headers::{self, HeaderNames},
 };
 
-/// The workspace of a request that counts against its limit; given back when this is
-/// dropped unless a server may have run the request.
+/// A request that counts against its workspace's limit.
+///
+/// Dropping it refunds the request unless a server may have run it.
 pub struct AdmittedRequest {
     edge: Rc<Edge>,
-    /// The workspace.
+    /// The workspace that the request counts against.
     pub entry: Rc<WorkspaceEntry>,
-    /// Whether a server may have run it.
+    /// Whether a server may have run the request.
     pub may_have_run: Cell<bool>,
 }
 
@@ -37,15 +38,16 @@
 }
 
 impl AdmittedRequest {
-    /// The request is sent to a server; it counts once more if an earlier one may have
-    /// run it.
+    /// Records that the request is sent to a server; it counts once more if an earlier server
+    /// may have run it.
     pub fn record_sent(&self) {
         if self.may_have_run.replace(true) {
             self.edge.steer.borrow_mut().record_workspace_retry(clock::now(), &self.entry);
         }
     }
 
-    /// The server did not run it; `had_run` says whether an earlier one may have.
+    /// Records that the server did not run the request; `had_run` says whether an earlier one
+    /// may have.
     pub fn refund(&self, had_run: bool) {
         self.may_have_run.set(had_run);
         if had_run {
@@ -62,57 +64,62 @@
     }
 }
 
-/// The workspace of a request that is let in; none if its route asks for no key.
+/// Admits a request by its key and its workspace's limit; `None` if its route needs no key.
 ///
 /// # Errors
 ///
-/// The answer to a request that is not let in.
+/// The response for the caller if the key is refused, the workspace is over its limit, or the
+/// host does not know enough to decide.
 pub fn authorize(
     edge: &Rc<Edge>,
     head: &request::Parts,
     route: &Route,
 ) -> Result<Option<AdmittedRequest>, Box<Response<LocalBody>>> {
     let now = clock::now();
-    let shown = shown(&edge.settings.headers, &head.headers);
-    let let_in = edge.steer.borrow().authenticate(now, route, shown);
-    let member = match let_in {
-        Ok(Some(member)) => member,
+    let presented_key = presented_key(&edge.settings.headers, &head.headers);
+    let authenticated = edge.steer.borrow().authenticate(now, route, presented_key);
+    let entry = match authenticated {
+        Ok(Some(entry)) => entry,
         Ok(None) => return Ok(None),
         Err(denial) => return Err(Box::new(denied(edge, head, route, denial))),
     };
-    let ruling = edge.steer.borrow_mut().admit(now, &member);
-    match ruling {
+    let decision = edge.steer.borrow_mut().admit(now, &entry);
+    match decision {
         QuotaDecision::Within => {
             let edge = Rc::clone(edge);
-            Ok(Some(AdmittedRequest { edge, entry: member, may_have_run: Cell::new(false) }))
+            Ok(Some(AdmittedRequest { edge, entry, may_have_run: Cell::new(false) }))
         }
         QuotaDecision::Over { retry_ms } => {
             let code = Code::WorkspaceLimit;
-            Err(Box::new(held_back(edge, head, (route, &member), code, retry_ms)))
+            Err(Box::new(throttled(edge, head, (route, &entry), code, retry_ms)))
         }
         QuotaDecision::Unready => {
             let code = Code::NotReady;
-            Err(Box::new(held_back(edge, head, (route, &member), code, UNREADY_RETRY_MS)))
+            Err(Box::new(throttled(edge, head, (route, &entry), code, UNREADY_RETRY_MS)))
         }
     }
 }
 
-/// What a request shows of a key.
-fn shown(names: &HeaderNames, headers: &HeaderMap) -> PresentedKey {
+/// The key that a request presents; a repeated or malformed header is ambiguous.
+fn presented_key(names: &HeaderNames, headers: &HeaderMap) -> PresentedKey {
     let mut values = headers.get_all(&names.key).iter();
     match (values.next(), values.next()) {
         (None, _) => PresentedKey::Absent,
-        (Some(value), None) => key(names, value).map_or(PresentedKey::Ambiguous, PresentedKey::Key),
+        (Some(value), None) => {
+            key_digest(names, value).map_or(PresentedKey::Ambiguous, PresentedKey::Key)
+        }
         (Some(_), Some(_)) => PresentedKey::Ambiguous,
     }
 }
 
-/// Digest of the key in a header's value; none if that is not one key of the scheme.
-fn key(names: &HeaderNames, value: &HeaderValue) -> Option<KeyDigest> {
+/// Digest of the key in a header value; `None` if the value is not exactly one key of the
+/// scheme.
+fn key_digest(names: &HeaderNames, value: &HeaderValue) -> Option<KeyDigest> {
     let (scheme, key) = value.to_str().ok()?.trim().split_once(' ')?;
     let key = key.trim();
-    let one = !key.is_empty() && !key.contains([' ', '\t', ',']);
-    (one && scheme.eq_ignore_ascii_case(&names.key_scheme)).then(|| KeyDigest::of(key.as_bytes()))
+    let is_single = !key.is_empty() && !key.contains([' ', '\t', ',']);
+    (is_single && scheme.eq_ignore_ascii_case(&names.key_scheme))
+        .then(|| KeyDigest::of(key.as_bytes()))
 }
 
 fn denied(
@@ -136,30 +143,30 @@
     });
     edge.event_log.request("denied", fields);
     if denial == Denial::Stale {
-        return callers::refuse(code, UNREADY_RETRY_MS);
+        return callers::retry_later(code, UNREADY_RETRY_MS);
     }
-    let mut response = callers::plain(code, StatusCode::UNAUTHORIZED);
+    let mut response = callers::reply(code, StatusCode::UNAUTHORIZED);
     if let Ok(scheme) = HeaderValue::from_str(&edge.settings.headers.key_scheme) {
         response.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
     }
     response
 }
 
-fn held_back(
+fn throttled(
     edge: &Edge,
     head: &request::Parts,
-    (route, member): (&Route, &WorkspaceEntry),
+    (route, entry): (&Route, &WorkspaceEntry),
     code: Code,
     retry_ms: u64,
 ) -> Response<LocalBody> {
     metrics::counter!("elmstream_requests", "outcome" => "limited").increment(1);
     let id = headers::text(&head.headers, &edge.settings.headers.request_id);
     let fields = json!({
-        "id": id, "route": route.name, "workspace": member.workspace.name,
+        "id": id, "route": route.name, "workspace": entry.workspace.name,
         "code": code.number(), "status": code.http_status(), "retry_ms": retry_ms,
-        "rate_per_s": member.workspace.rate_per_s, "burst": member.workspace.burst,
+        "rate_per_s": entry.workspace.rate_per_s, "burst": entry.workspace.burst,
         "version": edge.steer.borrow().version(),
     });
     edge.event_log.request("limited", fields);
-    callers::refuse(code, retry_ms)
+    callers::retry_later(code, retry_ms)
 }
--- a/elmstream_edge/src/backend.rs
+++ b/elmstream_edge/src/backend.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers, and one exchange over one of them.
+//! Connection pool for backend servers, and one exchange over a pooled connection.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,88 +18,91 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 
-/// Time in which a connection must come up.
-const CONNECT: Duration = Duration::from_millis(400);
-/// A connection breaks if what was sent is not acknowledged for so long.
+/// Timeout of opening a connection to a backend server.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// A connection is closed if sent data is not acknowledged for this long.
 ///
-/// A packet and its acknowledgement are lost by 6 in 100 where single ones are by 3.
-/// The kernel sends after 0, 200 and 600 ms on a short way, so a way that works breaks
-/// a connection by 0.06^3, 2 in 10,000; with half of this time it would be 4 in 1,000.
-pub const SILENCE: Duration = Duration::from_secs(1);
-/// A request that was given up after this long without an answer speaks against the
-/// connections that rested meanwhile: a new one must come up in the same time.
-pub const DOUBT: Duration = CONNECT;
-/// Idle connections that are kept to one server.
-const IDLE_MAX: usize = 16;
-/// How long an idle connection is kept, if the server does not say.
-const IDLE: Duration = Duration::from_secs(4);
-/// A connection is left this long before the server would close it.
+/// With 3 in 100 packets lost, a packet or its acknowledgement is lost in 6 of 100 cases.
+/// Over a short path the kernel sends after 0, 200 and 600 ms, so the timeout closes a
+/// working connection with probability 0.06^3, 2 in 10,000. With half of this time it would
+/// be 4 in 1,000.
+pub const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
+/// A request abandoned after this long without a response makes the connections suspect that
+/// were idle meanwhile: a new connection must open in the same time.
+pub const SUSPECT_AFTER: Duration = CONNECT_TIMEOUT;
+/// Idle connections kept to each server.
+const IDLE_PER_SERVER_MAX: usize = 16;
+/// Time for which an idle connection is kept if the server does not state one.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// An idle connection is dropped this long before the server would close it.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// Bytes of an answer that are taken at most.
-const ANSWER_MAX: usize = 64 << 20;
+/// Largest response body, in bytes.
+const RESPONSE_BYTES_MAX: usize = 64 << 20;
 
-/// A connection; dropping it closes it at once, whatever is on its way.
+/// A connection; dropping it closes it at once and aborts what is being sent.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<LocalBody>,
-    /// Drives the connection; ends with it.
+    /// Task that drives the connection; cancelled when this is dropped.
     _driver: JoinHandle<()>,
-    until: Time,
-    /// When its last answer was whole.
-    answered: Time,
+    idle_until: Time,
+    /// When its last response was complete.
+    last_response: Time,
 }
 
-/// A request that was sent and has no answer yet, until this is dropped.
+/// A request that was sent and is waiting for its response.
 ///
-/// Connections to one server mostly go silent together, so one that ends without an
-/// answer takes those with it that have not answered since. Else each of them would
-/// cost a request its whole time.
+/// Connections to one server usually stop responding together. So if this is dropped without
+/// a complete response, because the connection broke or after [`SUSPECT_AFTER`], the idle
+/// connections that have not responded since are discarded; otherwise each of them would cost
+/// a request its whole timeout.
 struct Unanswered<'a> {
     pool: &'a Pool,
     id: &'a str,
     sent: Time,
     broken: bool,
-    answered: bool,
+    complete: bool,
 }
 
 impl Drop for Unanswered<'_> {
     fn drop(&mut self) {
-        if !self.answered
-            && (self.broken || clock::now().since(self.sent) >= DOUBT.as_micros() as u64)
+        if !self.complete
+            && (self.broken || clock::now().since(self.sent) >= SUSPECT_AFTER.as_micros() as u64)
         {
-            self.pool.doubt(self.id, self.sent);
+            self.pool.discard_suspect(self.id, self.sent);
         }
     }
 }
 
-/// Idle connections by server.
+/// Idle connections by the id of their server.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<HashMap<String, Vec<Connection>>>,
-    /// Why connections have no bound on silence, until it is told.
-    unbounded: RefCell<Option<io::Error>>,
-    told: Cell<bool>,
+    /// Why a connection's unacknowledged-data timeout could not be set, until it is taken.
+    timeout_error: RefCell<Option<io::Error>>,
+    timeout_error_reported: Cell<bool>,
 }
 
-/// What an exchange came to.
+/// Result of an exchange.
 #[derive(Debug)]
 pub enum Exchange {
-    /// No connection came up; nothing was sent.
+    /// No connection could be opened; nothing was sent.
     NoConnection,
-    /// The time for the request was over; nothing was sent.
+    /// No time was left for the request; nothing was sent.
     NoTime,
-    /// The whole answer.
+    /// The complete response.
     Whole(response::Parts, Bytes),
-    /// It was sent, and no whole answer came; its head, if that did.
+    /// The request was sent, but no complete response came; holds the head of the response if
+    /// that was received.
     Broken(Option<Box<response::Parts>>),
 }
 
 impl Pool {
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads the complete response.
     ///
-    /// `request` makes it once a connection is there, so that it carries the time that is
-    /// left then: a connection may take 0.4 s, and the host may be suspended meanwhile.
-    /// With none left there is no request, and nothing is sent.
+    /// `request` builds the request once a connection is open, so that it carries the time
+    /// that remains then: opening a connection may take 0.4 s, and the host may be suspended
+    /// meanwhile. It returns `None` if no time is left; then nothing is sent.
     pub async fn exchange(
         &self,
         id: &str,
@@ -110,10 +113,10 @@
             return Exchange::NoConnection;
         };
         let sent = clock::now();
-        let mut waits = Unanswered { pool: self, id, sent, broken: false, answered: false };
+        let mut pending = Unanswered { pool: self, id, sent, broken: false, complete: false };
         let exchange = self.exchange_over(connection, id, address, &request).await;
-        waits.broken = matches!(exchange, Exchange::Broken(_));
-        waits.answered = matches!(exchange, Exchange::Whole(..));
+        pending.broken = matches!(exchange, Exchange::Broken(_));
+        pending.complete = matches!(exchange, Exchange::Whole(..));
         exchange
     }
 
@@ -128,10 +131,10 @@
         let answer = match connection.sender.try_send_request(made).await {
             Ok(answer) => answer,
             Err(mut error) => {
-                // Nothing was sent if the request comes back: the connection had
-                // been closed while it rested.
+                // hyper returns the request if nothing was sent: the connection had been
+                // closed while it was idle.
                 return match error.take_message() {
-                    Some(_) => self.exchange_anew(address, request).await,
+                    Some(_) => self.exchange_over_new(address, request).await,
                     None => Exchange::Broken(None),
                 };
             }
@@ -139,8 +142,8 @@
         self.read(id, connection, answer).await
     }
 
-    /// The same over a new connection, whose end is not waited for.
-    async fn exchange_anew(
+    /// Performs the exchange over a new connection, which is not kept afterwards.
+    async fn exchange_over_new(
         &self,
         address: SocketAddr,
         request: &impl Fn() -> Option<Request<LocalBody>>,
@@ -160,132 +163,134 @@
         answer: http::Response<hyper::body::Incoming>,
     ) -> Exchange {
         let (parts, incoming) = answer.into_parts();
-        let Ok(whole) = Limited::new(incoming, ANSWER_MAX).collect().await else {
+        let Ok(whole) = Limited::new(incoming, RESPONSE_BYTES_MAX).collect().await else {
             return Exchange::Broken(Some(Box::new(parts)));
         };
-        if let Some(rest) = rest(&parts.headers) {
-            connection.answered = clock::now();
-            connection.until = connection.answered + rest.as_micros() as u64;
-            self.give(id, connection);
+        if let Some(idle_timeout) = idle_timeout(&parts.headers) {
+            connection.last_response = clock::now();
+            connection.idle_until = connection.last_response + idle_timeout.as_micros() as u64;
+            self.put_back(id, connection);
         }
         Exchange::Whole(parts, whole.to_bytes())
     }
 
-    /// An idle connection that still stands, or a new one.
+    /// Takes a usable idle connection, or opens a new one.
     async fn take(&self, id: &str, address: SocketAddr) -> Option<Connection> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(id).and_then(Vec::pop);
             let Some(mut connection) = idle else { return self.connect(address).await.ok() };
-            let fresh = clock::now() < connection.until && !connection.sender.is_closed();
-            if fresh && connection.sender.is_ready() && connection.sender.ready().await.is_ok() {
+            let usable = clock::now() < connection.idle_until && !connection.sender.is_closed();
+            if usable && connection.sender.is_ready() && connection.sender.ready().await.is_ok() {
                 return Some(connection);
             }
         }
     }
 
-    /// Keeps a connection whose answer was read to the end.
-    fn give(&self, id: &str, connection: Connection) {
+    /// Returns a connection whose response was read completely to the pool.
+    fn put_back(&self, id: &str, connection: Connection) {
         if id.is_empty() || connection.sender.is_closed() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(id.to_owned()).or_default();
-        if connections.len() < IDLE_MAX {
+        if connections.len() < IDLE_PER_SERVER_MAX {
             connections.push(connection);
         }
     }
 
-    /// Drops connections that rested too long, or whose server is not `known`.
+    /// Drops connections that were idle for too long, and those of servers that are not
+    /// `known`.
     pub fn sweep(&self, known: impl Fn(&str) -> bool) {
         let now = clock::now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|id, connections| {
             connections
-                .retain(|connection| now < connection.until && !connection.sender.is_closed());
+                .retain(|connection| now < connection.idle_until && !connection.sender.is_closed());
             !connections.is_empty() && known(id)
         });
     }
 
     async fn connect(&self, address: SocketAddr) -> io::Result<Connection> {
         metrics::counter!("elmstream_backend_connections").increment(1);
-        let (stream, bounded) = stream(address).await?;
-        if let Err(error) = bounded
-            && !self.told.replace(true)
+        let (stream, timeout_set) = open_stream(address).await?;
+        if let Err(error) = timeout_set
+            && !self.timeout_error_reported.replace(true)
         {
-            self.unbounded.replace(Some(error));
+            self.timeout_error.replace(Some(error));
         }
-        start(stream).await
+        start_connection(stream).await
     }
 
-    /// Whether nobody listens at an address, as after the end of its process.
+    /// Whether connections to the address are refused, as after a crash of the process.
     ///
-    /// A connection that breaks says nothing by itself: an answer may be lost with it,
-    /// and a way may be cut, while the server lives on. One that is refused right after
-    /// does; a server that starts again at its address within that time is missed.
-    pub async fn refuses(&self, address: SocketAddr) -> bool {
+    /// A broken connection alone proves nothing: the response may be lost with it, and the
+    /// network may be cut, while the server is alive. A refused connection right afterwards
+    /// does prove it; a server that restarts at its address within that time is missed.
+    pub async fn refuses_connections(&self, address: SocketAddr) -> bool {
         metrics::counter!("elmstream_backend_connections").increment(1);
-        let error = stream(address).await.err();
+        let error = open_stream(address).await.err();
         error.is_some_and(|error| error.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Why connections that go silent do not break, the first time this is so.
-    pub fn unbounded(&self) -> Option<io::Error> {
-        self.unbounded.take()
+    /// Why the unacknowledged-data timeout cannot be set; `Some` only once.
+    pub fn take_timeout_error(&self) -> Option<io::Error> {
+        self.timeout_error.take()
     }
 
-    /// Drops the connections to a server that have not answered since.
-    fn doubt(&self, id: &str, since: Time) {
+    /// Drops the connections to a server that have not completed a response after `since`.
+    fn discard_suspect(&self, id: &str, since: Time) {
         if let Some(connections) = self.idle.borrow_mut().get_mut(id) {
-            connections.retain(|connection| connection.answered > since);
+            connections.retain(|connection| connection.last_response > since);
         }
     }
 
-    /// Drops the connections to a server that sent what it should not.
+    /// Drops the idle connections to a server, after it sent an unexpected response or was
+    /// restarted.
     pub fn discard_connections(&self, id: &str) {
         self.idle.borrow_mut().remove(id);
     }
 }
 
-/// How long a connection may rest after an answer; none if it must be closed.
-fn rest(headers: &HeaderMap) -> Option<Duration> {
+/// How long a connection may be idle after a response; `None` if it must be closed.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let closes = |value: &http::HeaderValue| {
         value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close"))
     };
     if headers.get_all(header::CONNECTION).iter().any(closes) {
         return None;
     }
-    let told = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-    let seconds = told.and_then(|text| {
+    let keep_alive = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+    let seconds = keep_alive.and_then(|text| {
         let part = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         part.trim().parse().ok()
     });
-    let told = seconds.map_or(IDLE, Duration::from_secs).min(IDLE * 2);
-    told.checked_sub(IDLE_MARGIN).filter(|rest| !rest.is_zero())
+    let timeout = seconds.map_or(IDLE_TIMEOUT, Duration::from_secs).min(IDLE_TIMEOUT * 2);
+    timeout.checked_sub(IDLE_MARGIN).filter(|timeout| !timeout.is_zero())
 }
 
-/// Opens a connection to a backend server, and tells whether it breaks if it goes
-/// silent.
-pub async fn stream(address: SocketAddr) -> io::Result<(TcpStream, io::Result<()>)> {
-    let connecting = waits::within_next(CONNECT, TcpStream::connect(address));
+/// Opens a connection to a backend server, and returns whether its unacknowledged-data
+/// timeout could be set.
+pub async fn open_stream(address: SocketAddr) -> io::Result<(TcpStream, io::Result<()>)> {
+    let connecting = waits::within_next(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.ok_or(io::ErrorKind::TimedOut)??;
     stream.set_nodelay(true)?;
-    let bounded = client::set_unacked_timeout(&stream, SILENCE);
-    Ok((stream, bounded))
+    let timeout_set = client::set_unacked_timeout(&stream, UNACKED_TIMEOUT);
+    Ok((stream, timeout_set))
 }
 
-async fn start(stream: TcpStream) -> io::Result<Connection> {
-    let shaken = handshake(HyperStream::new_plain(stream)).await;
-    let (sender, connection) = shaken.map_err(io::Error::other)?;
+async fn start_connection(stream: TcpStream) -> io::Result<Connection> {
+    let handshake = handshake(HyperStream::new_plain(stream)).await;
+    let (sender, connection) = handshake.map_err(io::Error::other)?;
     let driver = compio::runtime::spawn(async move {
-        // The request's own future tells of an error.
+        // The future of the request returns the error.
         let _ = connection.await;
     });
     let now = clock::now();
-    let until = now + IDLE.as_micros() as u64;
-    Ok(Connection { sender, _driver: driver, until, answered: now })
+    let idle_until = now + IDLE_TIMEOUT.as_micros() as u64;
+    Ok(Connection { sender, _driver: driver, idle_until, last_response: now })
 }
 
-/// A body to send.
-pub fn sendable(bytes: &Bytes) -> LocalBody {
+/// A request body of these bytes.
+pub fn request_body(bytes: &Bytes) -> LocalBody {
     if bytes.is_empty() { body::empty() } else { body::full(bytes.clone()) }
 }
--- a/elmstream_edge/src/callers.rs
+++ b/elmstream_edge/src/callers.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests: finds the route, checks bounds, reads the body.
+//! Handles callers' requests: finds the route, checks limits, reads the body.
 
 use std::{
     cell::{Cell, OnceCell},
@@ -29,98 +29,100 @@
     request_digest::RequestDigests,
 };
 
-/// When to come back to a host that knows no configuration yet, or an old one.
+/// Retry-After of a host that knows no configuration or only a stale one, in milliseconds.
 pub(crate) const UNREADY_RETRY_MS: u64 = 300;
-/// When to come back to the name of a host that has ended: another one serves it now.
+/// Retry-After of a host that is stopping, in milliseconds: another host serves its name by
+/// now.
 const STOPPING_RETRY_MS: u64 = 50;
 
-/// How far a request has come, for the answer that it gets if its host ends.
+/// How far a request has come; decides on the response that it gets if the host stops.
 #[derive(Debug, Default)]
 pub struct RequestProgress {
-    /// Whether a server may have run it.
+    /// Whether a server may have run the request.
     pub may_have_run: Cell<bool>,
-    /// Whether the host has ended it.
+    /// Whether the host has aborted the request because it stops.
     pub ended: Cell<bool>,
 }
 
-/// A caller's request that may be sent on.
+/// A caller's request that may be forwarded.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// Its id; empty if the caller gave none.
+    /// The id that the caller gave; empty if it gave none.
     pub id: String,
-    /// Where it came from.
+    /// Address of the caller.
     pub caller: IpAddr,
-    /// Its route.
+    /// The route that the request matched.
     pub route: Rc<Route>,
-    /// The service it goes to.
+    /// The service that the request goes to.
     pub service: String,
-    /// Hash of its affinity key, or of its id.
+    /// Hash of the affinity key, or of the id.
     pub key: u64,
-    /// Whether it has an affinity key that counts.
+    /// Whether the request has an affinity key and its route uses affinity.
     pub has_key: bool,
-    /// Method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub uri: Uri,
-    /// Headers without those of the connection.
+    /// Headers to forward, without those of the connection.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// When it came.
+    /// When the request was received.
     pub received: Time,
-    /// When it must have its final answer.
+    /// When the caller must have the final response.
     pub deadline: Time,
-    /// Whether its caller has most likely been refused before.
+    /// Whether its caller was most likely refused before.
     pub returning: bool,
-    /// Its workspace; none if its route asks for no key.
+    /// The workspace that it counts against; `None` if its route needs no key.
     pub workspace: Option<AdmittedRequest>,
-    /// How far it has come.
+    /// How far the request has come.
     pub progress: Rc<RequestProgress>,
-    /// Its digests, once they were asked for.
+    /// The digests, once computed.
     pub digests: OnceCell<RequestDigests>,
 }
 
 impl CallerRequest {
-    /// Digests of what makes it the same as another one; made only if they are asked for,
-    /// as they take all of the body.
+    /// Digests of the request's content. Computed on first use only, as they cover the whole
+    /// body.
     pub fn digests(&self, edge: &Edge) -> &RequestDigests {
         self.digests.get_or_init(|| RequestDigests::of(&edge.settings.content.secret, self))
     }
 
-    /// Name of its workspace; empty for none.
+    /// Name of the workspace; empty if there is none.
     pub fn workspace_name(&self) -> &str {
-        self.workspace.as_ref().map_or("", |counted| &counted.entry.workspace.name)
+        self.workspace.as_ref().map_or("", |admitted| &admitted.entry.workspace.name)
     }
 
-    /// Rank of it; 0 is the most urgent. A workspace's goes before its route's.
+    /// Priority; 0 is the most urgent. The workspace's takes precedence over the route's.
     pub fn priority(&self) -> u32 {
-        let own = self.workspace.as_ref().and_then(|counted| counted.entry.workspace.priority);
-        own.unwrap_or(self.route.priority)
+        let workspace_priority =
+            self.workspace.as_ref().and_then(|admitted| admitted.entry.workspace.priority);
+        workspace_priority.unwrap_or(self.route.priority)
     }
 
-    /// Time that is left for it.
-    pub fn left(&self) -> Duration {
+    /// Time until the deadline.
+    pub fn remaining(&self) -> Duration {
         Duration::from_micros(self.deadline.since(clock::now()))
     }
 }
 
-/// Serves a caller's request; `ending` resolves when the host gives its last answers.
+/// Serves a caller's request; `stopping` resolves when the host sends its last responses.
 ///
-/// The end of the process would cut the connection, and the caller would not know
-/// whether its request can be sent again.
+/// Without these the end of the process would close the connection, and the caller would not
+/// know whether it may repeat the request.
 pub async fn serve(
     edge: Rc<Edge>,
-    ending: Stop,
+    stopping: Stop,
     caller: IpAddr,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Aborted> {
-    let came = clock::now();
+    let received = clock::now();
     let id = request.headers().get(&edge.settings.headers.request_id).cloned();
     let progress = Rc::new(RequestProgress::default());
     let answering = {
-        let serving = pin!(answer(&edge, (caller, request), came, progress.clone()));
-        // The end is looked at first, so that nothing is sent to a server after it.
-        match select(ending, serving).await {
+        let serving = pin!(answer(&edge, (caller, request), received, progress.clone()));
+        // `select` polls the stop first, so that nothing is sent to a server after it.
+        match select(stopping, serving).await {
             Either::Right((answer, _)) => Some(answer),
             Either::Left(_) => {
                 progress.ended.set(true);
@@ -128,14 +130,14 @@
             }
         }
     };
-    answering.unwrap_or_else(|| Ok(ended(&edge, id.as_ref(), came, &progress)))
+    answering.unwrap_or_else(|| Ok(aborted_by_stop(&edge, id.as_ref(), received, &progress)))
 }
 
-/// The answer to a request that the host's end breaks off.
-fn ended(
+/// The response to a request that the host's stop aborts.
+fn aborted_by_stop(
     edge: &Edge,
     id: Option<&HeaderValue>,
-    came: Time,
+    received: Time,
     progress: &RequestProgress,
 ) -> Response<LocalBody> {
     let code = match progress.may_have_run.get() {
@@ -144,30 +146,30 @@
     };
     metrics::counter!("elmstream_requests", "outcome" => "ended").increment(1);
     let id = id.and_then(|id| id.to_str().ok());
-    let took = clock::now().since(came) / MILLI;
+    let took = clock::now().since(received) / MILLI;
     let fields = json!({
         "id": id, "code": code.number(), "status": code.http_status(), "took_ms": took,
     });
     edge.event_log.request("ended", fields);
     match progress.may_have_run.get() {
-        true => plain(code, StatusCode::GATEWAY_TIMEOUT),
-        false => refuse(code, STOPPING_RETRY_MS),
+        true => reply(code, StatusCode::GATEWAY_TIMEOUT),
+        false => retry_later(code, STOPPING_RETRY_MS),
     }
 }
 
-/// Finds the route, reads the body and sends the request on.
+/// Finds the route, reads the body and forwards the request.
 async fn answer(
     edge: &Rc<Edge>,
     (caller, request): (IpAddr, Request<Incoming>),
-    came: Time,
+    received: Time,
     progress: Rc<RequestProgress>,
 ) -> Result<Response<LocalBody>, Aborted> {
     let (head, incoming) = request.into_parts();
-    let route = match find(edge, &head) {
+    let route = match find_route(edge, &head) {
         Ok(route) => route,
-        Err(RouteError::Configuration) => return Ok(refuse(Code::NotReady, UNREADY_RETRY_MS)),
-        Err(RouteError::Unsure) => return Ok(refuse(Code::RoutesStale, UNREADY_RETRY_MS)),
-        Err(RouteError::Route) => return Ok(plain(Code::UnknownService, StatusCode::NOT_FOUND)),
+        Err(RouteError::Configuration) => return Ok(retry_later(Code::NotReady, UNREADY_RETRY_MS)),
+        Err(RouteError::Stale) => return Ok(retry_later(Code::RoutesStale, UNREADY_RETRY_MS)),
+        Err(RouteError::Route) => return Ok(reply(Code::UnknownService, StatusCode::NOT_FOUND)),
     };
     let workspace = match access::authorize(edge, &head, &route) {
         Ok(workspace) => workspace,
@@ -177,27 +179,28 @@
     let body = match Limited::new(incoming, limits.body_bytes as usize).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.downcast_ref::<LengthLimitError>().is_some() => {
-            return Ok(plain(Code::BadRequest, StatusCode::PAYLOAD_TOO_LARGE));
+            return Ok(reply(Code::BadRequest, StatusCode::PAYLOAD_TOO_LARGE));
         }
-        // The caller broke off, so nobody reads an answer.
+        // The caller closed the connection, so nobody reads a response.
         Err(_) => return Err(Aborted),
     };
-    let call = call(edge, (caller, head), (route, workspace), body, came, progress);
-    Ok(forward::run(edge, &call).await)
+    let caller_request =
+        caller_request(edge, (caller, head), (route, workspace), body, received, progress);
+    Ok(forward::run(edge, &caller_request).await)
 }
 
 /// Why a request has no route.
 enum RouteError {
     /// No configuration is known yet.
     Configuration,
-    /// No route of the configuration fits.
+    /// No route of the configuration matches.
     Route,
-    /// The same, but a newer configuration may have one.
-    Unsure,
+    /// No route of the configuration matches, but a newer configuration may have one.
+    Stale,
 }
 
-/// The route of a request, or why there is none.
-fn find(edge: &Edge, head: &request::Parts) -> Result<Rc<Route>, RouteError> {
+/// The route of a request, or why there is none; a missing route is logged.
+fn find_route(edge: &Edge, head: &request::Parts) -> Result<Rc<Route>, RouteError> {
     let steer = edge.steer.borrow();
     if steer.version().is_none() {
         return Err(RouteError::Configuration);
@@ -210,7 +213,7 @@
     let now = clock::now();
     let (missing, code) = match steer.can_deny_routes(now) {
         true => (RouteError::Route, Code::UnknownService),
-        false => (RouteError::Unsure, Code::RoutesStale),
+        false => (RouteError::Stale, Code::RoutesStale),
     };
     let id = headers::text(&head.headers, &edge.settings.headers.request_id);
     let fields = json!({
@@ -221,7 +224,7 @@
     Err(missing)
 }
 
-fn call(
+fn caller_request(
     edge: &Edge,
     (caller, head): (IpAddr, request::Parts),
     (route, workspace): (Rc<Route>, Option<AdmittedRequest>),
@@ -230,21 +233,21 @@
     progress: Rc<RequestProgress>,
 ) -> CallerRequest {
     let names = &edge.settings.headers;
-    let mut kept = head.headers;
-    let id = headers::text(&kept, &names.request_id).unwrap_or_default().to_owned();
+    let mut forwarded = head.headers;
+    let id = headers::text(&forwarded, &names.request_id).unwrap_or_default().to_owned();
     let draw = hash::of(&id);
-    let affinity = kept.get(&names.affinity).filter(|_| route.affinity);
+    let affinity = forwarded.get(&names.affinity).filter(|_| route.affinity);
     let has_key = affinity.is_some();
     let key = affinity.map_or(draw, |key| hash::of(key.as_bytes()));
-    let waits = headers::number(&kept, &names.deadline).unwrap_or(route.timeout_ms);
-    headers::strip(&mut kept);
-    set_workspace(edge, &mut kept, workspace.as_ref());
+    let timeout_ms = headers::number(&forwarded, &names.deadline).unwrap_or(route.timeout_ms);
+    headers::strip(&mut forwarded);
+    set_workspace(edge, &mut forwarded, workspace.as_ref());
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let uri = path.parse().unwrap_or(head.uri);
     let service = routes::service(&route, draw).to_owned();
-    let deadline = received + waits.min(route.timeout_ms) * MILLI;
-    let returning = edge.steer.borrow_mut().is_returning(received, &route.name, waits);
-    let (method, headers) = (head.method, kept);
+    let deadline = received + timeout_ms.min(route.timeout_ms) * MILLI;
+    let returning = edge.steer.borrow_mut().is_returning(received, &route.name, timeout_ms);
+    let (method, headers) = (head.method, forwarded);
     CallerRequest {
         id,
         caller,
@@ -265,31 +268,31 @@
     }
 }
 
-/// Takes the key out of what servers get, and sets the workspace's name.
+/// Removes the workspace key from what servers receive, and sets the workspace's name.
 fn set_workspace(edge: &Edge, headers: &mut HeaderMap, workspace: Option<&AdmittedRequest>) {
     let names = &edge.settings.headers;
     headers.remove(&names.workspace);
     if !edge.steer.borrow().workspaces().is_empty() {
         headers.remove(&names.key);
     }
-    let name = workspace.map(|counted| HeaderValue::from_str(&counted.entry.workspace.name));
+    let name = workspace.map(|admitted| HeaderValue::from_str(&admitted.entry.workspace.name));
     if let Some(Ok(name)) = name {
         headers.insert(&names.workspace, name);
     }
 }
 
-/// An answer of the host's own, without a body.
-pub fn plain(code: Code, status: StatusCode) -> Response<LocalBody> {
+/// A response of the host itself, with a result code and an empty body.
+pub fn reply(code: Code, status: StatusCode) -> Response<LocalBody> {
     let mut response = Response::new(body::empty());
     *response.status_mut() = status;
     response.headers_mut().insert(headers::CODE, code.number().into());
     response
 }
 
-/// The request was not run; the caller may come back after a time.
-pub fn refuse(code: Code, retry_ms: u64) -> Response<LocalBody> {
+/// A response to a request that was not run; `retry_ms` becomes its Retry-After in seconds.
+pub fn retry_later(code: Code, retry_ms: u64) -> Response<LocalBody> {
     let status = StatusCode::from_u16(code.http_status());
-    let mut response = plain(code, status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE));
+    let mut response = reply(code, status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE));
     let seconds = format!("{:.2}", retry_ms as f64 / 1_000.0);
     if let Ok(value) = seconds.parse() {
         response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/elmstream_edge/src/concurrency_limit.rs
+++ b/elmstream_edge/src/concurrency_limit.rs
@@ -1,27 +1,27 @@
-//! Bounds how many of something go on at once.
+//! Bounds the number of operations that run at once.
 
 use std::{cell::Cell, rc::Rc};
 
-/// Lets a bounded number through at once.
+/// Hands out a bounded number of permits; clones share them.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     free: Rc<Cell<usize>>,
 }
 
-/// A place that is given back when this is dropped.
+/// Permission to run one operation; dropping it returns it.
 #[derive(Debug)]
 pub struct Permit(Rc<Cell<usize>>);
 
 impl ConcurrencyLimit {
-    /// A gate for so many at once.
-    pub fn new(places: usize) -> ConcurrencyLimit {
-        ConcurrencyLimit { free: Rc::new(Cell::new(places)) }
+    /// A limit of `max` concurrent operations.
+    pub fn new(max: usize) -> ConcurrencyLimit {
+        ConcurrencyLimit { free: Rc::new(Cell::new(max)) }
     }
 
-    /// A place, if one is free.
+    /// A permit, or `None` if all are taken.
     pub fn try_acquire(&self) -> Option<Permit> {
-        let left = self.free.get().checked_sub(1)?;
-        self.free.set(left);
+        let remaining = self.free.get().checked_sub(1)?;
+        self.free.set(remaining);
         Some(Permit(self.free.clone()))
     }
 }
--- a/elmstream_edge/src/connections.rs
+++ b/elmstream_edge/src/connections.rs
@@ -1,4 +1,4 @@
-//! How callers' connections are kept, and what became of them at a stop.
+//! Idle timeouts of callers' connections, and their states at a planned stop.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,13 +12,13 @@
 
 use crate::Edge;
 
-/// Time that a caller's connection may rest at least before it is closed.
-const REST: Duration = Duration::from_secs(20);
-/// A connection rests this much longer than the configuration's limit, so that no
-/// request of a caller who keeps to the limit crosses the close.
-const REST_MARGIN: Duration = Duration::from_secs(5);
+/// Shortest time for which a caller's connection may be idle.
+const IDLE_TIMEOUT_MIN: Duration = Duration::from_secs(20);
+/// A connection is closed this much later than the configured limit, so that no request of a
+/// caller that respects the limit crosses the close.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
-/// Callers' connections as the stop found them.
+/// Counts of callers' connections by their state at the stop.
 #[derive(Debug, Default)]
 pub(crate) struct OpenConnections {
     states: RefCell<BTreeMap<&'static str, u32>>,
@@ -26,37 +26,38 @@
 }
 
 impl OpenConnections {
-    fn add(&self, stopped: server::StoppedConnection) {
+    fn record(&self, stopped: server::StoppedConnection) {
         let state = stopped.state.name();
         metrics::counter!("elmstream_stop_connections", "state" => state).increment(1);
         *self.states.borrow_mut().entry(state).or_default() += 1;
         self.queued.set(self.queued.get() + u32::from(stopped.queued));
     }
 
-    /// Fields of their line.
-    pub(crate) fn told(&self) -> Value {
+    /// Fields of the `stop_connections` event.
+    pub(crate) fn log_fields(&self) -> Value {
         json!({"states": *self.states.borrow(), "queued": self.queued.get()})
     }
 }
 
-/// Time for which a caller's connection may rest, by the configuration's limit.
-pub fn rest(limit: Duration) -> Duration {
-    REST.max(limit.saturating_add(REST_MARGIN))
+/// Time for which a caller's connection may be idle, from the configured limit.
+pub fn idle_timeout(limit: Duration) -> Duration {
+    IDLE_TIMEOUT_MIN.max(limit.saturating_add(IDLE_TIMEOUT_MARGIN))
 }
 
-/// How callers are served.
+/// Server options of the callers' listener.
 pub(crate) fn caller_options(
     edge: &Rc<Edge>,
     notice: &StopNotice,
     open: &Rc<OpenConnections>,
 ) -> server::Options {
     let (edge, open) = (edge.clone(), open.clone());
-    let rest = move || rest(Duration::from_millis(edge.steer.borrow().limits().idle_timeout_ms));
+    let idle_timeout =
+        move || idle_timeout(Duration::from_millis(edge.steer.borrow().limits().idle_timeout_ms));
     server::Options {
         tls: None,
         http2: false,
-        head_timeout: Rc::new(rest),
+        head_timeout: Rc::new(idle_timeout),
         notice: notice.clone(),
-        observe: Rc::new(move |stopped| open.add(stopped)),
+        observe: Rc::new(move |stopped| open.record(stopped)),
     }
 }
--- a/elmstream_edge/src/edge.rs
+++ b/elmstream_edge/src/edge.rs
@@ -1,4 +1,4 @@
-//! One host: its decisions and what they are connected to.
+//! The state of one host: its decisions, connections and event log.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,35 +17,35 @@
 
 use crate::{backend::Pool, event_log::EventLog, rollout, settings::Settings};
 
-/// More servers than these that change at once are written in one line.
-const SERVERS_EACH: usize = 12;
-/// Servers that such a line names at most.
-const SERVERS_NAMED: usize = 64;
+/// If more servers than this change at once, they are logged in one line.
+const SERVERS_LOGGED_SINGLY_MAX: usize = 12;
+/// Most servers or rows that one line lists by name.
+const NAMES_PER_LINE_MAX: usize = 64;
 
-/// One host.
+/// One host. Tasks of the process share it by `Rc`; all run on one thread.
 #[derive(Debug)]
 pub struct Edge {
-    /// Its settings.
+    /// The settings that the host was started with; [`Edge::reload`] does not change them.
     pub settings: Settings,
-    /// Its decisions.
+    /// What the host knows and decides.
     pub steer: RefCell<Steer>,
-    /// Connections to backend servers.
+    /// Idle connections to backend servers.
     pub pool: Pool,
-    /// What it writes.
+    /// The event log on standard output.
     pub event_log: EventLog,
-    /// The list of refused requests is to be read again.
+    /// Set when the list of refused requests must be read from the store again.
     pub(crate) reread_refused: Cell<bool>,
 }
 
 impl Edge {
-    /// A host that has just started.
+    /// A host without any knowledge, which writes its event log to standard output.
     pub fn new(settings: Settings) -> Rc<Edge> {
-        let journal = EventLog::start(&settings.logging);
-        Edge::with_event_log(settings, journal)
+        let event_log = EventLog::start(&settings.logging);
+        Edge::with_event_log(settings, event_log)
     }
 
-    /// The same with a journal of its own.
-    pub fn with_event_log(settings: Settings, journal: EventLog) -> Rc<Edge> {
+    /// Creates a host as [`Edge::new`] does, but with the given event log.
+    pub fn with_event_log(settings: Settings, event_log: EventLog) -> Rc<Edge> {
         let steer = Steer::new(
             settings::Settings {
                 host: settings.host.clone(),
@@ -59,54 +59,58 @@
             settings,
             steer: RefCell::new(steer),
             pool: Pool::default(),
-            event_log: journal,
+            event_log,
             reread_refused: Cell::new(false),
         })
     }
 
-    /// Takes changed settings in; addresses and names stay as they were.
+    /// Applies changed failure domains and bounds; addresses and names stay as they were
+    /// until the host restarts.
     pub fn reload(&self, settings: &Settings) {
-        let kept = settings.host == self.settings.host;
+        let same_host = settings.host == self.settings.host;
         self.steer.borrow_mut().reconfigure(settings.domains.clone(), settings.bounds);
         self.reread_refused.set(true);
-        self.event_log.write("reload", json!({"host": settings.host.name, "same_host": kept}));
+        self.event_log.write("reload", json!({"host": settings.host.name, "same_host": same_host}));
     }
 
-    /// Whether callers can be served.
+    /// Whether the host knows enough to serve callers.
     pub fn serves(&self) -> bool {
         self.steer.borrow().serves()
     }
 
-    /// Entry hosts for callers of a failure domain who want a host name.
+    /// Addresses of entry hosts for callers in the failure domain `domain` of `region` that
+    /// look up `name`.
     pub fn lookup(&self, name: &str, domain: &str, region: &str) -> Vec<SocketAddr> {
         self.steer.borrow().lookup(clock::now(), name, domain, region)
     }
 
-    /// Writes down entries of the store that cannot be read.
-    pub fn unreadable(&self, table: &str, keys: &[String]) {
+    /// Logs the keys of rows of the store that cannot be read, and counts them.
+    pub fn log_unreadable_rows(&self, table: &str, keys: &[String]) {
         if keys.is_empty() {
             return;
         }
         metrics::counter!("elmstream_rows_unreadable").increment(keys.len() as u64);
-        let named: Vec<&String> = keys.iter().take(SERVERS_NAMED).collect();
+        let named: Vec<&String> = keys.iter().take(NAMES_PER_LINE_MAX).collect();
         let fields = json!({"table": table, "count": keys.len(), "keys": named});
         self.event_log.state_change("rows_unreadable", fields);
     }
 
-    /// Writes down that the store has come back from a copy, and what holds on against it.
-    fn store_returned(&self, from: &str, returned: &StoreRestored) {
-        let StoreRestored { table, before, version, changed, retained: held } = returned;
-        let rows: Vec<String> = held.iter().take(SERVERS_NAMED).map(RowKey::to_string).collect();
+    /// Logs that the store was restored from a backup, and which rows are retained against
+    /// it.
+    fn log_store_restored(&self, from: &str, restored: &StoreRestored) {
+        let StoreRestored { table, before, version, changed, retained } = restored;
+        let rows: Vec<String> =
+            retained.iter().take(NAMES_PER_LINE_MAX).map(RowKey::to_string).collect();
         let fields = json!({
             "table": table, "era": version.era, "era_before": before.era,
             "version": version.count, "version_before": before.count,
-            "changed": changed, "held": held.len(), "rows": rows, "from": from,
+            "changed": changed, "held": retained.len(), "rows": rows, "from": from,
         });
         self.event_log.write("store_returned", fields);
     }
 
-    /// Writes down what the host has come to believe, and from whom, and leaves the
-    /// connections to servers that are another start now.
+    /// Logs state changes and their source, and closes the idle connections to servers that
+    /// have restarted.
     pub fn log_changes(&self, from: &str, changes: &[StateChange]) {
         for change in changes {
             if let StateChange::Server(id, ServerState::Restarted | ServerState::Unreadable) =
@@ -116,9 +120,9 @@
             }
         }
         let servers = changes.iter().filter(|change| matches!(change, StateChange::Server(..)));
-        let many = servers.count() > SERVERS_EACH;
+        let many = servers.count() > SERVERS_LOGGED_SINGLY_MAX;
         if many {
-            self.event_log.write("servers", servers_at_once(from, changes));
+            self.event_log.write("servers", server_summary(from, changes));
         }
         for change in changes {
             match change {
@@ -138,7 +142,7 @@
                 StateChange::HostLost(host) => {
                     self.event_log.state_change("host_lost", json!({"host": host}));
                 }
-                StateChange::StoreRestored(returned) => self.store_returned(from, returned),
+                StateChange::StoreRestored(restored) => self.log_store_restored(from, restored),
                 StateChange::Rollout { service, target, stage } => {
                     let stage = stage.map(rollout::stage_text);
                     let fields = json!({
@@ -154,16 +158,16 @@
     }
 }
 
-/// Many servers that changed at once in one line: how many by state, and which of
-/// them may no longer be used.
-fn servers_at_once(from: &str, changes: &[StateChange]) -> Value {
+/// Summary of many changed servers: their number by state, and the names of those that may no
+/// longer be used.
+fn server_summary(from: &str, changes: &[StateChange]) -> Value {
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     let mut lost: Vec<&str> = Vec::new();
     for change in changes {
         let StateChange::Server(id, state) = change else { continue };
         *counts.entry(state.name()).or_default() += 1;
         if !matches!(state, ServerState::Ready | ServerState::Answers | ServerState::Restarted)
-            && lost.len() < SERVERS_NAMED
+            && lost.len() < NAMES_PER_LINE_MAX
         {
             lost.push(id);
         }
--- a/elmstream_edge/src/event_log.rs
+++ b/elmstream_edge/src/event_log.rs
@@ -1,8 +1,8 @@
-//! What the process decided and learned: JSON lines on standard output.
+//! The event log: JSON lines on standard output about what the host decided and learned.
 //!
-//! A thread of its own writes, from a bounded queue; lines beyond the queue or
-//! beyond the allowed rates are dropped and counted, so that a reader that does
-//! not read never holds up a request.
+//! A separate thread writes the lines from a bounded queue. Lines that exceed the queue or
+//! the allowed rates are dropped and counted, so that a reader that stalls never blocks a
+//! request.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,59 +18,59 @@
 
 use crate::settings::Logging;
 
-/// Lines that may wait to be written.
-const QUEUE: usize = 1_024;
-/// Time that the end of the process waits for its last lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(200);
+/// Lines that may wait in the queue.
+const QUEUE_LINES_MAX: usize = 1_024;
+/// Longest wait for the last lines to be written when the process ends.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Writes lines; cheap to call.
+/// Queues lines for the writing thread; never blocks.
 #[derive(Debug)]
 pub struct EventLog {
     lines: RefCell<Option<SyncSender<String>>>,
-    /// Tells that all lines have been written.
-    written: Receiver<()>,
+    /// Receives a message once all lines have been written.
+    flushed: Receiver<()>,
     requests: Rate,
-    beliefs: Rate,
+    state_changes: Rate,
     dropped: Cell<u64>,
     count: Cell<u64>,
     sample: u64,
 }
 
-/// Lines of one kind that may still be written in the present second.
+/// Limits the lines of one kind in each second.
 #[derive(Debug)]
 struct Rate {
     per_s: u32,
-    left: Cell<u32>,
-    since: Cell<Time>,
+    remaining: Cell<u32>,
+    window_start: Cell<Time>,
 }
 
 impl Rate {
     fn new(per_s: u32) -> Rate {
-        Rate { per_s, left: Cell::new(per_s), since: Cell::new(clock::now()) }
+        Rate { per_s, remaining: Cell::new(per_s), window_start: Cell::new(clock::now()) }
     }
 
     fn allows(&self) -> bool {
         let now = clock::now();
-        if now.since(self.since.get()) >= SECOND {
-            self.since.set(now);
-            self.left.set(self.per_s);
+        if now.since(self.window_start.get()) >= SECOND {
+            self.window_start.set(now);
+            self.remaining.set(self.per_s);
         }
-        let left = self.left.get();
-        self.left.set(left.saturating_sub(1));
-        left > 0
+        let remaining = self.remaining.get();
+        self.remaining.set(remaining.saturating_sub(1));
+        remaining > 0
     }
 }
 
 impl EventLog {
-    /// Starts the writing thread.
+    /// Starts the thread that writes to standard output.
     pub fn start(logging: &Logging) -> EventLog {
-        EventLog::to(logging, stdout())
+        EventLog::with_output(logging, stdout())
     }
 
-    /// The same, to another output than standard output.
-    pub fn to(logging: &Logging, output: impl Write + Send + 'static) -> EventLog {
-        let (lines, queue) = sync_channel(QUEUE);
-        let (done, written) = sync_channel(1);
+    /// Starts the thread that writes to `output`.
+    pub fn with_output(logging: &Logging, output: impl Write + Send + 'static) -> EventLog {
+        let (lines, queue) = sync_channel(QUEUE_LINES_MAX);
+        let (done, flushed) = sync_channel(1);
         // Without the thread all lines are dropped and counted.
         let _ = thread::Builder::new().name("journal".into()).spawn(move || {
             write(&queue, output);
@@ -78,40 +78,41 @@
         });
         EventLog {
             lines: RefCell::new(Some(lines)),
-            written,
+            flushed,
             requests: Rate::new(logging.lines_per_s),
-            beliefs: Rate::new(logging.beliefs_per_s),
+            state_changes: Rate::new(logging.beliefs_per_s),
             dropped: Cell::new(0),
             count: Cell::new(0),
             sample: logging.sample,
         }
     }
 
-    /// Whether the next served request is among the written ones.
+    /// Counts a served request; whether it is one of those to log.
     pub fn sampled(&self) -> bool {
         let count = self.count.get() + 1;
         self.count.set(count);
         self.sample > 0 && count.is_multiple_of(self.sample)
     }
 
-    /// Writes a line about a request, if the rate allows it.
+    /// Logs an event of a request unless the rate limit of such lines is reached.
     pub fn request(&self, event: &str, fields: Value) {
-        self.write_at(&self.requests, event, fields);
+        self.write_limited(&self.requests, event, fields);
     }
 
-    /// Writes a line about what the host has come to believe, if the rate allows it.
+    /// Logs a state change of a server or host unless the rate limit of such lines is
+    /// reached.
     pub fn state_change(&self, event: &str, fields: Value) {
-        self.write_at(&self.beliefs, event, fields);
+        self.write_limited(&self.state_changes, event, fields);
     }
 
-    fn write_at(&self, rate: &Rate, event: &str, fields: Value) {
+    fn write_limited(&self, rate: &Rate, event: &str, fields: Value) {
         match rate.allows() {
             true => self.write(event, fields),
             false => self.dropped.set(self.dropped.get() + 1),
         }
     }
 
-    /// Writes a line about the process or what it depends on.
+    /// Logs an event of the process or of what it depends on, without a rate limit.
     pub fn write(&self, event: &str, fields: Value) {
         let mut line = Map::new();
         line.insert("unix_ms".into(), clock::unix_ms().into());
@@ -126,19 +127,20 @@
         let text = Value::Object(line).to_string();
         let lines = self.lines.borrow();
         if lines.as_ref().is_none_or(|lines| lines.try_send(text).is_err()) {
-            // What the line would have told is still to be told.
+            // The next line reports this one as dropped, besides those it would have
+            // reported.
             self.dropped.set(dropped + 1);
         }
     }
 
-    /// Takes no more lines, and waits a little for the last ones to be written.
+    /// Stops accepting lines, and waits at most 200 ms for the queued ones to be written.
     pub fn close(&self) {
         self.lines.borrow_mut().take();
-        let _ = self.written.recv_timeout(LAST_LINES);
+        let _ = self.flushed.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-/// Writes lines as they come, several at once if several wait.
+/// Writes lines as they arrive; lines that wait together are written at once.
 fn write(queue: &Receiver<String>, mut output: impl Write) {
     while let Ok(first) = queue.recv() {
         let mut text = first + "\n";
--- a/elmstream_edge/src/fetch_schedule.rs
+++ b/elmstream_edge/src/fetch_schedule.rs
@@ -1,8 +1,9 @@
-//! Which host is asked for rows, and when.
+//! Decides which host to fetch rows from, and when.
 //!
-//! Pure: beats, ends of fetches and time come in, the next host to ask goes out. The
-//! time to the rows must be bounded whatever a few hosts do: one that is mute costs
-//! [`HEDGE_DELAY`] once, and from then on nothing, as it is asked beside the others only.
+//! Pure: heartbeats, results of fetches and time come in, the next host to ask goes out. The
+//! time until the rows arrive must be bounded whatever a few hosts do: a host that does not
+//! answer costs [`HEDGE_DELAY`] once, and nothing after that, as it is then only asked in
+//! parallel with the others.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,42 +13,43 @@
 use elmstream::time::{MILLI, SECOND, Time};
 use elmstream_steer::{hash, heartbeat::TableStatus, view::Table};
 
-/// Time after which a further host is asked while a fetch goes on, in microseconds: a
-/// connection and an answer between regions 70 ms apart take about as long.
+/// Time after which another host is asked while a fetch is running, in microseconds. A
+/// connection and a response between regions 70 ms apart take about as long.
 pub const HEDGE_DELAY: u64 = 150 * MILLI;
-/// Hosts that are asked for a table at once, of those whose fetches do not fail, and
-/// as many of those whose do. With [`HEDGE_DELAY`] between them three mute ones leave a
-/// place for a fourth after 450 ms.
+/// Concurrent fetches of a table from hosts whose fetches succeed, and again as many from
+/// hosts whose fetches fail. With [`HEDGE_DELAY`] between the fetches, three unresponsive
+/// hosts leave room for a fourth after 450 ms.
 pub const MAX_CONCURRENT_FETCHES: usize = 4;
-/// For so long after a fetch from it failed a host is not asked while others offer
-/// news: a cut or a restart lasts seconds.
+/// After a failed fetch a host is not asked for this long, in microseconds, while others
+/// offer news: a network cut or a restart lasts seconds.
 pub const FAILED_HOST_PAUSE: u64 = 5 * SECOND;
-/// A host that turned a fetch away, or failed, is not asked again sooner than this.
+/// Shortest time before a host whose fetch was refused or failed is asked again, in
+/// microseconds.
 pub const RETRY_PAUSE: u64 = 100 * MILLI;
-/// Up to so much is added to [`RETRY_PAUSE`], other at each host and time, so that those
-/// who were turned away together do not come back together.
+/// Upper bound of the jitter added to [`RETRY_PAUSE`], in microseconds. It differs by host
+/// and time, so that hosts that were refused together do not retry together.
 pub const RETRY_JITTER: u64 = 200 * MILLI;
-/// An offer is good for so long after the beat that showed it; in a large fleet a
-/// host's next beat comes after seconds.
-const OFFER: u64 = 3 * SECOND;
-/// Offers that are remembered for each table, more than a round of beats brings.
-const OFFERS: usize = 64;
-/// A failure is forgotten after this long, as hosts come and go.
-const FORGET: u64 = 60 * SECOND;
-
-/// What a fetch came to.
+/// An offer expires this long after its heartbeat, in microseconds; in a large fleet the next
+/// heartbeat of a host comes only after seconds.
+const OFFER_TIMEOUT: u64 = 3 * SECOND;
+/// Offers stored for each table; more than a round of heartbeats brings.
+const OFFERS_MAX: usize = 64;
+/// A failure is forgotten after this long, in microseconds, as hosts come and go.
+const FAILURE_MEMORY: u64 = 60 * SECOND;
+
+/// Result of a fetch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FetchOutcome {
-    /// Rows came.
+    /// The rows were received.
     Received,
-    /// The host serves too many others; it is sound.
+    /// The host is healthy, but serves too many other fetches.
     Refused,
-    /// No connection, or no whole answer in time.
+    /// No connection, or no complete response in time.
     Failed,
 }
 
 impl FetchOutcome {
-    /// Its name in metrics.
+    /// Label of the outcome in metrics.
     pub fn name(self) -> &'static str {
         match self {
             FetchOutcome::Received => "told",
@@ -57,141 +59,150 @@
     }
 }
 
-/// News that a host's beat showed.
+/// A host's offer of rows, as its heartbeat showed it.
 #[derive(Clone, Copy, Debug)]
 struct Offer {
     /// How far the host knows the table.
-    known: TableStatus,
-    heard: Time,
+    status: TableStatus,
+    received_at: Time,
     not_before: Time,
 }
 
-/// A fetch under way.
+/// A running fetch.
 #[derive(Clone, Copy, Debug)]
 struct ActiveFetch {
-    began: Time,
-    doubted: bool,
+    started_at: Time,
+    suspect: bool,
 }
 
-/// Offers and fetches of one table.
+/// Offers and running fetches of one table.
 #[derive(Debug, Default)]
 struct TableFetches {
     offers: BTreeMap<SocketAddr, Offer>,
-    under_way: BTreeMap<SocketAddr, ActiveFetch>,
+    active: BTreeMap<SocketAddr, ActiveFetch>,
 }
 
-/// Chooses whom to ask for rows.
+/// Schedules fetches of all tables.
 #[derive(Debug, Default)]
 pub struct FetchSchedule {
     seed: u64,
-    desks: [TableFetches; 3],
-    /// When the last fetch from a host failed; none since has come to a good end.
-    failed: HashMap<SocketAddr, Time>,
+    tables: [TableFetches; 3],
+    /// Time of the last failed fetch from each host that has not answered since.
+    failed_at: HashMap<SocketAddr, Time>,
 }
 
 impl FetchSchedule {
-    /// Nothing is offered yet; `seed` differs between hosts.
+    /// A schedule without offers; `seed` varies the retry jitter between hosts.
     pub fn new(seed: u64) -> FetchSchedule {
         FetchSchedule { seed, ..FetchSchedule::default() }
     }
 
-    /// A beat shows how far a host knows a table.
-    pub fn offer(&mut self, now: Time, table: Table, host: SocketAddr, known: &TableStatus) {
-        let offers = &mut self.desks[table as usize].offers;
-        let new = Offer { known: *known, heard: now, not_before: now };
+    /// Records how far a host knows a table, from its heartbeat.
+    pub fn offer(&mut self, now: Time, table: Table, host: SocketAddr, status: &TableStatus) {
+        let offers = &mut self.tables[table as usize].offers;
+        let new = Offer { status: *status, received_at: now, not_before: now };
         let offer = offers.entry(host).or_insert(new);
-        // Beats may come in another order than they were sent.
-        if known.version >= offer.known.version {
-            offer.known = *known;
+        // Heartbeats may arrive out of order.
+        if status.version >= offer.status.version {
+            offer.status = *status;
         }
-        offer.heard = now;
-        if offers.len() > OFFERS {
-            let oldest = offers.iter().min_by_key(|(_, offer)| offer.heard);
+        offer.received_at = now;
+        if offers.len() > OFFERS_MAX {
+            let oldest = offers.iter().min_by_key(|(_, offer)| offer.received_at);
             let oldest = oldest.map(|(host, _)| *host);
             oldest.and_then(|host| offers.remove(&host));
         }
     }
 
-    /// The host to ask for a table now, if any; it counts as being asked.
+    /// Returns the host to fetch a table from now, if any, and records the fetch as running.
     ///
-    /// `wants` says whether what another host knows is news here.
+    /// `needs_rows` says whether the status of another host is ahead of this one's.
     pub fn next(
         &mut self,
         now: Time,
         table: Table,
-        wants: impl Fn(&TableStatus) -> bool,
+        needs_rows: impl Fn(&TableStatus) -> bool,
     ) -> Option<SocketAddr> {
-        self.failed.retain(|_, at| now.since(*at) < FORGET);
-        let desk = &mut self.desks[table as usize];
-        desk.offers.retain(|_, offer| now.since(offer.heard) < OFFER && wants(&offer.known));
-        let host = match desk.trusted(now, &self.failed) {
+        self.failed_at.retain(|_, at| now.since(*at) < FAILURE_MEMORY);
+        let fetches = &mut self.tables[table as usize];
+        fetches.offers.retain(|_, offer| {
+            now.since(offer.received_at) < OFFER_TIMEOUT && needs_rows(&offer.status)
+        });
+        let host = match fetches.pick_trusted(now, &self.failed_at) {
             Some(host) => host,
-            None => desk.doubted(now, &self.failed)?,
+            None => fetches.pick_suspect(now, &self.failed_at)?,
         };
-        let doubted = self.failed.contains_key(&host);
-        desk.under_way.insert(host, ActiveFetch { began: now, doubted });
+        let suspect = self.failed_at.contains_key(&host);
+        fetches.active.insert(host, ActiveFetch { started_at: now, suspect });
         Some(host)
     }
 
-    /// A fetch has ended; when the host may be asked again.
-    pub fn ended(&mut self, now: Time, table: Table, host: SocketAddr, end: FetchOutcome) -> Time {
-        let again = now + RETRY_PAUSE + hash::combine(self.seed, now.0) % RETRY_JITTER;
-        let desk = &mut self.desks[table as usize];
-        desk.under_way.remove(&host);
+    /// Records the result of a fetch; returns the earliest time to ask the host again.
+    pub fn on_fetch_ended(
+        &mut self,
+        now: Time,
+        table: Table,
+        host: SocketAddr,
+        end: FetchOutcome,
+    ) -> Time {
+        let retry_at = now + RETRY_PAUSE + hash::combine(self.seed, now.0) % RETRY_JITTER;
+        let fetches = &mut self.tables[table as usize];
+        fetches.active.remove(&host);
         match end {
-            // A later beat shows whether it knows still more.
+            // A later heartbeat shows whether the host knows more.
             FetchOutcome::Received => {
-                desk.offers.remove(&host);
+                fetches.offers.remove(&host);
             }
             FetchOutcome::Refused | FetchOutcome::Failed => {
-                if let Some(offer) = desk.offers.get_mut(&host) {
-                    offer.not_before = again;
+                if let Some(offer) = fetches.offers.get_mut(&host) {
+                    offer.not_before = retry_at;
                 }
             }
         }
         match end {
-            FetchOutcome::Received | FetchOutcome::Refused => self.failed.remove(&host),
-            FetchOutcome::Failed => self.failed.insert(host, now),
+            FetchOutcome::Received | FetchOutcome::Refused => self.failed_at.remove(&host),
+            FetchOutcome::Failed => self.failed_at.insert(host, now),
         };
-        again
+        retry_at
     }
 }
 
 impl TableFetches {
-    /// Whether one more host of a kind may be asked.
-    fn free(&self, now: Time, doubted: bool) -> bool {
-        let kind = self.under_way.values().filter(|fetch| fetch.doubted == doubted);
-        let began: Vec<Time> = kind.map(|fetch| fetch.began).collect();
-        let last = began.iter().max();
-        began.len() < MAX_CONCURRENT_FETCHES
+    /// Whether another fetch from a trusted or suspect host may start.
+    fn has_capacity(&self, now: Time, suspect: bool) -> bool {
+        let kind = self.active.values().filter(|fetch| fetch.suspect == suspect);
+        let start_times: Vec<Time> = kind.map(|fetch| fetch.started_at).collect();
+        let last = start_times.iter().max();
+        start_times.len() < MAX_CONCURRENT_FETCHES
             && last.is_none_or(|last| now.since(*last) >= HEDGE_DELAY)
     }
 
-    /// Offers of hosts that may be asked.
-    fn open(&self, now: Time) -> impl Iterator<Item = (&SocketAddr, &Offer)> {
-        let open = move |offer: &Offer| now >= offer.not_before;
-        let offers = self.offers.iter().filter(move |(_, offer)| open(offer));
-        offers.filter(|(host, _)| !self.under_way.contains_key(*host))
+    /// Offers of hosts that may be asked now.
+    fn eligible(&self, now: Time) -> impl Iterator<Item = (&SocketAddr, &Offer)> {
+        let eligible = move |offer: &Offer| now >= offer.not_before;
+        let offers = self.offers.iter().filter(move |(_, offer)| eligible(offer));
+        offers.filter(|(host, _)| !self.active.contains_key(*host))
     }
 
-    /// Of the hosts whose fetches do not fail, the one that was heard last.
-    fn trusted(&self, now: Time, failed: &HashMap<SocketAddr, Time>) -> Option<SocketAddr> {
-        if !self.free(now, false) {
+    /// Among hosts without a recent failure, the one whose heartbeat came last.
+    fn pick_trusted(&self, now: Time, failed_at: &HashMap<SocketAddr, Time>) -> Option<SocketAddr> {
+        if !self.has_capacity(now, false) {
             return None;
         }
-        let offers = self.open(now).filter(|(host, _)| !failed.contains_key(*host));
-        offers.max_by_key(|(_, offer)| offer.heard).map(|(host, _)| *host)
+        let offers = self.eligible(now).filter(|(host, _)| !failed_at.contains_key(*host));
+        offers.max_by_key(|(_, offer)| offer.received_at).map(|(host, _)| *host)
     }
 
-    /// Of the others, the one whose failure is the longest ago, so that all get their
-    /// turn after a cut that made the fetches from all hosts fail.
-    fn doubted(&self, now: Time, failed: &HashMap<SocketAddr, Time>) -> Option<SocketAddr> {
-        if !self.free(now, true) {
+    /// Among hosts with a recent failure, the one whose failure is the oldest, so that all
+    /// get a turn after a network cut made the fetches from every host fail.
+    fn pick_suspect(&self, now: Time, failed_at: &HashMap<SocketAddr, Time>) -> Option<SocketAddr> {
+        if !self.has_capacity(now, true) {
             return None;
         }
-        let others = self.offers.keys().any(|host| !failed.contains_key(host));
-        let offers = self.open(now).filter_map(|(host, _)| Some((*host, *failed.get(host)?)));
-        let offers = offers.filter(|(_, at)| !others || now.since(*at) >= FAILED_HOST_PAUSE);
+        let any_trusted = self.offers.keys().any(|host| !failed_at.contains_key(host));
+        let offers =
+            self.eligible(now).filter_map(|(host, _)| Some((*host, *failed_at.get(host)?)));
+        let offers = offers.filter(|(_, at)| !any_trusted || now.since(*at) >= FAILED_HOST_PAUSE);
         offers.min_by_key(|(_, at)| *at).map(|(host, _)| host)
     }
 }
--- a/elmstream_edge/src/forward.rs
+++ b/elmstream_edge/src/forward.rs
@@ -1,4 +1,4 @@
-//! Sends a request to backend servers until one has answered it.
+//! Forwards a request to backend servers until one has answered it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,36 +24,36 @@
     server_hints::Hints,
 };
 
-/// Time that must be left for a request to be sent at all.
-const LEAST: Duration = Duration::from_millis(20);
+/// Time that must remain until the deadline for a request to be sent.
+const REMAINING_MIN: Duration = Duration::from_millis(20);
 
-/// When to come back if servers did not run a request that was sent to them.
-const AGAIN_MS: u64 = 300;
+/// Retry-After for a request that servers received but did not run, in milliseconds.
+const RETRY_AFTER_MS: u64 = 300;
 
-/// Servers that a request was sent to, and what became of it there.
+/// Attempts of a request: the servers that it was sent to and the outcomes.
 #[derive(Debug, Default)]
-struct Tried {
+struct Attempts {
     servers: Vec<ServerIndex>,
-    /// Their ids, what they came to, and after how many microseconds.
-    notes: Vec<(String, Outcome, u64)>,
+    /// Id of the server, outcome, and duration in microseconds, by attempt.
+    outcomes: Vec<(String, Outcome, u64)>,
 }
 
-/// What a try came to.
-enum Try {
-    /// The server answered; the answer goes to the caller.
+/// Result of an attempt.
+enum Attempt {
+    /// The server responded; the response goes to the caller.
     Answer(response::Parts, Bytes),
-    /// The server failed after it had run the request.
+    /// The server ran the request and responded with a server error.
     Failed(response::Parts, Bytes),
-    /// The request did not reach the server, or it did not run it.
+    /// The request did not reach the server, or the server did not run it.
     NotRun,
-    /// It may have run.
+    /// The server may have run the request.
     Unknown,
 }
 
-/// A request that counts as sent, until this is dropped.
+/// A request that counts as in flight; dropping this records its outcome.
 struct InFlight<'a> {
     edge: &'a Rc<Edge>,
-    call: &'a CallerRequest,
+    request: &'a CallerRequest,
     index: ServerIndex,
     outcome: Outcome,
 }
@@ -62,74 +62,83 @@
     fn drop(&mut self) {
         let now = clock::now();
         let mut steer = self.edge.steer.borrow_mut();
-        steer.count_rollout_outcome(now, self.index, &self.call.route.name, self.outcome);
+        steer.count_rollout_outcome(now, self.index, &self.request.route.name, self.outcome);
         steer.record_outcome(now, self.index, self.outcome);
-        if self.outcome == Outcome::CallerGone && !self.call.progress.ended.get() {
+        if self.outcome == Outcome::CallerGone && !self.request.progress.ended.get() {
             metrics::counter!("elmstream_requests", "outcome" => "left").increment(1);
             let server = steer.servers().get(self.index).map(|entry| entry.id.as_str());
-            let took = now.since(self.call.received) / MILLI;
-            let fields = json!({"id": self.call.id, "server": server, "took_ms": took});
+            let took = now.since(self.request.received) / MILLI;
+            let fields = json!({"id": self.request.id, "server": server, "took_ms": took});
             self.edge.event_log.request("left", fields);
         }
     }
 }
 
-/// Sends a request on, and gives its final answer.
-pub async fn run(edge: &Rc<Edge>, call: &CallerRequest) -> Response<LocalBody> {
-    edge.steer.borrow_mut().deposit_retry(clock::now(), &call.service);
-    let mut tried = Tried::default();
-    let mut unknown = false;
-    let mut failed = None;
-    while tried.servers.len() < call.route.attempts.max(1) as usize && call.left() > LEAST {
-        let again = !tried.servers.is_empty();
-        if let Some(known) = poison::known(edge, call) {
-            if !unknown && failed.is_none() {
-                return poison::refuse(edge, call, &known);
+/// Forwards a request and returns the final response for the caller.
+pub async fn run(edge: &Rc<Edge>, request: &CallerRequest) -> Response<LocalBody> {
+    edge.steer.borrow_mut().deposit_retry(clock::now(), &request.service);
+    let mut attempts = Attempts::default();
+    let mut possibly_run = false;
+    let mut failed_response = None;
+    while attempts.servers.len() < request.route.attempts.max(1) as usize
+        && request.remaining() > REMAINING_MIN
+    {
+        let is_retry = !attempts.servers.is_empty();
+        if let Some(refusal) = poison::refusal(edge, request) {
+            if !possibly_run && failed_response.is_none() {
+                return poison::refuse(edge, request, &refusal);
             }
-            // It was sent before that was known, so it may have run.
+            // An earlier attempt was sent before the refusal was known, so the request may
+            // have run.
             break;
         }
-        let (route, service) = (&call.route, &call.service);
-        let (key, returning) = (call.key, call.returning);
-        let homes = call.workspace.as_ref().map(|counted| counted.entry.workspace.homes.as_slice());
+        let (route, service) = (&request.route, &request.service);
+        let (key, returning) = (request.key, request.returning);
+        let homes =
+            request.workspace.as_ref().map(|admitted| admitted.entry.workspace.homes.as_slice());
         let homes = homes.unwrap_or_default();
-        let ask = PickRequest { route, service, key, tried: &tried.servers, returning, homes };
-        let index = match choose(edge, &ask, again) {
+        let pick_request =
+            PickRequest { route, service, key, tried: &attempts.servers, returning, homes };
+        let index = match pick_next(edge, &pick_request, is_retry) {
             Ok(index) => index,
-            Err(refusal) if again => {
-                return give_up(edge, call, &tried, unknown, failed, refusal);
+            Err(refusal) if is_retry => {
+                return give_up(edge, request, &attempts, possibly_run, failed_response, refusal);
             }
-            Err(refusal) => return refused(edge, call, refusal),
+            Err(refusal) => return refuse(edge, request, refusal),
         };
-        match attempt(edge, call, index, &mut tried).await {
-            Try::Answer(parts, body) => return answer(edge, call, &tried, parts, body),
-            Try::Failed(parts, body) if call.route.repeat == Repeatability::Safe => {
-                failed = Some((parts, body));
+        match attempt(edge, request, index, &mut attempts).await {
+            Attempt::Answer(parts, body) => return respond(edge, request, &attempts, parts, body),
+            Attempt::Failed(parts, body) if request.route.repeat == Repeatability::Safe => {
+                failed_response = Some((parts, body));
             }
-            Try::Failed(parts, body) => return answer(edge, call, &tried, parts, body),
-            Try::NotRun => {}
-            Try::Unknown => unknown = true,
+            Attempt::Failed(parts, body) => return respond(edge, request, &attempts, parts, body),
+            Attempt::NotRun => {}
+            Attempt::Unknown => possibly_run = true,
         }
-        if unknown && call.route.repeat == Repeatability::Once {
+        if possibly_run && request.route.repeat == Repeatability::Once {
             break;
         }
     }
-    let refusal = Refusal::new(RefusalReason::Tries, AGAIN_MS);
-    give_up(edge, call, &tried, unknown, failed, refusal)
+    let refusal = Refusal::new(RefusalReason::Tries, RETRY_AFTER_MS);
+    give_up(edge, request, &attempts, possibly_run, failed_response, refusal)
 }
 
-/// The next server; a further one must be within the retry budget.
-fn choose(edge: &Rc<Edge>, ask: &PickRequest<'_>, again: bool) -> Result<ServerIndex, Refusal> {
+/// Picks the next server; a retry must be within the retry budget.
+fn pick_next(
+    edge: &Rc<Edge>,
+    pick_request: &PickRequest<'_>,
+    is_retry: bool,
+) -> Result<ServerIndex, Refusal> {
     let mut steer = edge.steer.borrow_mut();
-    if again && !steer.can_retry(ask.service) {
+    if is_retry && !steer.can_retry(pick_request.service) {
         metrics::counter!("elmstream_retries_denied").increment(1);
-        return Err(Refusal::new(RefusalReason::Budget, AGAIN_MS));
+        return Err(Refusal::new(RefusalReason::Budget, RETRY_AFTER_MS));
     }
-    match steer.pick_server(clock::now(), ask) {
+    match steer.pick_server(clock::now(), pick_request) {
         Pick::Send(index) => {
-            // Only what is sent is spent.
-            if again {
-                steer.withdraw_retry(ask.service);
+            // The budget is charged only for requests that are sent.
+            if is_retry {
+                steer.withdraw_retry(pick_request.service);
             }
             Ok(index)
         }
@@ -137,174 +146,178 @@
     }
 }
 
-/// Sends a request to one server.
+/// Sends a request to one server and records the outcome.
 async fn attempt(
     edge: &Rc<Edge>,
-    call: &CallerRequest,
+    request: &CallerRequest,
     index: ServerIndex,
-    tried: &mut Tried,
-) -> Try {
-    let mut flight = InFlight { edge, call, index, outcome: Outcome::CallerGone };
-    tried.servers.push(index);
+    attempts: &mut Attempts,
+) -> Attempt {
+    let mut in_flight = InFlight { edge, request, index, outcome: Outcome::CallerGone };
+    attempts.servers.push(index);
     let target = {
         let steer = edge.steer.borrow();
         let entry = steer.servers().get(index);
         entry.map(|entry| (entry.id.clone(), entry.server.address, entry.start_hash()))
     };
     let Some((id, address, start)) = target else {
-        flight.outcome = Outcome::NoConnection;
-        return Try::NotRun;
+        in_flight.outcome = Outcome::NoConnection;
+        return Attempt::NotRun;
     };
     let sent = clock::now();
-    let generations = poison::generations(edge, call);
-    let knew = call.has_key && edge.steer.borrow_mut().record_warm_key(sent, index, call.key);
-    let had_run = call.progress.may_have_run.replace(true);
-    if let Some(counted) = &call.workspace {
-        counted.record_sent();
+    let generations = poison::crash_generations(edge, request);
+    let was_warm =
+        request.has_key && edge.steer.borrow_mut().record_warm_key(sent, index, request.key);
+    let had_run = request.progress.may_have_run.replace(true);
+    if let Some(admitted) = &request.workspace {
+        admitted.record_sent();
     }
-    let exchange = edge.pool.exchange(&id, address, || request(edge, call, index, &id));
-    let exchange = waits::within(call.deadline, exchange).await;
+    let exchange = edge.pool.exchange(&id, address, || backend_request(edge, request, index, &id));
+    let exchange = waits::within(request.deadline, exchange).await;
     let micros = clock::now().since(sent);
     let (outcome, result) = match exchange {
-        None => (Outcome::Silent, Try::Unknown),
-        Some(Exchange::NoConnection) => (Outcome::NoConnection, Try::NotRun),
-        Some(Exchange::NoTime) => (Outcome::NotSent, Try::NotRun),
+        None => (Outcome::Silent, Attempt::Unknown),
+        Some(Exchange::NoConnection) => (Outcome::NoConnection, Attempt::NotRun),
+        Some(Exchange::NoTime) => (Outcome::NotSent, Attempt::NotRun),
         Some(Exchange::Broken(head)) => {
-            if let Some(head) = head.filter(|head| echoes(edge, call, head)) {
-                Hints::read(&edge.settings.headers, &head).take(edge, index);
+            if let Some(head) = head.filter(|head| echoes_id(edge, request, head)) {
+                Hints::read(&edge.settings.headers, &head).apply(edge, index);
             }
             let server = SuspectedServer { id: id.clone(), address, start };
-            match poison::ended(edge, call, server, generations).await {
-                true => (Outcome::ServerCrashed, Try::Unknown),
-                false => (Outcome::Unknown, Try::Unknown),
+            match poison::confirm_crash(edge, request, server, generations).await {
+                true => (Outcome::ServerCrashed, Attempt::Unknown),
+                false => (Outcome::Unknown, Attempt::Unknown),
             }
         }
         Some(Exchange::Whole(parts, body)) => {
             let hints = Hints::read(&edge.settings.headers, &parts);
-            let (outcome, result) = judge(edge, call, &id, parts, body);
-            // What is not this server's answer says nothing of it.
+            let (outcome, result) = classify(edge, request, &id, parts, body);
+            // A response of another server says nothing about this one.
             if !matches!(outcome, Some(Outcome::Unknown | Outcome::WrongServer)) {
-                hints.take(edge, index);
+                hints.apply(edge, index);
             }
-            (outcome.unwrap_or(Outcome::Answered { micros, was_warm: knew }), result)
+            (outcome.unwrap_or(Outcome::Answered { micros, was_warm }), result)
         }
     };
-    if matches!(result, Try::NotRun) {
-        call.progress.may_have_run.set(had_run);
-        if let Some(counted) = &call.workspace {
-            counted.refund(had_run);
+    if matches!(result, Attempt::NotRun) {
+        request.progress.may_have_run.set(had_run);
+        if let Some(admitted) = &request.workspace {
+            admitted.refund(had_run);
         }
     }
-    tried.notes.push((id, outcome, micros));
-    flight.outcome = outcome;
+    attempts.outcomes.push((id, outcome, micros));
+    in_flight.outcome = outcome;
     result
 }
 
-/// The request as the server gets it; none if no time is left for it, or the server has
-/// said meanwhile that it wants none.
-fn request(
+/// The request to send to the server; `None` if no time remains, or the server has meanwhile
+/// asked for no more requests.
+fn backend_request(
     edge: &Edge,
-    call: &CallerRequest,
+    request: &CallerRequest,
     index: ServerIndex,
     id: &str,
 ) -> Option<Request<LocalBody>> {
-    if call.left() <= LEAST || !edge.steer.borrow().still_accepts(clock::now(), index) {
+    if request.remaining() <= REMAINING_MIN
+        || !edge.steer.borrow().still_accepts(clock::now(), index)
+    {
         return None;
     }
     let names = &edge.settings.headers;
-    let mut request = Request::new(backend::sendable(&call.body));
-    *request.method_mut() = call.method.clone();
-    *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = call.headers.clone();
-    let left = call.left().as_millis() as u64;
-    request.headers_mut().insert(&names.deadline, HeaderValue::from(left));
-    request.headers_mut().insert(&names.server, HeaderValue::from_str(id).ok()?);
-    Some(request)
+    let mut backend_request = Request::new(backend::request_body(&request.body));
+    *backend_request.method_mut() = request.method.clone();
+    *backend_request.uri_mut() = request.uri.clone();
+    *backend_request.headers_mut() = request.headers.clone();
+    let remaining = request.remaining().as_millis() as u64;
+    backend_request.headers_mut().insert(&names.deadline, HeaderValue::from(remaining));
+    backend_request.headers_mut().insert(&names.server, HeaderValue::from_str(id).ok()?);
+    Some(backend_request)
 }
 
-/// Whether an answer names the request that it is for, and that is this one.
-fn echoes(edge: &Edge, call: &CallerRequest, head: &response::Parts) -> bool {
-    headers::text(&head.headers, &edge.settings.headers.request_id) == Some(call.id.as_str())
+/// Whether a response carries the id of this request.
+fn echoes_id(edge: &Edge, request: &CallerRequest, head: &response::Parts) -> bool {
+    headers::text(&head.headers, &edge.settings.headers.request_id) == Some(request.id.as_str())
 }
 
-/// What a whole answer means; one that is not the request's is none.
+/// Classifies a complete response; one that does not belong to the request is an unknown
+/// result.
 ///
-/// No outcome is told if the request was answered.
-fn judge(
+/// The outcome is `None` if the request was answered.
+fn classify(
     edge: &Edge,
-    call: &CallerRequest,
+    request: &CallerRequest,
     id: &str,
     parts: response::Parts,
     body: Bytes,
-) -> (Option<Outcome>, Try) {
+) -> (Option<Outcome>, Attempt) {
     let names = &edge.settings.headers;
-    let echoed = headers::text(&parts.headers, &names.request_id);
-    if echoed.is_some_and(|echoed| echoed != call.id) {
-        // Even a refusal is believed only if it is this request's.
+    let echoed_id = headers::text(&parts.headers, &names.request_id);
+    if echoed_id.is_some_and(|echoed_id| echoed_id != request.id) {
+        // Even a refusal is accepted only if it belongs to this request.
         edge.pool.discard_connections(id);
-        return (Some(Outcome::Unknown), Try::Unknown);
+        return (Some(Outcome::Unknown), Attempt::Unknown);
     }
     if parts.status == StatusCode::MISDIRECTED_REQUEST {
-        return (Some(Outcome::WrongServer), Try::NotRun);
+        return (Some(Outcome::WrongServer), Attempt::NotRun);
     }
     if parts.headers.contains_key(&names.not_run) {
-        return (Some(Outcome::Full), Try::NotRun);
+        return (Some(Outcome::Full), Attempt::NotRun);
     }
     let encoded = parts.headers.contains_key(header::CONTENT_ENCODING);
     let signed = parts.headers.contains_key(&names.signature);
-    let own = echoed.unwrap_or_default() == call.id;
-    if !own || encoded || (parts.status.is_success() && !signed) {
+    let is_own = echoed_id.unwrap_or_default() == request.id;
+    if !is_own || encoded || (parts.status.is_success() && !signed) {
         edge.pool.discard_connections(id);
-        return (Some(Outcome::Unknown), Try::Unknown);
+        return (Some(Outcome::Unknown), Attempt::Unknown);
     }
-    poison::answered(edge, call);
+    poison::record_response(edge, request);
     if parts.status.is_server_error() {
-        return (Some(Outcome::Failed), Try::Failed(parts, body));
+        return (Some(Outcome::Failed), Attempt::Failed(parts, body));
     }
-    (None, Try::Answer(parts, body))
+    (None, Attempt::Answer(parts, body))
 }
 
-/// The server's answer, for the caller.
-fn answer(
+/// Prepares the server's response for the caller.
+fn respond(
     edge: &Edge,
-    call: &CallerRequest,
-    tried: &Tried,
+    request: &CallerRequest,
+    attempts: &Attempts,
     mut parts: response::Parts,
     bytes: Bytes,
 ) -> Response<LocalBody> {
-    let took = clock::now().since(call.received);
+    let took = clock::now().since(request.received);
     metrics::counter!("elmstream_requests", "outcome" => "answered").increment(1);
     metrics::histogram!("elmstream_request_seconds").record(took as f64 / 1e6);
     if !parts.status.is_success() || edge.event_log.sampled() {
-        log(edge, call, tried, "answered", (Code::Ok, parts.status), took);
+        log_event(edge, request, attempts, "answered", (Code::Ok, parts.status), took);
     }
     headers::strip(&mut parts.headers);
     Response::from_parts(parts, body::full(bytes))
 }
 
-/// The request is refused before it was sent.
-fn refused(edge: &Edge, call: &CallerRequest, refusal: Refusal) -> Response<LocalBody> {
-    let took = clock::now().since(call.received);
+/// Refuses a request that was not sent to any server.
+fn refuse(edge: &Edge, request: &CallerRequest, refusal: Refusal) -> Response<LocalBody> {
+    let took = clock::now().since(request.received);
     metrics::counter!("elmstream_requests", "outcome" => "refused").increment(1);
-    let code = code(refusal.reason, &Tried::default());
+    let code = result_code(refusal.reason, &Attempts::default());
     let fields = json!({
-        "id": call.id, "code": code.number(),
-        "route": call.route.name, "service": call.service, "status": 503,
-        "workspace": call.workspace_name(), "priority": call.priority(),
+        "id": request.id, "code": code.number(),
+        "route": request.route.name, "service": request.service, "status": 503,
+        "workspace": request.workspace_name(), "priority": request.priority(),
         "reason": format!("{:?}", refusal.reason), "retry_ms": refusal.retry_ms,
         "servers": refusal.servers, "free": refusal.free, "load_percent": refusal.load,
         "spared": refusal.spared,
-        "took_ms": took / MILLI, "returning": call.returning,
+        "took_ms": took / MILLI, "returning": request.returning,
         "version": edge.steer.borrow().version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
     });
     edge.event_log.request("refused", fields);
-    callers::refuse(code, refusal.retry_ms)
+    callers::retry_later(code, refusal.retry_ms)
 }
 
-/// The result code of a request that no server ran.
-fn code(reason: RefusalReason, tried: &Tried) -> Code {
-    let last = tried.notes.last().map(|(_, outcome, _)| *outcome);
+/// Result code of a request that no server ran.
+fn result_code(reason: RefusalReason, attempts: &Attempts) -> Code {
+    let last = attempts.outcomes.last().map(|(_, outcome, _)| *outcome);
     match reason {
         RefusalReason::NoServer | RefusalReason::Spared | RefusalReason::Full => Code::NoCapacity,
         RefusalReason::Budget => Code::RetryBudget,
@@ -313,48 +326,48 @@
     }
 }
 
-/// No further server is asked.
+/// Returns the final response when no further server is tried.
 fn give_up(
     edge: &Edge,
-    call: &CallerRequest,
-    tried: &Tried,
-    unknown: bool,
-    failed: Option<(response::Parts, Bytes)>,
+    request: &CallerRequest,
+    attempts: &Attempts,
+    possibly_run: bool,
+    failed_response: Option<(response::Parts, Bytes)>,
     refusal: Refusal,
 ) -> Response<LocalBody> {
-    if let Some((parts, body)) = failed {
-        return answer(edge, call, tried, parts, body);
+    if let Some((parts, body)) = failed_response {
+        return respond(edge, request, attempts, parts, body);
     }
-    let took = clock::now().since(call.received);
-    if !unknown {
+    let took = clock::now().since(request.received);
+    if !possibly_run {
         metrics::counter!("elmstream_requests", "outcome" => "not_run").increment(1);
-        let code = code(refusal.reason, tried);
+        let code = result_code(refusal.reason, attempts);
         let event = format!("not_run_{:?}", refusal.reason).to_lowercase();
-        log(edge, call, tried, &event, (code, StatusCode::SERVICE_UNAVAILABLE), took);
-        return callers::refuse(code, refusal.retry_ms);
+        log_event(edge, request, attempts, &event, (code, StatusCode::SERVICE_UNAVAILABLE), took);
+        return callers::retry_later(code, refusal.retry_ms);
     }
     metrics::counter!("elmstream_requests", "outcome" => "unknown").increment(1);
-    let late = call.left() <= LEAST;
-    let (code, status) = match late {
+    let deadline_passed = request.remaining() <= REMAINING_MIN;
+    let (code, status) = match deadline_passed {
         true => (Code::DeadlinePassed, StatusCode::GATEWAY_TIMEOUT),
         false => (Code::BackendFailed, StatusCode::BAD_GATEWAY),
     };
-    log(edge, call, tried, "unknown", (code, status), took);
-    callers::plain(code, status)
+    log_event(edge, request, attempts, "unknown", (code, status), took);
+    callers::reply(code, status)
 }
 
-fn log(
+fn log_event(
     edge: &Edge,
-    call: &CallerRequest,
-    tried: &Tried,
+    request: &CallerRequest,
+    attempts: &Attempts,
     event: &str,
-    answer: (Code, StatusCode),
+    result: (Code, StatusCode),
     took: u64,
 ) {
-    let (code, status) = answer;
+    let (code, status) = result;
     let steer = edge.steer.borrow();
     let now = clock::now();
-    let tries = tried.notes.iter().map(|(id, outcome, micros)| {
+    let tries = attempts.outcomes.iter().map(|(id, outcome, micros)| {
         let entry = steer.servers().find(id).and_then(|index| steer.servers().get(index));
         let occupied = entry.map(|entry| entry.in_flight(now));
         json!({
@@ -364,10 +377,11 @@
     });
     let tries: Vec<_> = tries.collect();
     let fields = json!({
-        "id": call.id, "code": code.number(), "key": call.key % 10_000,
-        "content": call.digests(edge).any_caller.hex(),
-        "route": call.route.name, "service": call.service, "status": status.as_u16(),
-        "workspace": call.workspace_name(),
+        "id": request.id, "code": code.number(), "key": request.key % 10_000,
+        "content": request.digests(edge).any_caller.hex(),
+        "route": request.route.name, "service": request.service,
+        "status": status.as_u16(),
+        "workspace": request.workspace_name(),
         "tried": tries, "took_ms": took / MILLI, "version": steer.version(),
         "stale_ms": steer.staleness(now) / MILLI,
     });
--- a/elmstream_edge/src/headers.rs
+++ b/elmstream_edge/src/headers.rs
@@ -1,54 +1,54 @@
-//! Names of the headers that callers and backend servers use, and which headers
-//! concern one connection only.
+//! Configurable header names, and the removal of hop-by-hop headers.
 
 use http::{HeaderMap, HeaderName, header};
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// A header's name, as settings have it.
-fn name<'de, D: Deserializer<'de>>(from: D) -> Result<HeaderName, D::Error> {
+/// Parses a header name of the settings.
+fn parse_name<'de, D: Deserializer<'de>>(from: D) -> Result<HeaderName, D::Error> {
     let text = String::deserialize(from)?;
     HeaderName::from_bytes(text.as_bytes()).map_err(D::Error::custom)
 }
 
-/// Names of headers; a site may have its own.
+/// Names of headers; each site may configure its own.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HeaderNames {
-    /// Id of a request; backend servers send it back.
-    #[serde(deserialize_with = "name")]
+    /// Id of a request; backend servers return it in their response.
+    #[serde(deserialize_with = "parse_name")]
     pub request_id: HeaderName,
-    /// What requests of one thing have in common.
-    #[serde(deserialize_with = "name")]
+    /// Affinity key: requests with equal keys go to the same server if possible.
+    #[serde(deserialize_with = "parse_name")]
     pub affinity: HeaderName,
-    /// How long the caller waits, in milliseconds.
-    #[serde(deserialize_with = "name")]
+    /// Timeout of the caller, in milliseconds.
+    #[serde(deserialize_with = "parse_name")]
     pub deadline: HeaderName,
-    /// Id of the backend server that the request is for.
-    #[serde(deserialize_with = "name")]
+    /// Id of the backend server that the request is sent to.
+    #[serde(deserialize_with = "parse_name")]
     pub server: HeaderName,
-    /// Present in an answer of a backend server that did not run the request.
-    #[serde(deserialize_with = "name")]
+    /// Present in a response of a backend server that did not run the request.
+    #[serde(deserialize_with = "parse_name")]
     pub not_run: HeaderName,
-    /// Requests running, waiting, and slots of a backend server.
-    #[serde(deserialize_with = "name")]
+    /// Running requests, waiting requests and slots of a backend server.
+    #[serde(deserialize_with = "parse_name")]
     pub load: HeaderName,
-    /// Requests a second that a backend server in need takes from all hosts together.
-    #[serde(deserialize_with = "name")]
+    /// Requests a second that an overloaded backend server accepts from all hosts together.
+    #[serde(deserialize_with = "parse_name")]
     pub server_limit: HeaderName,
-    /// Present in each answer of a backend server that is about to leave.
-    #[serde(deserialize_with = "name")]
+    /// Present in each response of a backend server that is about to leave.
+    #[serde(deserialize_with = "parse_name")]
     pub server_leaving: HeaderName,
-    /// Present in each success of a backend server.
-    #[serde(deserialize_with = "name")]
+    /// Present in each successful response of a backend server.
+    #[serde(deserialize_with = "parse_name")]
     pub signature: HeaderName,
-    /// In which callers show their workspace's key; backend servers never see it.
-    #[serde(deserialize_with = "name")]
+    /// Header in which callers present their workspace's key; removed before the request is
+    /// forwarded.
+    #[serde(deserialize_with = "parse_name")]
     pub key: HeaderName,
-    /// Word that stands before the key.
+    /// Authentication scheme that precedes the key.
     pub key_scheme: String,
-    /// In which backend servers are told the workspace's name; what callers send in it is
-    /// dropped.
-    #[serde(deserialize_with = "name")]
+    /// Header in which backend servers receive the workspace's name; a value sent by the
+    /// caller is dropped.
+    #[serde(deserialize_with = "parse_name")]
     pub workspace: HeaderName,
 }
 
@@ -71,10 +71,10 @@
     }
 }
 
-/// The numbered result code of an answer that the host made itself.
+/// Header of the numbered result code, in responses that the host itself makes.
 pub const CODE: HeaderName = HeaderName::from_static("elmstream-code");
 
-/// Headers that concern one connection, or are set anew for it.
+/// Headers that apply to one connection only, or are set again for each.
 const CONNECTION: [HeaderName; 9] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -86,30 +86,30 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// The same, but without a constant.
+/// Hop-by-hop too, but `http` has no constant for it.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Takes out headers that concern one connection, those it names too.
+/// Removes hop-by-hop headers, and those that the `Connection` header lists.
 pub fn strip(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
         .collect();
-    for name in named.iter().chain(&CONNECTION) {
+    for name in listed.iter().chain(&CONNECTION) {
         headers.remove(name);
     }
     headers.remove(KEEP_ALIVE);
 }
 
-/// A header's text; none if it is absent or not text.
+/// Value of a header; `None` if it is absent or not text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header's number.
+/// Value of a header as a number; `None` if it is absent or not a number.
 pub fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     text(headers, name)?.trim().parse().ok()
 }
--- a/elmstream_edge/src/host_registry.rs
+++ b/elmstream_edge/src/host_registry.rs
@@ -1,4 +1,4 @@
-//! Looks at the store's list of hosts, and keeps it, when that is this host's turn.
+//! Reads the store's list of hosts and maintains it, when it is this host's turn.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,38 +8,38 @@
 
 use crate::{Edge, SourceError, StoreSource, store_source::HostList};
 
-/// Pause between two looks at whether it is this host's turn.
-const LOOK: Duration = Duration::from_millis(60);
+/// Interval of the check for whether it is this host's turn.
+const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Runs until the process ends.
+/// Maintains the list until the process ends.
 pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     loop {
-        compio::time::sleep(LOOK).await;
+        compio::time::sleep(TURN_CHECK_INTERVAL).await;
         if !edge.steer.borrow().host_list_due(clock::now()) {
             continue;
         }
         metrics::counter!("elmstream_registry_looks").increment(1);
-        if let Err(error) = look(&edge, &*source).await {
+        if let Err(error) = update_list(&edge, &*source).await {
             edge.steer.borrow_mut().record_list_failure(clock::now());
             edge.event_log.write("registry_failed", json!({"error": error.to_string()}));
         }
     }
 }
 
-/// Reads the list, and changes it if that is this host's.
-async fn look<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
+/// Reads the list, and edits it if this host maintains it.
+async fn update_list<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
     let HostList { listed, unreadable } = source.hosts().await?;
-    edge.unreadable("hosts", &unreadable);
+    edge.log_unreadable_rows("hosts", &unreadable);
     let edit = edge.steer.borrow_mut().on_registered_hosts(clock::now(), &listed);
     if edit.is_empty() {
         return Ok(());
     }
     source.edit_hosts(&edit).await?;
-    told(edge, &edit);
+    log_edit(edge, &edit);
     Ok(())
 }
 
-fn told(edge: &Edge, edit: &RegistryEdit) {
+fn log_edit(edge: &Edge, edit: &RegistryEdit) {
     let fields = json!({"listed": edit.put.len(), "removed": edit.remove});
     edge.event_log.write("registry", fields);
 }
--- a/elmstream_edge/src/lib.rs
+++ b/elmstream_edge/src/lib.rs
@@ -1,9 +1,9 @@
-//! An entry host that sends to any backend server.
+//! An entry host that can send a request to any backend server.
 //!
-//! [`Edge`] holds the decisions of `elmstream_steer` and connects them: callers
-//! (`callers`, `access`, `forward`), backend servers (`backend`, `server_hints`), the other
-//! hosts (`peers`, `table_fetch`) and the store (`store_reader`, `rollout`, over a
-//! [`StoreSource`] that an adapter brings).
+//! [`Edge`] holds the decisions of `elmstream_steer` and connects them to callers (`callers`,
+//! `access`, `forward`), backend servers (`backend`, `server_hints`), the other hosts
+//! (`peers`, `table_fetch`) and the store (`store_reader`, `rollout`, through a
+//! [`StoreSource`] that an adapter implements).
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstream_edge/src/lifecycle.rs
+++ b/elmstream_edge/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start of a host, up to its end.
+//! Starts the tasks of a host and runs it until it has stopped.
 
 use std::{io, net::SocketAddr, rc::Rc};
 
@@ -19,27 +19,35 @@
 /// Why a host cannot start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// A listening address cannot be bound.
     #[snafu(display("E3003 {key} {address}: {source}"))]
     Listen {
-        /// Which setting.
+        /// The setting that names the address.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the system.
         source: io::Error,
     },
 }
 
-/// Opens a listener of an adapter or of the host.
+/// Binds a listener of the adapter or of the host; `key` names the setting in the error.
+///
+/// # Errors
+///
+/// The address cannot be bound.
 pub async fn listen(key: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address).await.context(ListenSnafu { key, address })
 }
 
-/// Starts everything that serves; returns when the host has stopped.
+/// Starts all tasks that serve; returns when the host has stopped.
+///
+/// `terminated` resolves when the host is to stop. `stopper` also stops the caller's own
+/// listeners, which wait for `stop`.
+///
+/// # Errors
 ///
-/// `terminated` resolves when the host is to stop. `stopper` ends the listeners of
-/// the caller of this function as well, which wait for `stop`.
+/// A listening address cannot be bound.
 pub async fn run<S: StoreSource>(
     edge: Rc<Edge>,
     source: S,
@@ -53,7 +61,7 @@
     let peers_listener = listen("host.peers", host.peers).await?;
     let callers_listener = listen("host.callers", host.callers).await?;
     edge.event_log.write("start", json!({"host": host.name, "domain": host.domain}));
-    meet(&edge);
+    add_seeds(&edge);
     let source = Rc::new(source);
     spawn(peers::receive(edge.clone(), socket.clone()));
     spawn(peers::send(edge.clone(), socket.clone()));
@@ -66,15 +74,15 @@
     }
     let (_until_the_end, never) = Stopper::new();
     let served = edge.clone();
-    let gate = ConcurrencyLimit::new(peers::MAX_CONCURRENT_ROWS);
-    let peer = move |_, request| peers::serve(served.clone(), gate.clone(), request);
+    let row_limit = ConcurrencyLimit::new(peers::MAX_CONCURRENT_ROWS);
+    let peer = move |_, request| peers::serve(served.clone(), row_limit.clone(), request);
     spawn(async move {
         let _ = server::serve(peers_listener, None, never, peer).await;
     });
     let served = edge.clone();
-    let (ends, ending) = Stopper::new();
+    let (abort_requests, aborting) = Stopper::new();
     let caller = move |from: SocketAddr, request| {
-        callers::serve(served.clone(), ending.clone(), from.ip(), request)
+        callers::serve(served.clone(), aborting.clone(), from.ip(), request)
     };
     let notice = StopNotice::default();
     let open = Rc::new(OpenConnections::default());
@@ -92,19 +100,22 @@
     }
 
     terminated.await;
-    // All that follows is held against this moment: what is late adds nothing.
-    let asked = clock::now();
+    // The deadlines of the stop count from this moment, so that delays do not add up.
+    let stop_requested_at = clock::now();
     notice.announce();
-    shutdown::tell(&edge, &socket).await;
-    shutdown::end(&edge, asked, stopper, ends, async { drop(serving.await) }).await;
-    edge.event_log.write("stop_connections", open.told());
+    shutdown::announce(&edge, &socket).await;
+    shutdown::drain(&edge, stop_requested_at, stopper, abort_requests, async {
+        drop(serving.await)
+    })
+    .await;
+    edge.event_log.write("stop_connections", open.log_fields());
     edge.event_log.write("stopped", json!({"host": host.name}));
     edge.event_log.close();
     Ok(())
 }
 
-/// Begins with the seeds, of which this host may be one.
-fn meet(edge: &Edge) {
+/// Adds the seeds as peers; this host may be one of them.
+fn add_seeds(edge: &Edge) {
     let mut steer = edge.steer.borrow_mut();
     steer.request_host_list();
     for seed in &edge.settings.seeds {
--- a/elmstream_edge/src/peers.rs
+++ b/elmstream_edge/src/peers.rs
@@ -1,7 +1,7 @@
-//! What hosts tell each other: beats by datagram, rows of the view by HTTP.
+//! Communication between hosts: heartbeats by datagram, table rows by HTTP.
 //!
-//! Beats are small and many, and a lost one does not matter, so they go by UDP.
-//! A beat that shows news makes its receiver fetch the rows that it lacks.
+//! Heartbeats are small and frequent, and a lost one does not matter, so they are sent by
+//! UDP. A heartbeat that shows newer rows makes its receiver fetch them.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -28,45 +28,49 @@
     table_fetch::TableFetcher,
 };
 
-/// Path of the view's rows.
+/// HTTP path from which other hosts fetch table rows.
 pub(crate) const ROWS_PATH: &str = "/v1/rows";
-/// Largest datagram.
-const DATAGRAM: usize = 16 << 10;
-/// Time between two looks at whether a beat is due.
+/// Largest datagram, in bytes.
+const DATAGRAM_BYTES_MAX: usize = 16 << 10;
+/// Interval of the check for whether a heartbeat is due.
 pub const HEARTBEAT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Least time between two beats if there is news that must not wait.
+/// Shortest time between two heartbeats if there is urgent news.
 pub const URGENT_INTERVAL: Duration = Duration::from_millis(100);
-/// Addresses of hosts that go with rows.
-const HOSTS_TOLD: usize = 48;
+/// Most addresses of hosts that are sent along with rows.
+const HOSTS_PER_REPLY_MAX: usize = 48;
 /// Requests for rows that are served at once.
 pub const MAX_CONCURRENT_ROWS: usize = 4;
-/// Time that a served request keeps its place for each byte, as what was handed to
-/// the connection is not yet on its way: together they use 8 Mbit/s at most.
-const MICROS_A_BYTE: u64 = 4;
-/// Seeds are tried again after this many ticks, as all may have been away at first.
-const SEEDS_EVERY: u64 = 100;
-/// Time between two ticks of the decisions.
-const TICK: Duration = Duration::from_millis(100);
+/// Time for which a served request keeps its permit for each byte of the response, in
+/// microseconds, as data handed to the connection is not yet transmitted. All permits
+/// together use at most 8 Mbit/s.
+const PERMIT_US_PER_BYTE: u64 = 4;
+/// The seeds are contacted again after this many ticks, as none may have been reachable at
+/// first.
+const SEED_RETRY_TICKS: u64 = 100;
+/// Interval of the ticks that advance the decisions.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a host knows beyond a version, and which hosts it knows.
+/// Response to a request for rows: what a host knows beyond a version, and which hosts it
+/// knows.
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct PeerRows {
-    /// The table that was asked for.
+    /// Rows of the requested table.
     pub table: TableRows,
     /// Addresses of hosts.
     pub hosts: Vec<SocketAddr>,
-    /// Whether these are all that the sender knows, and it knows where the others are.
+    /// Whether `hosts` holds all hosts that the sender knows, and the sender has the whole
+    /// host list.
     pub all_hosts: bool,
-    /// Ends of servers under requests that are refused; told to hosts that start.
-    pub endings: Vec<ServerCrash>,
+    /// Crashes of servers under refused requests; sent only to hosts that start.
+    pub crashes: Vec<ServerCrash>,
 }
 
-/// Sends beats until the process ends.
+/// Sends heartbeats until the process ends.
 pub async fn send(edge: Rc<Edge>, socket: Rc<UdpSocket>) {
     let mut round = 0u64;
     loop {
         round += 1;
-        let hosts = beat(&edge, &socket, round).await;
+        let hosts = send_heartbeat(&edge, &socket, round).await;
         let pause = Duration::from_micros(members::heartbeat_interval(hosts));
         let mut waited = Duration::ZERO;
         while waited < pause && (waited < URGENT_INTERVAL || !edge.steer.borrow().urgent()) {
@@ -77,10 +81,11 @@
     }
 }
 
-/// Sends one beat to all whose turn it is; the number of hosts.
-pub async fn beat(edge: &Edge, socket: &UdpSocket, round: u64) -> usize {
+/// Sends one heartbeat to the hosts that are due in this round; returns the number of hosts
+/// that receive heartbeats.
+pub async fn send_heartbeat(edge: &Edge, socket: &UdpSocket, round: u64) -> usize {
     let now = clock::now();
-    let (mut beat, targets, hosts) = {
+    let (mut heartbeat, targets, hosts) = {
         let mut steer = edge.steer.borrow_mut();
         (
             Box::new(steer.next_heartbeat(now)),
@@ -88,26 +93,26 @@
             steer.members().target_count(),
         )
     };
-    tell(socket, &Message::Heartbeat(beat.clone()), &targets.near).await;
-    beat.warm_keys.clear();
-    beat.liveness.clear();
-    tell(socket, &Message::Heartbeat(beat), &targets.far).await;
+    send_to(socket, &Message::Heartbeat(heartbeat.clone()), &targets.near).await;
+    heartbeat.warm_keys.clear();
+    heartbeat.liveness.clear();
+    send_to(socket, &Message::Heartbeat(heartbeat), &targets.far).await;
     hosts
 }
 
-/// Reports what workspaces asked of this host, and what it counted of roll-outs.
-async fn report(edge: &Edge, socket: &UdpSocket) {
+/// Sends the usage and roll-out reports that are due.
+async fn send_due_messages(edge: &Edge, socket: &UdpSocket) {
     let due = edge.steer.borrow_mut().due_messages(clock::now());
     send_each(socket, due).await;
 }
 
 async fn send_each(socket: &UdpSocket, messages: Vec<(SocketAddr, Message)>) {
     for (host, message) in messages {
-        tell(socket, &message, &[host]).await;
+        send_to(socket, &message, &[host]).await;
     }
 }
 
-async fn tell(socket: &UdpSocket, message: &Message, hosts: &[SocketAddr]) {
+async fn send_to(socket: &UdpSocket, message: &Message, hosts: &[SocketAddr]) {
     let Ok(datagram) = postcard::to_allocvec(message) else { return };
     let datagram = bytes::Bytes::from(datagram);
     for host in hosts {
@@ -115,58 +120,58 @@
     }
 }
 
-/// Takes beats in until the process ends.
+/// Receives messages of other hosts until the process ends.
 pub async fn receive(edge: Rc<Edge>, socket: Rc<UdpSocket>) {
-    let asking = TableFetcher::new(edge.clone());
-    ask_seeds(&edge, &asking);
-    let mut buffer = Vec::with_capacity(DATAGRAM);
+    let fetcher = TableFetcher::new(edge.clone());
+    fetch_from_seeds(&edge, &fetcher);
+    let mut buffer = Vec::with_capacity(DATAGRAM_BYTES_MAX);
     loop {
         buffer.clear();
         let BufResult(result, back) = socket.recv_from(buffer).await;
         buffer = back;
         let Ok((length, from)) = result else { continue };
         match postcard::from_bytes::<Message>(&buffer[..length.min(buffer.len())]) {
-            Ok(Message::Heartbeat(beat)) => hear(&edge, &asking, &beat),
+            Ok(Message::Heartbeat(heartbeat)) => on_heartbeat(&edge, &fetcher, &heartbeat),
             Ok(Message::UsageReport(report)) => {
-                let (verdict, due) = {
+                let (usage_reply, due) = {
                     let (mut steer, now) = (edge.steer.borrow_mut(), clock::now());
-                    let verdict = steer.on_usage_report(now, &report);
-                    (verdict, steer.due_broadcasts(now))
+                    let usage_reply = steer.on_usage_report(now, &report);
+                    (usage_reply, steer.due_broadcasts(now))
                 };
-                tell(&socket, &Message::UsageReply(verdict), &[from]).await;
+                send_to(&socket, &Message::UsageReply(usage_reply), &[from]).await;
                 send_each(&socket, due).await;
             }
-            Ok(Message::FractionBroadcast(spread)) => {
-                let due = edge.steer.borrow_mut().on_broadcast(clock::now(), &spread);
+            Ok(Message::FractionBroadcast(broadcast)) => {
+                let due = edge.steer.borrow_mut().on_broadcast(clock::now(), &broadcast);
                 send_each(&socket, due).await;
             }
             Ok(Message::RolloutReport(report)) => {
                 edge.steer.borrow_mut().on_rollout_report(clock::now(), *report);
             }
-            Ok(Message::UsageReply(verdict)) => {
-                edge.steer.borrow_mut().on_usage_reply(clock::now(), &verdict);
+            Ok(Message::UsageReply(usage_reply)) => {
+                edge.steer.borrow_mut().on_usage_reply(clock::now(), &usage_reply);
             }
             Err(_) => metrics::counter!("elmstream_datagrams_unreadable").increment(1),
         }
     }
 }
 
-fn hear(edge: &Edge, asking: &TableFetcher, beat: &Heartbeat) {
-    let news = edge.steer.borrow_mut().on_heartbeat(clock::now(), beat);
+fn on_heartbeat(edge: &Edge, fetcher: &TableFetcher, heartbeat: &Heartbeat) {
+    let news = edge.steer.borrow_mut().on_heartbeat(clock::now(), heartbeat);
     let Some(news) = news else { return };
     if news.joined {
-        edge.event_log.state_change("host_heard", json!({"host": beat.host.name}));
+        edge.event_log.state_change("host_heard", json!({"host": heartbeat.host.name}));
     }
-    poison::note(edge, &beat.host.name, &news.refused);
+    poison::log_refused(edge, &heartbeat.host.name, &news.refused);
     for server in &news.leaving {
-        let fields = json!({"server": server, "from": beat.host.name});
+        let fields = json!({"server": server, "from": heartbeat.host.name});
         edge.event_log.state_change("server_leaving", fields);
     }
     for (server, limit) in &news.limits {
-        server_hints::note_limit(edge, &beat.host.name, server, *limit);
+        server_hints::log_limit(edge, &heartbeat.host.name, server, *limit);
     }
     for (table, _) in news.outdated_tables {
-        asking.offer(table, beat.host.peers, &beat.tables[table as usize]);
+        fetcher.offer(table, heartbeat.host.peers, &heartbeat.tables[table as usize]);
     }
 }
 
@@ -176,23 +181,23 @@
     response
 }
 
-/// Asks the seeds for all that they know, as a host does that has just started.
-fn ask_seeds(edge: &Edge, asking: &TableFetcher) {
+/// Fetches the required tables from the seeds, as a starting host knows nothing.
+fn fetch_from_seeds(edge: &Edge, fetcher: &TableFetcher) {
     for table in REQUIRED_TABLES {
         for seed in edge.settings.seeds.iter().filter(|seed| **seed != edge.settings.host.peers) {
-            asking.offer(table, *seed, &TableStatus::default());
+            fetcher.offer(table, *seed, &TableStatus::default());
         }
     }
 }
 
 /// Serves another host's request for rows.
 ///
-/// Only a few are served at once, as all hosts ask the one that has news first, and
-/// large news over a thin link would reach each of them late. Those that are turned
-/// away ask one that has been served meanwhile.
+/// Only a few are served at once: all hosts ask the first one that has news, and a large
+/// response over a slow link would reach each of them late. Hosts that are refused fetch from
+/// one that was served meanwhile.
 pub async fn serve(
     edge: Rc<Edge>,
-    gate: ConcurrencyLimit,
+    row_limit: ConcurrencyLimit,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Aborted> {
     let query = request.uri().query().unwrap_or_default();
@@ -210,59 +215,60 @@
     let (ROWS_PATH, Some(table), Some(after)) = (request.uri().path(), table, after) else {
         return Ok(empty(StatusCode::NOT_FOUND));
     };
-    // A host that knows nothing says so at once, as those that ask it have just started.
-    let knows = edge.steer.borrow().table_statuses()[table as usize].last_read.is_some();
-    let pass = gate.try_acquire();
-    if knows && pass.is_none() {
+    // A host without rows replies at once, as the hosts that ask it have just started.
+    let has_rows = edge.steer.borrow().table_statuses()[table as usize].last_read.is_some();
+    let permit = row_limit.try_acquire();
+    if has_rows && permit.is_none() {
         return Ok(empty(StatusCode::SERVICE_UNAVAILABLE));
     }
     let rows = {
         let steer = edge.steer.borrow();
-        let starts = after == StoreVersion::default();
-        let all_hosts = starts && steer.has_host_list();
-        let mut hosts = hosts_told(&steer, all_hosts);
+        let is_starting = after == StoreVersion::default();
+        let all_hosts = is_starting && steer.has_host_list();
+        let mut hosts = addresses_to_send(&steer, all_hosts);
         hosts.push(edge.settings.host.peers);
-        let endings = if starts { steer.poison().refused_crashes() } else { Vec::new() };
+        let crashes = if is_starting { steer.poison().refused_crashes() } else { Vec::new() };
         let table =
             steer.rows_for(clock::now(), table, SyncRequest { after, complete_to: complete });
-        PeerRows { table, hosts, all_hosts, endings }
+        PeerRows { table, hosts, all_hosts, crashes }
     };
     let bytes = postcard::to_allocvec(&rows).unwrap_or_default();
-    let pace = Duration::from_micros(bytes.len() as u64 * MICROS_A_BYTE);
+    let permit_time = Duration::from_micros(bytes.len() as u64 * PERMIT_US_PER_BYTE);
     compio::runtime::spawn(async move {
-        compio::time::sleep(pace).await;
-        drop(pass);
+        compio::time::sleep(permit_time).await;
+        drop(permit);
     })
     .detach();
     Ok(Response::new(body::full(bytes)))
 }
 
-/// Addresses of other hosts that go with rows: all for a host that has just started.
-fn hosts_told(steer: &Steer, all: bool) -> Vec<SocketAddr> {
+/// Addresses of other hosts to send along with rows: all for a host that has just started,
+/// else a sample.
+fn addresses_to_send(steer: &Steer, all: bool) -> Vec<SocketAddr> {
     let now = clock::now();
     if all {
         return steer.members().contact_addresses(now);
     }
-    // Another number each time, so that all hosts are told in the end.
-    steer.members().sample((now.0 / MILLI) as usize, HOSTS_TOLD)
+    // The offset changes each time, so that all addresses are sent eventually.
+    steer.members().sample((now.0 / MILLI) as usize, HOSTS_PER_REPLY_MAX)
 }
 
-/// Lets time pass for the decisions until the process ends.
+/// Advances the decisions until the process ends.
 pub async fn tick(edge: Rc<Edge>, socket: Rc<UdpSocket>) {
     let mut suspension = clock::Suspension::default();
     for count in 0u64.. {
-        compio::time::sleep(TICK).await;
-        if let Some(away) = suspension.look() {
+        compio::time::sleep(TICK_INTERVAL).await;
+        if let Some(suspended_us) = suspension.look() {
             metrics::counter!("elmstream_suspensions").increment(1);
-            edge.event_log.write("suspended", json!({"for_ms": away / MILLI}));
+            edge.event_log.write("suspended", json!({"for_ms": suspended_us / MILLI}));
         }
-        report(&edge, &socket).await;
-        if count.is_multiple_of(SEEDS_EVERY) {
+        send_due_messages(&edge, &socket).await;
+        if count.is_multiple_of(SEED_RETRY_TICKS) {
             for seed in &edge.settings.seeds {
                 edge.steer.borrow_mut().add_peer_address(clock::now(), *seed);
             }
         }
-        if let Some(error) = edge.pool.unbounded() {
+        if let Some(error) = edge.pool.take_timeout_error() {
             edge.event_log.write("silence_unbounded", json!({"error": error.to_string()}));
         }
         let changes = edge.steer.borrow_mut().tick(clock::now());
--- a/elmstream_edge/src/poison.rs
+++ b/elmstream_edge/src/poison.rs
@@ -1,5 +1,4 @@
-//! Keeps requests under which servers end from further servers, and their list in the
-//! store.
+//! Refuses requests under which servers crash, and maintains their list in the store.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -24,182 +23,202 @@
     store_source::RefusedList,
 };
 
-/// Time between two looks at whether the list is to be read or changed.
-const LOOK: Duration = Duration::from_millis(100);
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_secs(1);
-/// For how long after the store's return a host that comes to keep the lists looks at this
-/// one: the first keeper may end before it has.
-const RETURN_KEPT: u64 = 60 * SECOND;
+/// Interval of the check for whether the list is to be read or changed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause after a failed call to the store.
+const FAILURE_PAUSE: Duration = Duration::from_secs(1);
+/// For this long after a restore of the store, in microseconds, a host that starts to
+/// maintain the lists checks this one: the previous maintainer may have stopped before it
+/// did.
+const RELIST_WINDOW: u64 = 60 * SECOND;
 
-/// By which digest a request is refused, and why; none if it is not.
-pub(crate) fn known(edge: &Edge, call: &CallerRequest) -> Option<(RequestDigest, PoisonEvidence)> {
+/// The digest by which a request is refused, and the evidence; `None` if it is not refused.
+pub(crate) fn refusal(
+    edge: &Edge,
+    request: &CallerRequest,
+) -> Option<(RequestDigest, PoisonEvidence)> {
     let steer = edge.steer.borrow();
     if steer.poison().is_empty() {
         return None;
     }
-    let digests = call.digests(edge).both().into_iter();
+    let digests = request.digests(edge).both().into_iter();
     digests.filter_map(|digest| Some((digest, steer.poison().refusal(&digest)?))).next()
 }
 
-/// Generations of endings that are known of a request, by its digests.
-pub(crate) fn generations(edge: &Edge, call: &CallerRequest) -> [u8; 2] {
+/// Generations of crashes that are known for each digest of a request.
+pub(crate) fn crash_generations(edge: &Edge, request: &CallerRequest) -> [u8; 2] {
     let steer = edge.steer.borrow();
     match steer.poison().is_empty() {
         true => [0; 2],
-        false => call.digests(edge).both().map(|digest| steer.poison().generation(&digest)),
+        false => request.digests(edge).both().map(|digest| steer.poison().generation(&digest)),
     }
 }
 
 /// Refuses a request.
 ///
-/// It has not run and will not, and its caller is not asked back. The status is none that
-/// blames the caller, as a request that was beside a harmful one three times is refused
-/// as well.
+/// It has not run and will not run, so its caller is not asked to retry. The status does not
+/// blame the caller, because a request that was in flight beside a poison request three times
+/// is refused as well.
 pub(crate) fn refuse(
     edge: &Edge,
-    call: &CallerRequest,
-    (digest, harm): &(RequestDigest, PoisonEvidence),
+    request: &CallerRequest,
+    (digest, evidence): &(RequestDigest, PoisonEvidence),
 ) -> Response<LocalBody> {
     metrics::counter!("elmstream_requests", "outcome" => "harmful").increment(1);
     let code = Code::Harmful;
     let fields = json!({
-        "id": call.id, "code": code.number(), "status": code.http_status(),
-        "content": digest.hex(), "route": call.route.name, "service": call.service,
-        "workspace": call.workspace_name(), "took_ms": clock::now().since(call.received) / MILLI,
-        "servers_ended": harm.servers, "generations": harm.generations, "own": harm.own,
-        "last_s_ago": unix_s().saturating_sub(harm.last_s),
+        "id": request.id, "code": code.number(), "status": code.http_status(),
+        "content": digest.hex(), "route": request.route.name,
+        "service": request.service,
+        "workspace": request.workspace_name(),
+        "took_ms": clock::now().since(request.received) / MILLI,
+        "servers_ended": evidence.servers, "generations": evidence.generations, "own": evidence.own,
+        "last_s_ago": unix_s().saturating_sub(evidence.last_s),
         "version": edge.steer.borrow().version(),
         "stale_ms": edge.steer.borrow().staleness(clock::now()) / MILLI,
     });
     edge.event_log.request("harmful", fields);
-    callers::plain(code, StatusCode::SERVICE_UNAVAILABLE)
+    callers::reply(code, StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// A request got a whole answer.
-pub(crate) fn answered(edge: &Edge, call: &CallerRequest) {
+/// Records that a request got a complete response.
+pub(crate) fn record_response(edge: &Edge, request: &CallerRequest) {
     let mut steer = edge.steer.borrow_mut();
     if !steer.poison().is_empty() {
-        for digest in call.digests(edge).both() {
+        for digest in request.digests(edge).both() {
             steer.poison_mut().record_answer(clock::now(), &digest);
         }
     }
 }
 
-/// A server whose connection broke under a request.
+/// A server whose connection broke during a request.
 #[derive(Clone, Debug)]
 pub(crate) struct SuspectedServer {
-    /// Its id.
+    /// Id of the server.
     pub id: String,
-    /// Where it took requests.
+    /// Address on which it serves requests.
     pub address: SocketAddr,
-    /// What tells its start from others.
+    /// Hash that tells this start of the server from others.
     pub start: u64,
 }
 
-/// Whether a server ended under a request, which was sent when so many `generations` of
-/// endings were known.
+/// Whether a server crashed under a request; `crash_generations` are those that were known
+/// when the request was sent.
 ///
-/// What is found out counts also if the caller leaves meanwhile.
-pub(crate) async fn ended(
+/// A crash is recorded even if the caller leaves meanwhile.
+pub(crate) async fn confirm_crash(
     edge: &Rc<Edge>,
-    call: &CallerRequest,
+    request: &CallerRequest,
     server: SuspectedServer,
-    generations: [u8; 2],
+    crash_generations: [u8; 2],
 ) -> bool {
-    let (found, finding) = oneshot::channel();
-    let (edge, contents) = (edge.clone(), *call.digests(edge));
+    let (result_sender, result_receiver) = oneshot::channel();
+    let (edge, digests) = (edge.clone(), *request.digests(edge));
     compio::runtime::spawn(async move {
-        let known = edge.steer.borrow().poison().knows_crash(server.start);
-        let ended = known || edge.pool.refuses(server.address).await;
-        if ended {
-            count(&edge, &server, &contents, generations);
+        let is_known = edge.steer.borrow().poison().knows_crash(server.start);
+        let crashed = is_known || edge.pool.refuses_connections(server.address).await;
+        if crashed {
+            record_crash(&edge, &server, &digests, crash_generations);
         }
-        // Nobody waits any more if the caller has left.
-        let _ = found.send(ended);
+        // The receiver is gone if the caller has left.
+        let _ = result_sender.send(crashed);
     })
     .detach();
-    // The sender is dropped only with the runtime.
-    finding.await.unwrap_or(false)
+    // The sender is only dropped with the runtime.
+    result_receiver.await.unwrap_or(false)
 }
 
-fn count(edge: &Edge, server: &SuspectedServer, contents: &RequestDigests, generations: [u8; 2]) {
+fn record_crash(
+    edge: &Edge,
+    server: &SuspectedServer,
+    digests: &RequestDigests,
+    crash_generations: [u8; 2],
+) {
     metrics::counter!("elmstream_servers_ended").increment(1);
     let now = clock::now();
     let fields = json!({
-        "server": server.id, "content": contents.any_caller.hex(),
-        "generation": generations[0].saturating_add(1),
+        "server": server.id, "content": digests.any_caller.hex(),
+        "generation": crash_generations[0].saturating_add(1),
     });
     edge.event_log.state_change("server_ended", fields);
-    for (digest, known) in contents.both().into_iter().zip(generations) {
-        let turn =
-            edge.steer.borrow_mut().on_server_crash(now, unix_s(), digest, server.start, known);
-        if let PoisonChange::Refused(harm) = turn {
-            note(edge, "itself", &[(digest, harm)]);
+    for (digest, generation) in digests.both().into_iter().zip(crash_generations) {
+        let change = edge.steer.borrow_mut().on_server_crash(
+            now,
+            unix_s(),
+            digest,
+            server.start,
+            generation,
+        );
+        if let PoisonChange::Refused(evidence) = change {
+            log_refused(edge, "itself", &[(digest, evidence)]);
         }
     }
 }
 
-/// Writes down which requests are refused from now on, and who told.
-pub(crate) fn note(edge: &Edge, from: &str, refused: &[(RequestDigest, PoisonEvidence)]) {
-    for (digest, harm) in refused {
-        edge.event_log.write("refuses", told(digest, harm, from));
+/// Logs which requests are refused from now on, and where that was learned.
+pub(crate) fn log_refused(edge: &Edge, from: &str, refused: &[(RequestDigest, PoisonEvidence)]) {
+    for (digest, evidence) in refused {
+        edge.event_log.write("refuses", refusal_fields(digest, evidence, from));
     }
 }
 
-fn told(digest: &RequestDigest, harm: &PoisonEvidence, from: &str) -> Value {
+fn refusal_fields(digest: &RequestDigest, evidence: &PoisonEvidence, from: &str) -> Value {
     json!({
-        "content": digest.hex(), "servers_ended": harm.servers, "generations": harm.generations,
-        "own": harm.own, "from": from,
+        "content": digest.hex(), "servers_ended": evidence.servers,
+        "generations": evidence.generations, "own": evidence.own, "from": from,
     })
 }
 
-/// Reads the list at the start and when the settings are read again, and adds to it,
-/// until the process ends.
+/// Reads the list at the start and after a reload of the settings, and adds to it, until the
+/// process ends.
 pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     let mut started = false;
-    let mut returns = Returns::default();
+    let mut restores = Restores::default();
     loop {
-        if returns.due(&edge) {
-            match list_again(&edge, &*source).await {
-                Ok(()) => returns.done(&edge),
-                Err(error) => failed(&edge, &error).await,
+        if restores.due(&edge) {
+            match relist(&edge, &*source).await {
+                Ok(()) => restores.done(&edge),
+                Err(error) => on_failure(&edge, &error).await,
             }
         }
-        let again = edge.reread_refused.replace(false);
-        if let Err(error) = keep(&edge, &*source, again || !started).await {
-            edge.reread_refused.set(again);
-            failed(&edge, &error).await;
+        let reread = edge.reread_refused.replace(false);
+        if let Err(error) = maintain_list(&edge, &*source, reread || !started).await {
+            edge.reread_refused.set(reread);
+            on_failure(&edge, &error).await;
             continue;
         }
         started = true;
-        compio::time::sleep(LOOK).await;
+        compio::time::sleep(CHECK_INTERVAL).await;
         let mut steer = edge.steer.borrow_mut();
         steer.poison_mut().expire(clock::now(), unix_s());
         metrics::gauge!("elmstream_requests_refused").set(steer.poison().refused_count() as f64);
     }
 }
 
-async fn keep<S: StoreSource>(edge: &Edge, source: &S, read: bool) -> Result<(), SourceError> {
+async fn maintain_list<S: StoreSource>(
+    edge: &Edge,
+    source: &S,
+    read: bool,
+) -> Result<(), SourceError> {
     if read {
-        let harmful = source.refused_requests().await?;
-        edge.unreadable("harmful", &harmful.unreadable);
-        take_in(edge, &harmful);
-        // Nobody else clears the list.
+        let refused_list = source.refused_requests().await?;
+        edge.log_unreadable_rows("harmful", &refused_list.unreadable);
+        merge_listed(edge, &refused_list);
+        // No one else removes expired entries from the list.
         for (digest, _) in
-            harmful.listed.iter().filter(|(_, endings)| listing_expired(endings, unix_s()))
+            refused_list.listed.iter().filter(|(_, crashes)| listing_expired(crashes, unix_s()))
         {
             source.add_refused_request(digest, &[]).await?;
         }
     }
     let due = edge.steer.borrow().poison().pending_listings(clock::now());
     if due.iter().any(|due| !due.first) {
-        let harmful = source.refused_requests().await?;
-        for (digest, _) in &harmful.listed {
+        let refused_list = source.refused_requests().await?;
+        for (digest, _) in &refused_list.listed {
             edge.steer.borrow_mut().poison_mut().mark_listed(digest);
         }
     }
-    // What was let in again, or found to be listed, meanwhile is not due any more.
+    // Requests that were readmitted or found listed in the meantime are no longer pending.
     let due = edge.steer.borrow().poison().pending_listings(clock::now());
     for PendingListing { digest, endings, .. } in due {
         source.add_refused_request(&digest, &endings).await?;
@@ -208,55 +227,55 @@
     Ok(())
 }
 
-async fn failed(edge: &Edge, error: &SourceError) {
+async fn on_failure(edge: &Edge, error: &SourceError) {
     edge.event_log.write("harmful_failed", json!({"error": error.to_string()}));
-    compio::time::sleep(PAUSE).await;
+    compio::time::sleep(FAILURE_PAUSE).await;
 }
 
-/// Returns of the store from a copy, after which the list is looked at by the host that
-/// keeps what this fleet writes.
+/// Restores of the store from a backup, after which the host that maintains the fleet's lists
+/// checks this list.
 #[derive(Debug, Default)]
-struct Returns {
-    /// Era of the store in which nothing is left to be looked at; 0 if none is known.
+struct Restores {
+    /// Era of the store for which the list needs no further check; 0 if none is known yet.
     era: u64,
-    /// When a later one was noticed.
-    noticed: Option<Time>,
+    /// When a later era was noticed.
+    noticed_at: Option<Time>,
 }
 
-impl Returns {
+impl Restores {
     fn due(&mut self, edge: &Edge) -> bool {
         let (steer, now) = (edge.steer.borrow(), clock::now());
-        let known = steer.era();
-        if self.era == 0 || self.era == known {
-            self.era = known;
+        let era = steer.era();
+        if self.era == 0 || self.era == era {
+            self.era = era;
             return false;
         }
-        let noticed = *self.noticed.get_or_insert(now);
-        if now.since(noticed) >= RETURN_KEPT {
-            (self.era, self.noticed) = (known, None);
+        let noticed_at = *self.noticed_at.get_or_insert(now);
+        if now.since(noticed_at) >= RELIST_WINDOW {
+            (self.era, self.noticed_at) = (era, None);
             return false;
         }
         steer.maintains_host_list(now)
     }
 
     fn done(&mut self, edge: &Edge) {
-        (self.era, self.noticed) = (edge.steer.borrow().era(), None);
+        (self.era, self.noticed_at) = (edge.steer.borrow().era(), None);
     }
 }
 
-/// Lists again what the store has lost, and takes off what was let in again: nobody else
-/// writes that, and hosts that start go by it.
-async fn list_again<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
-    let harmful = source.refused_requests().await?;
+/// Adds requests that the store has lost, and removes those that were readmitted: no one else
+/// writes the list, and starting hosts rely on it.
+async fn relist<S: StoreSource>(edge: &Edge, source: &S) -> Result<(), SourceError> {
+    let refused_list = source.refused_requests().await?;
     let lost = |(digest, _): &(RequestDigest, Vec<ServerCrash>)| {
-        !harmful.listed.iter().any(|(listed, _)| listed == digest)
+        !refused_list.listed.iter().any(|(listed, _)| listed == digest)
     };
     let refused = edge.steer.borrow().poison().refused_requests();
-    for (digest, endings) in refused.into_iter().filter(lost) {
-        source.add_refused_request(&digest, &endings).await?;
+    for (digest, crashes) in refused.into_iter().filter(lost) {
+        source.add_refused_request(&digest, &crashes).await?;
         edge.event_log.write("listed_again", json!({"content": digest.hex()}));
     }
-    for (digest, _) in harmful.listed.iter().filter(|(_, endings)| !endings.is_empty()) {
+    for (digest, _) in refused_list.listed.iter().filter(|(_, crashes)| !crashes.is_empty()) {
         if edge.steer.borrow().poison().is_cleared(digest) {
             source.add_refused_request(digest, &[]).await?;
             edge.event_log.write("let_in_again", json!({"content": digest.hex()}));
@@ -265,16 +284,16 @@
     Ok(())
 }
 
-/// Takes in what the store lists. A request that is listed without ends of servers is let
-/// in again: a row that is not there may only not have been written yet.
-fn take_in(edge: &Edge, harmful: &RefusedList) {
+/// Merges the store's list. A request that is listed without crashes is readmitted; a missing
+/// row alone may only not have been written yet.
+fn merge_listed(edge: &Edge, refused_list: &RefusedList) {
     let now = clock::now();
-    for (digest, endings) in &harmful.listed {
-        let refused = edge.steer.borrow_mut().merge_crashes(now, endings);
-        note(edge, "store", &refused);
+    for (digest, crashes) in &refused_list.listed {
+        let refused = edge.steer.borrow_mut().merge_crashes(now, crashes);
+        log_refused(edge, "store", &refused);
         let mut steer = edge.steer.borrow_mut();
         steer.poison_mut().mark_listed(digest);
-        if endings.is_empty() && steer.poison_mut().readmit(now, digest) {
+        if crashes.is_empty() && steer.poison_mut().readmit(now, digest) {
             edge.event_log.write("let_in_again", json!({"content": digest.hex()}));
         }
     }
--- a/elmstream_edge/src/request_digest.rs
+++ b/elmstream_edge/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! Digests of what makes two requests the same.
+//! Digests that identify requests with equal content.
 
 use elmstream_steer::digest::RequestDigest;
 use hmac::{Hmac, Mac};
@@ -8,53 +8,54 @@
 
 /// Digests of a request: of its content, and of its content and caller.
 ///
-/// Both count. One that ends servers whoever sends it comes from several addresses, and a
-/// caller's address may change. One that does so from a single caller, whose session say
-/// is broken, must not be cleared by the answers that others get to the same.
+/// Both are needed. A request that crashes servers whoever sends it comes from several
+/// addresses, and a caller's address may change. A request that does so for a single caller
+/// only, for example because its session is corrupt, must not be cleared by the responses
+/// that other callers get to equal content.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestDigests {
-    /// Of host, method, path with query, and body.
+    /// Digest of host, method, path with query, and body.
     pub any_caller: RequestDigest,
-    /// The same with the caller: its workspace, else its address.
+    /// Digest of that content and the caller: its workspace, else its address.
     pub this_caller: RequestDigest,
 }
 
 impl RequestDigests {
-    /// Digests of a request.
+    /// Computes both digests with the fleet's `secret` as the key.
     ///
-    /// Nothing counts that changes with each try. Nobody can tell from a line what was
-    /// asked, even by guessing, without the fleet's secret.
+    /// They include nothing that changes with each attempt. Without the secret nobody can
+    /// tell from a log line what was requested, even by guessing.
     pub fn of(secret: &str, call: &CallerRequest) -> RequestDigests {
-        // A key of any length will do, so this cannot fail.
-        let Ok(mut whole) = Hmac::<Sha256>::new_from_slice(secret.as_bytes()) else {
+        // HMAC accepts keys of any length, so this cannot fail.
+        let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(secret.as_bytes()) else {
             return RequestDigests::default();
         };
         let path = call.uri.path_and_query().map_or("/", |path| path.as_str());
         for part in [&call.route.host, call.method.as_str(), path] {
-            add(&mut whole, part.as_bytes());
+            add_part(&mut mac, part.as_bytes());
         }
-        add(&mut whole, &call.body);
-        let any = cut(whole.clone());
+        add_part(&mut mac, &call.body);
+        let any = truncate(mac.clone());
         let caller = match call.workspace_name() {
             "" => call.caller.to_string(),
             name => format!("={name}"),
         };
-        add(&mut whole, caller.as_bytes());
-        RequestDigests { any_caller: any, this_caller: cut(whole) }
+        add_part(&mut mac, caller.as_bytes());
+        RequestDigests { any_caller: any, this_caller: truncate(mac) }
     }
 
-    /// Both, the one that more requests share first.
+    /// Both digests; the first is shared by more requests.
     pub fn both(&self) -> [RequestDigest; 2] {
         [self.any_caller, self.this_caller]
     }
 }
 
-/// Adds a part and its length, so that parts cannot run into each other.
-fn add(whole: &mut Hmac<Sha256>, part: &[u8]) {
-    whole.update(&(part.len() as u64).to_le_bytes());
-    whole.update(part);
+/// Adds a part preceded by its length, so that adjacent parts cannot be confused.
+fn add_part(mac: &mut Hmac<Sha256>, part: &[u8]) {
+    mac.update(&(part.len() as u64).to_le_bytes());
+    mac.update(part);
 }
 
-fn cut(whole: Hmac<Sha256>) -> RequestDigest {
-    RequestDigest::truncate(&whole.finalize().into_bytes().into())
+fn truncate(mac: Hmac<Sha256>) -> RequestDigest {
+    RequestDigest::truncate(&mac.finalize().into_bytes().into())
 }
--- a/elmstream_edge/src/rollout.rs
+++ b/elmstream_edge/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Writes how far roll-outs have come, when it is this host's turn.
+//! Writes the progress of roll-outs to the store, when it is this host's turn.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,27 +12,27 @@
 
 use crate::{Edge, StoreSource};
 
-/// Time between two looks at whether something is to be written.
-const LOOK: Duration = Duration::from_millis(100);
-/// Pause after a call that failed or came too late. A change without an answer may still be
-/// made; the condition keeps it from being made after another one.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Interval of the check for whether progress is to be written.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause after a call that failed or lost against another write. A change that got no
+/// response may still be applied; its condition prevents that after another change.
+const FAILURE_PAUSE: Duration = Duration::from_millis(300);
 
-/// Writes until the process ends.
+/// Writes progress until the process ends.
 pub(crate) async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>) {
     loop {
-        compio::time::sleep(LOOK).await;
+        compio::time::sleep(CHECK_INTERVAL).await;
         let due = edge.steer.borrow_mut().due_rollout_write(clock::now(), clock::unix_ms());
         if let Some(write) = due
-            && !carry_out(&edge, &*source, &write).await
+            && !write_progress(&edge, &*source, &write).await
         {
-            compio::time::sleep(PAUSE).await;
+            compio::time::sleep(FAILURE_PAUSE).await;
         }
     }
 }
 
-/// Writes once; whether the store took it.
-async fn carry_out<S: StoreSource>(edge: &Rc<Edge>, source: &S, write: &RolloutWrite) -> bool {
+/// Writes once; returns whether the store accepted the write.
+async fn write_progress<S: StoreSource>(edge: &Rc<Edge>, source: &S, write: &RolloutWrite) -> bool {
     let (service, stage) = (write.service.as_str(), stage_text(write.progress.stage));
     match source.write_rollout(write).await {
         Ok(Some(version)) => {
@@ -56,19 +56,21 @@
     }
 }
 
-/// What a write says, and what it rests on.
+/// Fields of the event of a write: what was written and the counts behind it.
 fn fields(edge: &Edge, write: &RolloutWrite) -> Value {
     let steer = edge.steer.borrow();
-    let answers = steer.rollout_analysis(&write.service).map(|judge| judge.target_counts());
+    let target_counts =
+        steer.rollout_analysis(&write.service).map(|analysis| analysis.target_counts());
     json!({
         "service": write.service, "target": write.progress.target,
         "stage": stage_text(write.progress.stage), "order": write.progress.order.to_string(),
-        "good": answers.map(|marks| marks.good), "bad": answers.map(|marks| marks.bad),
-        "cause": write.cause.as_ref().map(|known| cause(&steer, known)),
+        "good": target_counts.map(|counts| counts.good),
+        "bad": target_counts.map(|counts| counts.bad),
+        "cause": write.cause.as_ref().map(|rejection| cause(&steer, rejection)),
     })
 }
 
-/// Why a version is turned away.
+/// Fields that say why a version was rejected.
 fn cause(steer: &Steer, cause: &RejectionCause) -> Value {
     let configuration = steer.view().configuration().into_iter();
     let mut routes = configuration.flat_map(|configuration| &configuration.routes);
@@ -79,7 +81,7 @@
     })
 }
 
-/// A stage in lines.
+/// Name of a stage in the event log.
 pub(crate) fn stage_text(stage: RolloutStage) -> String {
     match stage {
         RolloutStage::Shift(percent) => format!("shift {percent}%"),
--- a/elmstream_edge/src/server_hints.rs
+++ b/elmstream_edge/src/server_hints.rs
@@ -1,4 +1,4 @@
-//! What a backend server says of itself beside its answer.
+//! Hints that a backend server sends about itself along with a response.
 
 use std::time::Duration;
 
@@ -12,65 +12,71 @@
     headers::{self, HeaderNames},
 };
 
-/// What one answer says of its server.
+/// Hints of one response about its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Hints {
-    /// Requests that it runs and that wait there; none if it does not say.
+    /// Running and waiting requests; `None` if not sent.
     load: Option<u32>,
-    /// The limit that it names.
-    limit: Said,
-    /// Whether it is about to leave.
+    /// The server limit.
+    limit: LimitHint,
+    /// Whether the server is about to leave.
     leaving: bool,
-    /// How long it wants nothing from this host, if it turned the request away.
-    rest: Option<Duration>,
+    /// Back-off that the server asks of this host, if it refused the request.
+    backoff: Option<Duration>,
 }
 
-/// A limit, as an answer names it.
+/// A server limit, as a response states it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum Said {
-    /// It names none.
+enum LimitHint {
+    /// The response states no limit.
     #[default]
     None,
     /// Requests a second from all hosts together.
     Limit(RequestRate),
-    /// Something that is not a number of requests.
+    /// The value is not a number of requests.
     Unreadable,
 }
 
 impl Hints {
-    /// Reads them from an answer's head.
+    /// Reads the hints from the head of a response.
     pub fn read(names: &HeaderNames, parts: &response::Parts) -> Hints {
-        let load = headers::text(&parts.headers, &names.load).and_then(requests);
+        let load = headers::text(&parts.headers, &names.load).and_then(request_count);
         let limit = match parts.headers.get(&names.server_limit) {
-            None => Said::None,
+            None => LimitHint::None,
             Some(value) => {
                 let named = value.to_str().ok().and_then(RequestRate::parse);
-                named.map_or(Said::Unreadable, Said::Limit)
+                named.map_or(LimitHint::Unreadable, LimitHint::Limit)
             }
         };
         let leaving = parts.headers.get(&names.server_leaving).is_some_and(|value| value != "0");
-        Hints { load, limit, leaving, rest: rest(parts) }
+        Hints { load, limit, leaving, backoff: backoff(parts) }
     }
 
-    /// Takes them in; the answer must be known to be this server's.
-    pub fn take(self, edge: &Edge, index: ServerIndex) {
+    /// Applies the hints; the response must be known to be this server's.
+    pub fn apply(self, edge: &Edge, index: ServerIndex) {
         let now = clock::now();
         let mut steer = edge.steer.borrow_mut();
         if let Some(requests) = self.load {
             steer.record_server_load(now, index, requests);
         }
         if self.leaving && steer.on_server_leaving(now, index) {
-            note(edge, &steer, index, "server_leaving", json!({"from": "itself"}));
+            log_hint(edge, &steer, index, "server_leaving", json!({"from": "itself"}));
         }
-        if let Some(rest) = self.rest
-            && steer.on_server_backoff(now, index, rest)
+        if let Some(backoff) = self.backoff
+            && steer.on_server_backoff(now, index, backoff)
         {
-            note(edge, &steer, index, "server_rests", json!({"for_ms": rest.as_millis() as u64}));
+            log_hint(
+                edge,
+                &steer,
+                index,
+                "server_rests",
+                json!({"for_ms": backoff.as_millis() as u64}),
+            );
         }
         let limit = match self.limit {
-            Said::None => None,
-            Said::Limit(limit) => Some(limit),
-            Said::Unreadable => {
+            LimitHint::None => None,
+            LimitHint::Limit(limit) => Some(limit),
+            LimitHint::Unreadable => {
                 metrics::counter!("elmstream_server_limits_unreadable").increment(1);
                 return;
             }
@@ -78,36 +84,36 @@
         if steer.on_server_limit(now, index, limit)
             && let Some(entry) = steer.servers().get(index)
         {
-            note_limit(edge, "itself", &entry.id, limit);
+            log_limit(edge, "itself", &entry.id, limit);
         }
     }
 }
 
-/// Writes down what a server said of itself.
-fn note(edge: &Edge, steer: &Steer, index: ServerIndex, event: &str, mut fields: Value) {
+/// Logs a hint of a server.
+fn log_hint(edge: &Edge, steer: &Steer, index: ServerIndex, event: &str, mut fields: Value) {
     fields["server"] = steer.servers().get(index).map(|entry| entry.id.as_str()).into();
     edge.event_log.state_change(event, fields);
 }
 
-/// How long a server wants nothing, in an answer by which it turns a request away.
+/// Back-off from Retry-After in a response that refuses the request.
 ///
-/// A date is taken for nothing: it goes by a time of day that the two need not share.
-fn rest(parts: &response::Parts) -> Option<Duration> {
-    let turned_away =
+/// A date is ignored: it refers to a wall clock that the two machines need not share.
+fn backoff(parts: &response::Parts) -> Option<Duration> {
+    let refused =
         matches!(parts.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
-    let told = turned_away.then(|| headers::text(&parts.headers, &header::RETRY_AFTER))??;
-    let seconds: f64 = told.trim().parse().ok()?;
-    Duration::try_from_secs_f64(seconds).ok().filter(|rest| !rest.is_zero())
+    let retry_after = refused.then(|| headers::text(&parts.headers, &header::RETRY_AFTER))??;
+    let seconds: f64 = retry_after.trim().parse().ok()?;
+    Duration::try_from_secs_f64(seconds).ok().filter(|backoff| !backoff.is_zero())
 }
 
-/// Writes down the limit that a server names, and who heard it.
-pub fn note_limit(edge: &Edge, from: &str, server: &str, limit: Option<RequestRate>) {
+/// Logs a server limit and the host that received it.
+pub fn log_limit(edge: &Edge, from: &str, server: &str, limit: Option<RequestRate>) {
     let fields = json!({"server": server, "per_s": limit.map(RequestRate::value), "from": from});
     edge.event_log.state_change("server_limit", fields);
 }
 
-/// Running and waiting requests of `running,waiting,slots`.
-fn requests(load: &str) -> Option<u32> {
+/// Sum of running and waiting requests in `running,waiting,slots`.
+fn request_count(load: &str) -> Option<u32> {
     let mut numbers = load.split(',').map(|part| part.trim().parse::<u32>());
     let running = numbers.next()?.ok()?;
     Some(running.saturating_add(numbers.next()?.ok()?))
--- a/elmstream_edge/src/settings.rs
+++ b/elmstream_edge/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry host, in JSON.
+//! Settings of an entry host, read from JSON.
 
 use std::{collections::BTreeMap, fs, io, net::SocketAddr, path::Path};
 
@@ -8,54 +8,54 @@
 
 use crate::headers::HeaderNames;
 
-/// All settings.
+/// All settings of a host.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The host itself.
+    /// Name, addresses and location of the host.
     pub host: Host,
     /// Region of each failure domain.
     pub domains: BTreeMap<String, String>,
-    /// Addresses of other hosts to begin with; they may be stale.
+    /// Addresses of other hosts to contact at the start; some may be outdated.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Where metrics are served; not at all if absent.
+    /// Address on which metrics are served; they are not served if it is absent.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
     /// Names of headers.
     #[serde(default)]
     pub headers: HeaderNames,
-    /// Bounds of the fleet.
+    /// Limits and timeouts that all hosts of the fleet share.
     #[serde(default)]
     pub bounds: Bounds,
-    /// What makes requests the same.
+    /// How request digests are computed.
     #[serde(default)]
     pub content: Content,
-    /// The planned stop.
+    /// Timing of the planned stop.
     #[serde(default)]
     pub stop: Stop,
-    /// What is written.
+    /// Sampling and rate limits of the event log.
     #[serde(default)]
     pub logging: Logging,
 }
 
-/// What makes requests the same.
+/// How request digests are computed.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Content {
-    /// Key of the digests of requests; alike on all hosts. Without one, whoever reads lines
-    /// can try out whether a request that he guesses was made.
+    /// Key of the request digests; equal on all hosts. Without a key, a reader of log lines
+    /// can test whether a guessed request was made.
     pub secret: String,
 }
 
-/// The planned stop.
+/// Timing of the planned stop.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Stop {
-    /// Time between the notice to callers and the end of new connections, in
+    /// Time between the stop notice to callers and the end of new connections, in
     /// milliseconds.
     pub notice_ms: u64,
-    /// Time until the process ends at the latest, in milliseconds.
+    /// Longest time from the start of the stop to the end of the process, in milliseconds.
     pub grace_ms: u64,
 }
 
@@ -65,15 +65,16 @@
     }
 }
 
-/// What is written.
+/// Sampling and rate limits of the event log.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Logging {
-    /// One of this many served requests is written; 0 for none.
+    /// One of this many served requests is logged; 0 logs none.
     pub sample: u64,
-    /// Lines about requests a second at most; the rest is counted.
+    /// Lines about requests logged each second; further ones are dropped and counted.
     pub lines_per_s: u32,
-    /// The same for what the host believes of servers and hosts.
+    /// Lines about state changes of servers and hosts logged each second; further ones are
+    /// dropped and counted.
     pub beliefs_per_s: u32,
 }
 
@@ -83,7 +84,7 @@
     }
 }
 
-/// Why settings are refused.
+/// Why settings are rejected.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -94,13 +95,13 @@
         /// The cause.
         source: io::Error,
     },
-    /// The file is not what it should be.
+    /// The text is not valid JSON, or has missing, unknown or mistyped keys.
     #[snafu(display("E3002 {source}"))]
     Parse {
         /// The cause, with the path of the key.
         source: serde_path_to_error::Error<serde_json::Error>,
     },
-    /// A value does not fit.
+    /// A value is out of its range or contradicts another one.
     #[snafu(display("E3002 {key}: {problem}"))]
     Value {
         /// The key.
@@ -111,14 +112,22 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read, or its settings are rejected.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text =
             fs::read_to_string(path).context(ReadSnafu { path: path.display().to_string() })?;
         Settings::parse(&text)
     }
 
-    /// Reads and checks a text.
+    /// Parses and checks the text of a settings file.
+    ///
+    /// # Errors
+    ///
+    /// The settings are rejected.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let settings: Settings = serde_path_to_error::deserialize(&mut json).context(ParseSnafu)?;
@@ -130,10 +139,13 @@
         let value = |key, problem| ValueSnafu { key, problem };
         let region = self.domains.get(&self.host.domain);
         ensure!(!self.host.name.is_empty(), value("host.name", "is empty"));
-        ensure!(region == Some(&self.host.region), value("host.domain", "is not of host.region"));
+        ensure!(
+            region == Some(&self.host.region),
+            value("host.domain", "does not belong to host.region")
+        );
         ensure!(
             self.stop.notice_ms < self.stop.grace_ms,
-            value("stop.notice_ms", "is over stop.grace_ms")
+            value("stop.notice_ms", "is not less than stop.grace_ms")
         );
         ensure!(self.bounds.lookup_ttl_s > 0, value("bounds.lookup_ttl_s", "is 0"));
         ensure!(self.bounds.retry_ratio >= 0.0, value("bounds.retry_ratio", "is below 0"));
@@ -141,12 +153,15 @@
         ensure!(self.bounds.limit_overshoot >= 0.0, value("bounds.limit_overshoot", "is below 0"));
         ensure!(self.bounds.limit_slack >= 0.0, value("bounds.limit_slack", "is below 0"));
         let share = self.bounds.exposure_share;
-        ensure!((0.0..=1.0).contains(&share), value("bounds.exposure_share", "is not a part"));
+        ensure!(
+            (0.0..=1.0).contains(&share),
+            value("bounds.exposure_share", "is not between 0 and 1")
+        );
         ensure!(self.bounds.exposure_slack >= 0.0, value("bounds.exposure_slack", "is below 0"));
         ensure!(self.bounds.rollback_ms > 0, value("bounds.rollback_ms", "is 0"));
         let scheme = &self.headers.key_scheme;
         let one_word = !scheme.is_empty() && scheme.chars().all(|c| c.is_ascii_graphic());
-        ensure!(one_word, value("headers.key_scheme", "is not one word"));
+        ensure!(one_word, value("headers.key_scheme", "is not a single word"));
         Ok(())
     }
 }
--- a/elmstream_edge/src/shutdown.rs
+++ b/elmstream_edge/src/shutdown.rs
@@ -10,46 +10,47 @@
 
 use crate::{Edge, peers};
 
-/// A host ends this long before its grace time does.
+/// A host ends this long before its grace time is over.
 const END_MARGIN: Duration = Duration::from_millis(400);
-/// Time before the end of the host in which requests still in flight get an answer of
-/// its own; a host with a tenth of a core is some 200 ms behind.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+/// Time before the end of the host in which requests in flight get a final response from the
+/// host itself; a host that gets a tenth of a core lags some 200 ms.
+const LAST_RESPONSES_TIME: Duration = Duration::from_millis(200);
 
-/// Tells the others that this host stops.
-pub(crate) async fn tell(edge: &Rc<Edge>, socket: &UdpSocket) {
+/// Announces to the other hosts that this host is leaving.
+pub(crate) async fn announce(edge: &Rc<Edge>, socket: &UdpSocket) {
     edge.steer.borrow_mut().start_leaving();
     edge.event_log.write("stop", json!({"host": edge.settings.host.name}));
-    // The others hear of it at once, so that they name this host no more.
+    // Announces it immediately, so that the others stop naming this host in look-ups.
     for round in 0..2 {
-        peers::beat(edge, socket, round).await;
+        peers::send_heartbeat(edge, socket, round).await;
     }
 }
 
-/// Lets callers go: after the notice no new ones are taken, and just before the end
-/// those that still wait get their last answers.
+/// Ends the service of callers: new connections are accepted until the notice time is over,
+/// and requests that are then still in flight get their final response just before the end.
 ///
-/// `asked` is when the stop was asked for. `stopper` ends the listeners, `ends` the
-/// requests; `serving` resolves when all connections are closed.
-pub(crate) async fn end(
+/// `stop_requested_at` is when the stop was requested. `stopper` stops the listeners,
+/// `abort_requests` the requests; `serving` resolves when all connections are closed.
+pub(crate) async fn drain(
     edge: &Edge,
-    asked: Time,
+    stop_requested_at: Time,
     stopper: Stopper,
-    ends: Stopper,
+    abort_requests: Stopper,
     serving: impl Future<Output = ()>,
 ) {
     let settings = edge.settings.stop;
     let grace = Duration::from_millis(settings.grace_ms).saturating_sub(END_MARGIN);
-    let last_answers = asked + grace.saturating_sub(LAST_ANSWERS).as_micros() as u64;
-    let end = asked + grace.as_micros() as u64;
-    waits::until(asked + settings.notice_ms * MILLI).await;
+    let last_responses_at =
+        stop_requested_at + grace.saturating_sub(LAST_RESPONSES_TIME).as_micros() as u64;
+    let end_at = stop_requested_at + grace.as_micros() as u64;
+    waits::until(stop_requested_at + settings.notice_ms * MILLI).await;
     stopper.stop();
     let mut serving = pin!(serving);
-    if waits::within(last_answers, serving.as_mut()).await.is_some() {
+    if waits::within(last_responses_at, serving.as_mut()).await.is_some() {
         return;
     }
-    ends.stop();
-    if waits::within(end, serving).await.is_none() {
+    abort_requests.stop();
+    if waits::within(end_at, serving).await.is_none() {
         edge.event_log.write("stop_unfinished", json!({"host": edge.settings.host.name}));
     }
 }
--- a/elmstream_edge/src/store_reader.rs
+++ b/elmstream_edge/src/store_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the store for the fleet, when it is this host's turn.
+//! Reads the store on behalf of the fleet, when it is this host's turn.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,52 +11,53 @@
 
 use crate::{SourceError, StoreSource, edge::Edge, store_source::StoreRows};
 
-/// Pause between two looks at whether it is this host's turn.
-pub const LOOK: Duration = Duration::from_millis(60);
-/// How long a version may have rested for changes after it to be asked for.
+/// Interval of the check for whether it is this host's turn.
+pub const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(60);
+/// Longest age of a version from which changes are requested, in microseconds.
 ///
-/// Backend servers write every second or two, each time as a change, so after that
-/// long the changes are more than the whole table, and may not come in time.
-const CURSOR_KEEP: u64 = 2 * SECOND;
+/// Backend servers write a row every second or two, and each write is a change. After this
+/// time the changes outnumber the rows of the table, and may not arrive in time.
+const CURSOR_AGE_MAX: u64 = 2 * SECOND;
 
-/// How far a host has read a table.
+/// The version up to which a table was read, and when.
 #[derive(Clone, Copy, Debug)]
 struct Cursor {
     version: StoreVersion,
-    at: Time,
+    read_at: Time,
 }
 
-/// Reads a table until the process ends.
+/// Reads a table whenever it is due, until the process ends.
 pub async fn run<S: StoreSource>(edge: Rc<Edge>, source: Rc<S>, table: Table) {
     let mut cursor: Option<Cursor> = None;
-    let mut lost: Option<Time> = None;
+    let mut failing_since: Option<Time> = None;
     loop {
         let now = clock::now();
-        let Some(why) = edge.steer.borrow().due_read(now, table) else {
-            compio::time::sleep(LOOK).await;
+        let Some(reason) = edge.steer.borrow().due_read(now, table) else {
+            compio::time::sleep(TURN_CHECK_INTERVAL).await;
             continue;
         };
-        let labels = [("table", name(table)), ("why", why.name())];
+        let labels = [("table", name(table)), ("why", reason.name())];
         metrics::counter!("elmstream_store_calls", &labels).increment(1);
         let era = edge.steer.borrow().era();
-        // In another era the same version names other changes.
-        let after =
-            cursor.filter(|cursor| now.since(cursor.at) < CURSOR_KEEP && cursor.version.era == era);
-        match read(&edge, &*source, table, after.map(|cursor| cursor.version)).await {
+        // The count of a version refers to other changes in another era.
+        let after = cursor.filter(|cursor| {
+            now.since(cursor.read_at) < CURSOR_AGE_MAX && cursor.version.era == era
+        });
+        match read_changes(&edge, &*source, table, after.map(|cursor| cursor.version)).await {
             Ok(version) => {
-                cursor = version.map(|version| Cursor { version, at: clock::now() });
-                // After a history that is gone, all is read next.
+                cursor = version.map(|version| Cursor { version, read_at: clock::now() });
+                // If the store has dropped the history, the next call reads the whole table.
                 let Some(version) = version else { continue };
-                edge.steer.borrow_mut().record_store_answer(table, why, now, version);
-                if let Some(since) = lost.take() {
-                    regained(&edge, table, why, since);
+                edge.steer.borrow_mut().record_store_answer(table, reason, now, version);
+                if let Some(since) = failing_since.take() {
+                    log_recovery(&edge, table, reason, since);
                 }
             }
             Err(error) => {
                 metrics::counter!("elmstream_store_calls_failed", &labels).increment(1);
-                if lost.is_none() {
-                    lost_store(&edge, table, why, now, &error);
-                    lost = Some(clock::now());
+                if failing_since.is_none() {
+                    log_failure(&edge, table, reason, now, &error);
+                    failing_since = Some(clock::now());
                 }
                 edge.steer.borrow_mut().record_store_failure(clock::now(), table);
             }
@@ -64,7 +65,7 @@
     }
 }
 
-/// The name of a table in logs and metrics.
+/// Name of a table in the event log and in metrics.
 fn name(table: Table) -> &'static str {
     match table {
         Table::Rules => "Rules",
@@ -73,72 +74,79 @@
     }
 }
 
-/// Writes that the store served this host's calls again, and for how long it had not.
-fn regained(edge: &Rc<Edge>, table: Table, why: ReadReason, since: Time) {
+/// Logs that the store answers this host again, and for how long it had not.
+fn log_recovery(edge: &Rc<Edge>, table: Table, reason: ReadReason, since: Time) {
     let fields = json!({
-        "table": name(table), "why": why.name(),
+        "table": name(table), "why": reason.name(),
         "after_ms": clock::now().since(since) / MILLI,
     });
     edge.event_log.write("store_regained", fields);
 }
 
-/// Writes that a call failed: why it was made, how long it took, and how old what is
-/// known of the table has become meanwhile.
-fn lost_store(edge: &Rc<Edge>, table: Table, why: ReadReason, asked: Time, error: &SourceError) {
+/// Logs that a call failed: its reason and duration, and the age of what is known of the
+/// table.
+fn log_failure(
+    edge: &Rc<Edge>,
+    table: Table,
+    reason: ReadReason,
+    started_at: Time,
+    error: &SourceError,
+) {
     let now = clock::now();
     let steer = edge.steer.borrow();
     let age = steer.view().age(now, table).map(|age| age / MILLI);
     let fields = json!({
-        "table": name(table), "error": error.to_string(), "why": why.name(),
+        "table": name(table), "error": error.to_string(), "why": reason.name(),
         "kept": error.was_reused(),
-        "took_ms": now.since(asked) / MILLI, "age_ms": age,
+        "took_ms": now.since(started_at) / MILLI, "age_ms": age,
         "hosts": steer.members().live(now).count() + 1,
     });
     edge.event_log.write("store_lost", fields);
 }
 
-/// Reads what is new; the version to go on from, or none to read all.
+/// Reads what is new; returns the version to continue from, or `None` to read the whole
+/// table.
 ///
-/// A kept connection may have fallen silent for good while new ones work, on all hosts
-/// at once. So a call that fails over one is made anew at once, and only the failure of
-/// that one speaks of the store.
-async fn read<S: StoreSource>(
+/// A reused connection may have stopped responding on all hosts at once while new ones work.
+/// So a call that fails over one is repeated immediately, and only the failure of the second
+/// call counts against the store.
+async fn read_changes<S: StoreSource>(
     edge: &Rc<Edge>,
     source: &S,
     table: Table,
     after: Option<StoreVersion>,
 ) -> Result<Option<StoreVersion>, SourceError> {
-    let bound = edge.settings.bounds.configuration_ms as f64;
-    let wait = Duration::from_micros((bound * reader_rank::WAIT_PART) as u64 * MILLI);
-    match call(edge, source, table, (after, wait)).await {
+    let bound_ms = edge.settings.bounds.configuration_ms as f64;
+    let wait = Duration::from_micros((bound_ms * reader_rank::WAIT_PART) as u64 * MILLI);
+    match call_store(edge, source, table, (after, wait)).await {
         Err(SourceError::Unreachable { cause, reused: true }) => {
             metrics::counter!("elmstream_store_connections_lost").increment(1);
             let fields = json!({"table": name(table), "error": cause});
             edge.event_log.write("store_connection_lost", fields);
-            call(edge, source, table, (after, Duration::ZERO)).await
+            call_store(edge, source, table, (after, Duration::ZERO)).await
         }
-        read => read,
+        result => result,
     }
 }
 
-/// One call: changes after a version, for which the store may wait, or all rows.
-async fn call<S: StoreSource>(
+/// One call: reads the changes after a version, for which the store may wait, or all rows.
+async fn call_store<S: StoreSource>(
     edge: &Rc<Edge>,
     source: &S,
     table: Table,
     (after, wait): (Option<StoreVersion>, Duration),
 ) -> Result<Option<StoreVersion>, SourceError> {
-    let asked = clock::now();
+    let started_at = clock::now();
     let Some(after) = after else {
         let StoreRows { version, rows, unreadable } = source.read_all(table).await?;
-        edge.unreadable(name(table), &unreadable);
+        edge.log_unreadable_rows(name(table), &unreadable);
         let now = clock::now();
-        up_to_date(edge, version)?;
+        check_era(edge, version)?;
         let mut steer = edge.steer.borrow_mut();
         if table == Table::Servers {
-            steer.record_read_time(now.since(asked) / MILLI);
+            steer.record_read_time(now.since(started_at) / MILLI);
         }
-        let changes = steer.on_full_read_at(now, asked, table, version, rows);
+        let changes = steer.on_full_read_at(now, started_at, table, version, rows);
         drop(steer);
         edge.log_changes("store", &changes);
         return Ok(Some(version));
@@ -148,18 +156,19 @@
         edge.event_log.write("store_history_gone", json!({"table": name(table)}));
         return Ok(None);
     };
-    edge.unreadable(name(table), &unreadable);
-    up_to_date(edge, version)?;
+    edge.log_unreadable_rows(name(table), &unreadable);
+    check_era(edge, version)?;
     let now = clock::now();
-    // The store held its answer no longer than it was asked to.
-    let moment = now.min(asked + wait.as_micros() as u64);
-    let changes = edge.steer.borrow_mut().on_changes_at(now, moment, table, rows);
+    // The store delayed its response at most by the wait that was requested.
+    let known_at = now.min(started_at + wait.as_micros() as u64);
+    let changes = edge.steer.borrow_mut().on_changes_at(now, known_at, table, rows);
     edge.log_changes("store", &changes);
     Ok(Some(version))
 }
 
-/// An answer that left the store before it came back from a copy may come after that.
-fn up_to_date(edge: &Edge, version: StoreVersion) -> Result<(), SourceError> {
+/// Rejects a response that the store sent before it was restored from a backup and that
+/// arrives afterwards.
+fn check_era(edge: &Edge, version: StoreVersion) -> Result<(), SourceError> {
     let known = edge.steer.borrow().era();
     match version.era < known {
         true => Err(SourceError::Outdated { era: version.era, known }),
--- a/elmstream_edge/src/store_source.rs
+++ b/elmstream_edge/src/store_source.rs
@@ -1,4 +1,4 @@
-//! What an adapter to a store brings.
+//! The interface that an adapter to a store implements.
 
 use std::time::Duration;
 
@@ -12,94 +12,103 @@
 };
 use snafu::Snafu;
 
-/// Time in which an answer of the store must come, beyond the wait that was asked for.
+/// Time in which the store must respond, beyond the wait that was requested.
 ///
-/// A store that takes fifty times its usual few milliseconds still answers within it.
+/// A store that takes fifty times its usual few milliseconds still responds within it.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Snafu)]
 pub enum SourceError {
-    /// No answer in time, or a broken one.
+    /// No complete response in time.
     #[snafu(display("no answer: {cause}"))]
     Unreachable {
-        /// What the transport said.
+        /// Error of the transport.
         cause: String,
-        /// Whether the connection had been kept from an earlier call.
+        /// Whether the connection had been used for an earlier call.
         reused: bool,
     },
-    /// The store refused.
+    /// The store refused the call.
     #[snafu(display("refused with {status}"))]
     Refused {
-        /// Its status.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// The answer is of an era of the store before the one that is known.
+    /// The response belongs to an earlier era of the store than the known one.
     #[snafu(display("answer of era {era}, {known} is known"))]
     Outdated {
-        /// Era of the answer.
+        /// Era of the response.
         era: u64,
-        /// The newest one that the host knows of.
+        /// Newest era that the host knows.
         known: u64,
     },
-    /// The answer cannot be read.
+    /// The response cannot be parsed.
     #[snafu(display("bad answer: {cause}"))]
     Malformed {
-        /// What is wrong.
+        /// Error of the parser.
         cause: String,
     },
 }
 
 impl SourceError {
-    /// Whether the call was made over a connection that had been kept, which may have
-    /// fallen silent while new ones work.
+    /// Whether the call was made over a reused connection, which may have stopped responding
+    /// while new ones work.
     pub fn was_reused(&self) -> bool {
         matches!(self, SourceError::Unreachable { reused: true, .. })
     }
 }
 
-/// Rows of a table, and the store's version that they are of.
+/// Rows of a table and the store's version that they reflect.
 #[derive(Debug)]
 pub struct StoreRows {
-    /// The store's version, with the era that the answer names.
+    /// Version of the store, in the era that the response names.
     pub version: StoreVersion,
-    /// Rows; of a whole table only those that are there.
+    /// Rows; a read of the whole table contains only existing ones.
     pub rows: Vec<Row>,
-    /// Keys of rows that cannot be read.
+    /// Keys of rows that cannot be parsed.
     pub unreadable: Vec<String>,
 }
 
-/// The list of hosts.
+/// The store's list of hosts.
 #[derive(Debug, Default)]
 pub struct HostList {
     /// Hosts.
     pub listed: Vec<RegisteredHost>,
-    /// Keys of rows that cannot be read.
+    /// Keys of rows that cannot be parsed.
     pub unreadable: Vec<String>,
 }
 
-/// Requests that are refused, as the store lists them.
+/// The list of refused requests.
 #[derive(Debug, Default)]
 pub struct RefusedList {
-    /// Requests, each with the ends of servers that decided it.
+    /// Digests of refused requests, each with the crashes that led to its refusal; a
+    /// readmitted request has none.
     pub listed: Vec<(RequestDigest, Vec<ServerCrash>)>,
-    /// Keys of rows that cannot be read.
+    /// Keys of rows that cannot be parsed.
     pub unreadable: Vec<String>,
 }
 
-/// A store with rules, servers, hosts and requests that are refused.
+/// A store of rules, servers, roll-out progress, hosts and refused requests.
 ///
-/// A call ends within its wait and [`ANSWER_TIMEOUT`] for each page. After one that failed no
-/// kept connection is used.
+/// A call ends within its wait and [`ANSWER_TIMEOUT`] for each page. After a call that
+/// failed, no connection that was open is used again.
 pub trait StoreSource: 'static {
-    /// All rows of a table, as they were at one version.
+    /// Reads all rows of a table as of one version.
     ///
-    /// Hosts take it that no change up to that version, or up to that of any row, is
-    /// missing, and never ask for it again.
+    /// Hosts rely on it that no change up to that version, or up to the version of any row,
+    /// is missing: they never ask for such a change again.
+    ///
+    /// # Errors
+    ///
+    /// The store gave no usable response.
     fn read_all(&self, table: Table) -> impl Future<Output = Result<StoreRows, SourceError>>;
 
-    /// Rows that changed after a version, as soon as there is one; none if the
-    /// store no longer knows what changed, or has come back from a copy since.
+    /// Reads the rows that changed after a version, waiting up to `wait` for a change; `None`
+    /// if the store no longer has that history, or was restored from a backup since.
+    ///
+    /// # Errors
+    ///
+    /// The store gave no usable response.
     fn changes(
         &self,
         table: Table,
@@ -107,24 +116,45 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Option<StoreRows>, SourceError>>;
 
-    /// The list of hosts.
+    /// Reads the list of hosts.
+    ///
+    /// # Errors
+    ///
+    /// The store gave no usable response.
     fn hosts(&self) -> impl Future<Output = Result<HostList, SourceError>>;
 
-    /// Changes the list of hosts.
+    /// Edits the list of hosts.
+    ///
+    /// # Errors
+    ///
+    /// The store gave no usable response; the edit may be applied in part.
     fn edit_hosts(&self, edit: &RegistryEdit) -> impl Future<Output = Result<(), SourceError>>;
 
-    /// The list of requests that are refused.
+    /// Reads the list of refused requests.
+    ///
+    /// # Errors
+    ///
+    /// The store gave no usable response.
     fn refused_requests(&self) -> impl Future<Output = Result<RefusedList, SourceError>>;
 
-    /// Lists one more, or takes one off if it comes without ends of servers.
+    /// Lists a refused request with its crashes, or removes it from the list if `crashes` is
+    /// empty.
+    ///
+    /// # Errors
+    ///
+    /// The store gave no usable response; the change may still be applied.
     fn add_refused_request(
         &self,
         digest: &RequestDigest,
-        endings: &[ServerCrash],
+        crashes: &[ServerCrash],
     ) -> impl Future<Output = Result<(), SourceError>>;
 
-    /// Writes how far a roll-out has come, if neither that nor its order has changed since;
-    /// the store's version of what was written, none if they have.
+    /// Writes the progress of a roll-out on condition that neither the progress nor the order
+    /// has changed; returns the store's version of the write, `None` if the condition failed.
+    ///
+    /// # Errors
+    ///
+    /// The store gave no usable response; the write may still be applied.
     fn write_rollout(
         &self,
         write: &RolloutWrite,
--- a/elmstream_edge/src/table_fetch.rs
+++ b/elmstream_edge/src/table_fetch.rs
@@ -1,6 +1,6 @@
-//! Fetches the rows of the view from other hosts by HTTP.
+//! Fetches table rows from other hosts by HTTP.
 //!
-//! [`FetchSchedule`] says whom to ask and when; this carries it out.
+//! [`FetchSchedule`] decides which host to ask and when; this module performs the fetches.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -21,10 +21,10 @@
     poison,
 };
 
-/// Time in which rows must have come.
-const FETCH: Duration = Duration::from_millis(700);
+/// Timeout of a fetch.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Asks other hosts for what they know better.
+/// Fetches tables that other hosts know better; clones share the schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct TableFetcher {
     edge: Rc<Edge>,
@@ -32,53 +32,54 @@
 }
 
 impl TableFetcher {
-    /// Nobody has offered anything yet.
+    /// A fetcher without offers.
     pub(crate) fn new(edge: Rc<Edge>) -> TableFetcher {
         let seed = hash::of(&edge.settings.host.name);
         TableFetcher { edge, fetches: Rc::new(RefCell::new(FetchSchedule::new(seed))) }
     }
 
-    /// A host's beat shows that it knows news of a table.
+    /// Records that a host offers newer rows of a table, and starts the fetches that are due.
     pub(crate) fn offer(&self, table: Table, host: SocketAddr, known: &TableStatus) {
         self.fetches.borrow_mut().offer(clock::now(), table, host, known);
         self.start_due(table);
     }
 
-    /// Asks whoever is to be asked now.
+    /// Starts all fetches of a table that are due now.
     fn start_due(&self, table: Table) {
         loop {
             let steer = self.edge.steer.borrow();
-            let asks = steer.sync_request(table);
-            let wants = |known: &TableStatus| steer.needs_sync(table, known);
-            let next = self.fetches.borrow_mut().next(clock::now(), table, wants);
+            let sync_request = steer.sync_request(table);
+            let needs_sync = |known: &TableStatus| steer.needs_sync(table, known);
+            let next = self.fetches.borrow_mut().next(clock::now(), table, needs_sync);
             drop(steer);
             let Some(host) = next else { return };
-            let asking = self.clone();
-            compio::runtime::spawn(async move { asking.fetch(host, table, asks).await }).detach();
+            let fetcher = self.clone();
+            compio::runtime::spawn(async move { fetcher.fetch(host, table, sync_request).await })
+                .detach();
             self.start_due_at(table, clock::now() + HEDGE_DELAY);
         }
     }
 
-    /// The same at a later time, as no beat may come then.
+    /// Starts due fetches at a later time, as no heartbeat may arrive then.
     fn start_due_at(&self, table: Table, at: Time) {
-        let asking = self.clone();
+        let fetcher = self.clone();
         let pause = Duration::from_micros(at.since(clock::now()));
         compio::runtime::spawn(async move {
             compio::time::sleep(pause).await;
-            asking.start_due(table);
+            fetcher.start_due(table);
         })
         .detach();
     }
 
-    async fn fetch(&self, host: SocketAddr, table: Table, asks: SyncRequest) {
-        let fetched = fetch(&self.edge, host, table, asks).await;
-        let end = match &fetched {
+    async fn fetch(&self, host: SocketAddr, table: Table, sync_request: SyncRequest) {
+        let fetched = fetch(&self.edge, host, table, sync_request).await;
+        let outcome = match &fetched {
             Ok(()) => FetchOutcome::Received,
             Err(error) if error.kind() == io::ErrorKind::ResourceBusy => FetchOutcome::Refused,
             Err(_) => FetchOutcome::Failed,
         };
-        metrics::counter!("elmstream_fetches", "end" => end.name()).increment(1);
-        if let (FetchOutcome::Failed, Err(error)) = (end, &fetched) {
+        metrics::counter!("elmstream_fetches", "end" => outcome.name()).increment(1);
+        if let (FetchOutcome::Failed, Err(error)) = (outcome, &fetched) {
             if table != Table::Rollouts {
                 self.edge.steer.borrow_mut().record_uninformed_peer();
             }
@@ -86,27 +87,28 @@
             let fields = json!({"host": host, "table": table, "error": error});
             self.edge.event_log.state_change("fetch_failed", fields);
         }
-        let again = self.fetches.borrow_mut().ended(clock::now(), table, host, end);
+        let retry_at = self.fetches.borrow_mut().on_fetch_ended(clock::now(), table, host, outcome);
         let lacks_progress = self.edge.steer.borrow().awaits_rollout_progress();
-        if end == FetchOutcome::Received && table == Table::Rules && lacks_progress {
-            // A host that has just started does not wait for the next beat.
+        if outcome == FetchOutcome::Received && table == Table::Rules && lacks_progress {
+            // A host that has just started does not wait for the next heartbeat.
             self.offer(Table::Rollouts, host, &TableStatus::default());
         }
         self.start_due(table);
-        if end != FetchOutcome::Received {
-            self.start_due_at(table, again);
+        if outcome != FetchOutcome::Received {
+            self.start_due_at(table, retry_at);
         }
     }
 }
 
-/// Fetches the rows of a table after a version, and the addresses of hosts.
+/// Fetches the rows of a table after a version, along with addresses of hosts, and merges
+/// them.
 async fn fetch(
     edge: &Edge,
     address: SocketAddr,
     table: Table,
-    asks: SyncRequest,
+    sync_request: SyncRequest,
 ) -> io::Result<()> {
-    let fetched = waits::within_next(FETCH, get(address, table, asks)).await;
+    let fetched = waits::within_next(FETCH_TIMEOUT, get(address, table, sync_request)).await;
     let fetched = fetched.ok_or(io::ErrorKind::TimedOut)??;
     let now = clock::now();
     let changes = {
@@ -115,12 +117,13 @@
             true => steer.on_host_list(now, &fetched.hosts),
             false => fetched.hosts.iter().for_each(|host| steer.add_peer_address(now, *host)),
         }
-        let refused = steer.merge_crashes(now, &fetched.endings);
+        let refused = steer.merge_crashes(now, &fetched.crashes);
         drop(steer);
-        poison::note(edge, &address.to_string(), &refused);
+        poison::log_refused(edge, &address.to_string(), &refused);
         let mut steer = edge.steer.borrow_mut();
         if fetched.table.status.last_read.is_none() {
-            // Whoever knows the rules may not know of roll-outs; there may be none.
+            // A host that knows the rules may know no roll-out progress, as there may be
+            // none.
             if table != Table::Rollouts {
                 steer.record_uninformed_peer();
             }
@@ -132,9 +135,10 @@
     Ok(())
 }
 
-async fn get(address: SocketAddr, table: Table, asks: SyncRequest) -> io::Result<PeerRows> {
-    let mut sender = client::connect_with_unacked_timeout(address, FETCH, FETCH).await?;
-    let SyncRequest { after: StoreVersion { era, count }, complete_to: complete } = asks;
+async fn get(address: SocketAddr, table: Table, sync_request: SyncRequest) -> io::Result<PeerRows> {
+    let mut sender =
+        client::connect_with_unacked_timeout(address, FETCH_TIMEOUT, FETCH_TIMEOUT).await?;
+    let SyncRequest { after: StoreVersion { era, count }, complete_to: complete } = sync_request;
     let complete = format!("complete_era={}&complete={}", complete.era, complete.count);
     let uri = format!("{ROWS_PATH}?table={}&era={era}&after={count}&{complete}", table as usize);
     let request = Request::builder().uri(uri).header("host", address.to_string());
--- a/elmstream_edge/tests/access.rs
+++ b/elmstream_edge/tests/access.rs
@@ -316,7 +316,10 @@
         let written = Written::default();
         let logging = Logging { sample: 1, lines_per_s: 1_000, beliefs_per_s: 1_000 };
         let at = ip();
-        let edge = Edge::with_event_log(settings(at, &[]), EventLog::to(&logging, written.clone()));
+        let edge = Edge::with_event_log(
+            settings(at, &[]),
+            EventLog::with_output(&logging, written.clone()),
+        );
         let (_store, host, _got) = serving_with(at, edge).await;
         for (path, key) in [
             ("/a", "Bearer key-w"),
--- a/elmstream_edge/tests/backend.rs
+++ b/elmstream_edge/tests/backend.rs
@@ -8,7 +8,9 @@
 };
 
 use compio::net::TcpListener;
-use elmstream_edge::backend::{DOUBT, Exchange, Pool, SILENCE, sendable, stream};
+use elmstream_edge::backend::{
+    Exchange, Pool, SUSPECT_AFTER, UNACKED_TIMEOUT, open_stream, request_body,
+};
 use elmstream_http::LocalBody;
 use futures_util::future::join_all;
 use http::Request;
@@ -24,7 +26,7 @@
 
 fn request(path: &str, bytes: usize) -> Request<LocalBody> {
     let request = Request::builder().uri(path).header("host", "shop.example");
-    request.body(sendable(&vec![b'x'; bytes].into())).expect("a request")
+    request.body(request_body(&vec![b'x'; bytes].into())).expect("a request")
 }
 
 /// A server that closes after `/cut`, says nothing to `/mute`, and answers else.
@@ -51,10 +53,10 @@
 fn a_connection_has_a_bound_on_silence() {
     run(async || {
         let (address, _) = backend(ip(), moody).await;
-        let (stream, bounded) = stream(address).await.expect("a connection");
+        let (stream, bounded) = open_stream(address).await.expect("a connection");
         bounded.expect("the option");
         let bound = SockRef::from(&stream).tcp_user_timeout().expect("the option");
-        assert_eq!(bound, Some(SILENCE));
+        assert_eq!(bound, Some(UNACKED_TIMEOUT));
     });
 }
 
@@ -71,7 +73,7 @@
         let exchange = pool.exchange(ID, address, || Some(request("/", LARGE)));
         let exchange = compio::time::timeout(Duration::from_secs(6), exchange).await;
         assert!(matches!(exchange, Ok(Exchange::Broken(_))), "{exchange:?}");
-        assert!(began.elapsed() >= SILENCE, "after {:?}", began.elapsed());
+        assert!(began.elapsed() >= UNACKED_TIMEOUT, "after {:?}", began.elapsed());
     });
 }
 
@@ -94,7 +96,7 @@
         let pool = Pool::default();
         let (address, got) = warm(&pool).await;
         let mute = pool.exchange(ID, address, || Some(request("/mute", 0)));
-        let mute = compio::time::timeout(DOUBT + Duration::from_millis(50), mute).await;
+        let mute = compio::time::timeout(SUSPECT_AFTER + Duration::from_millis(50), mute).await;
         assert!(mute.is_err(), "{mute:?}");
         let next = pool.exchange(ID, address, || Some(request("/", 0))).await;
         assert!(matches!(next, Exchange::Whole(..)), "{next:?}");
@@ -121,9 +123,9 @@
         let pool = Pool::default();
         let (address, got) = warm(&pool).await;
         let mute = pool.exchange(ID, address, || Some(request("/mute", 0)));
-        let mute = compio::time::timeout(DOUBT + Duration::from_millis(50), mute);
+        let mute = compio::time::timeout(SUSPECT_AFTER + Duration::from_millis(50), mute);
         let other = async {
-            compio::time::sleep(DOUBT / 2).await;
+            compio::time::sleep(SUSPECT_AFTER / 2).await;
             pool.exchange(ID, address, || Some(request("/", 0))).await
         };
         let (mute, other) = futures_util::future::join(mute, other).await;
--- a/elmstream_edge/tests/content.rs
+++ b/elmstream_edge/tests/content.rs
@@ -33,8 +33,10 @@
         let (lines, written) = mpsc::channel();
         let logging = Logging { sample: 0, lines_per_s: 100, beliefs_per_s: 0 };
         let ip = ip();
-        let edge =
-            Edge::with_event_log(support::settings(ip, &[]), EventLog::to(&logging, Lines(lines)));
+        let edge = Edge::with_event_log(
+            support::settings(ip, &[]),
+            EventLog::with_output(&logging, Lines(lines)),
+        );
         let host = start_edge(ip, edge, &store);
         assert!(until(Duration::from_secs(3), || host.edge.serves()).await);
         for (id, path) in [("a", "/one?x=1"), ("b", "/one?x=1"), ("c", "/one?x=2")] {
