--- a/elmstream_edge/tests/delays.rs
+++ b/elmstream_edge/tests/delays.rs
@@ -60,7 +60,9 @@
 
     /// Until the reader asks again, if it is well: the store answers at once.
     fn noticed(self, table: Table) -> u64 {
-        reader_rank::read_delay(table, 0, self.bound) / MILLI + millis(store_reader::LOOK) + WAY
+        reader_rank::read_delay(table, 0, self.bound) / MILLI
+            + millis(store_reader::TURN_CHECK_INTERVAL)
+            + WAY
     }
 
     /// Until another host has heard of urgent news.
@@ -84,7 +86,10 @@
     fn fallback(self) -> u64 {
         let apart = (self.hosts as u64 * store_schedule::BEHIND_SLOT / MILLI)
             .min(store_schedule::BEHIND_SPREAD / MILLI);
-        store_schedule::BEHIND_WAIT / MILLI + apart + millis(store_reader::LOOK) + self.read()
+        store_schedule::BEHIND_WAIT / MILLI
+            + apart
+            + millis(store_reader::TURN_CHECK_INTERVAL)
+            + self.read()
     }
 
     /// Until another host asks in place of those of the first ranks that have just died.
@@ -94,12 +99,13 @@
         let by_slot = if dead >= reader_rank::READER_RANKS { slots } else { 0 };
         reader_rank::read_delay(table, dead, self.bound) / MILLI
             + by_slot
-            + millis(store_reader::LOOK)
+            + millis(store_reader::TURN_CHECK_INTERVAL)
     }
 
     /// Until somebody asks a store that is back.
     fn found_back(self) -> u64 {
-        EMPTY_SLOTS * store_schedule::FLEET_READ_SLOT / MILLI + millis(store_reader::LOOK)
+        EMPTY_SLOTS * store_schedule::FLEET_READ_SLOT / MILLI
+            + millis(store_reader::TURN_CHECK_INTERVAL)
     }
 
     /// Until a reader whose kept connection has fallen silent asks over a new one.
@@ -139,8 +145,10 @@
         let seeds = 2 * WAY + fetch_schedule::HEDGE_DELAY / MILLI;
         check(fleet, "a seed tells a host that starts", seeds + fleet.read(), 1_000);
         let apart = startup::READ_SPREAD / MILLI;
-        let alone =
-            startup::PEER_WAIT_MAX / MILLI + apart + millis(store_reader::LOOK) + fleet.read();
+        let alone = startup::PEER_WAIT_MAX / MILLI
+            + apart
+            + millis(store_reader::TURN_CHECK_INTERVAL)
+            + fleet.read();
         check(fleet, "nobody tells it anything", alone, 1_500);
     }
 }
@@ -174,7 +182,7 @@
     // the next ranks ask as well.
     for fleet in FLEETS.into_iter().filter(|fleet| fleet.hosts <= 89) {
         let asks = reader_rank::read_delay(Table::Rules, 0, fleet.bound) / MILLI
-            + millis(store_reader::LOOK);
+            + millis(store_reader::TURN_CHECK_INTERVAL);
         let waits = (fleet.bound as f64 * reader_rank::WAIT_PART) as u64;
         let round = members::heartbeat_interval(fleet.hosts - 1) / MILLI;
         let second = reader_rank::read_delay(Table::Rules, 1, fleet.bound) / MILLI;
--- a/elmstream_edge/tests/fetches.rs
+++ b/elmstream_edge/tests/fetches.rs
@@ -46,7 +46,7 @@
 fn fail(fetches: &mut FetchSchedule, now: Time, number: u8) {
     fetches.offer(now, Rules, host(number), &knows(2));
     assert_eq!(fetches.next(now, Rules, newer_than(1)), Some(host(number)));
-    fetches.ended(now, Rules, host(number), FetchOutcome::Failed);
+    fetches.on_fetch_ended(now, Rules, host(number), FetchOutcome::Failed);
 }
 
 /// Plays beats each 50 ms of mute hosts and then of a sound one, whose fetch takes no
@@ -57,14 +57,14 @@
         let now = from + step * 10 * MILLI;
         for (began, mute) in under_way.extract_if(.., |(began, _)| now.since(*began) >= FETCH) {
             assert!(now.since(began) >= FETCH);
-            fetches.ended(now, Rules, mute, FetchOutcome::Failed);
+            fetches.on_fetch_ended(now, Rules, mute, FetchOutcome::Failed);
         }
         if step % 5 == 0 {
             offers(fetches, now, [sound].into_iter().chain(0..mute));
         }
         while let Some(asked) = fetches.next(now, Rules, newer_than(1)) {
             if asked == host(sound) {
-                fetches.ended(now, Rules, asked, FetchOutcome::Received);
+                fetches.on_fetch_ended(now, Rules, asked, FetchOutcome::Received);
                 return now.since(from);
             }
             under_way.push((now, asked));
@@ -131,7 +131,7 @@
     let mut fetches = fetches();
     offers(&mut fetches, START, [1]);
     assert_eq!(fetches.next(START, Rules, newer_than(1)), Some(host(1)));
-    fetches.ended(START, Rules, host(1), FetchOutcome::Received);
+    fetches.on_fetch_ended(START, Rules, host(1), FetchOutcome::Received);
     assert_eq!(fetches.next(START + SECOND, Rules, newer_than(1)), None);
     offers(&mut fetches, START + SECOND, [1]);
     assert_eq!(fetches.next(START + SECOND, Rules, newer_than(1)), Some(host(1)));
@@ -143,10 +143,10 @@
     offers(&mut fetches, START, [1, 2]);
     let now = START + 10;
     assert_eq!(fetches.next(now, Rules, newer_than(1)), Some(host(2)));
-    let again = fetches.ended(now, Rules, host(2), FetchOutcome::Refused);
+    let again = fetches.on_fetch_ended(now, Rules, host(2), FetchOutcome::Refused);
     assert!(again.since(now) >= RETRY_PAUSE && again.since(now) < RETRY_PAUSE + RETRY_JITTER);
     assert_eq!(fetches.next(now, Rules, newer_than(1)), Some(host(1)));
-    fetches.ended(now, Rules, host(1), FetchOutcome::Refused);
+    fetches.on_fetch_ended(now, Rules, host(1), FetchOutcome::Refused);
     assert_eq!(fetches.next(now, Rules, newer_than(1)), None);
     assert!(fetches.next(now + RETRY_PAUSE + RETRY_JITTER, Rules, newer_than(1)).is_some());
 }
@@ -157,7 +157,7 @@
         let mut fetches = FetchSchedule::new(seed);
         offers(&mut fetches, START, [1]);
         fetches.next(START, Rules, newer_than(1));
-        fetches.ended(START, Rules, host(1), FetchOutcome::Refused)
+        fetches.on_fetch_ended(START, Rules, host(1), FetchOutcome::Refused)
     };
     let mut times: Vec<Time> = (0..100).map(again).collect();
     times.sort();
@@ -174,7 +174,7 @@
         offers(&mut fetches, now, [2, 1]);
         if let Some(asked) = fetches.next(now, Rules, newer_than(1)) {
             assert_eq!(asked, host(2));
-            fetches.ended(now, Rules, asked, FetchOutcome::Refused);
+            fetches.on_fetch_ended(now, Rules, asked, FetchOutcome::Refused);
         }
     }
 }
@@ -205,7 +205,7 @@
     let now = START + FAILED_HOST_PAUSE;
     fetches.offer(now, Servers, host(1), &knows(2));
     assert_eq!(fetches.next(now, Servers, newer_than(1)), Some(host(1)));
-    fetches.ended(now, Servers, host(1), FetchOutcome::Received);
+    fetches.on_fetch_ended(now, Servers, host(1), FetchOutcome::Received);
     offers(&mut fetches, now, [2, 1]);
     assert_eq!(fetches.next(now + 10, Rules, newer_than(1)), Some(host(1)));
 }
@@ -228,13 +228,13 @@
         assert!(first <= u64::from(mute) * HEDGE_DELAY + 10 * MILLI, "{mute} mute: {first} us");
         // What is under way at the end of a play goes on; it is given up here.
         for number in 0..mute {
-            fetches.ended(START + SECOND, Rules, host(number), FetchOutcome::Failed);
+            fetches.on_fetch_ended(START + SECOND, Rules, host(number), FetchOutcome::Failed);
         }
         for second in 2..30 {
             let later = until_sound(&mut fetches, START + second * SECOND, mute, 9);
             assert!(later <= 50 * MILLI, "{mute} mute, {second} s: {later} us");
             for number in 0..mute {
-                fetches.ended(
+                fetches.on_fetch_ended(
                     START + (second + 1) * SECOND,
                     Rules,
                     host(number),
--- a/elmstream_edge/tests/journal.rs
+++ b/elmstream_edge/tests/journal.rs
@@ -45,7 +45,7 @@
 fn the_last_line_of_a_process_is_written() {
     for _ in 0..50 {
         let output = Output::default();
-        let journal = EventLog::to(&LOGGING, output.clone());
+        let journal = EventLog::with_output(&LOGGING, output.clone());
         journal.write("stopped", json!({"host": "h"}));
         journal.close();
         assert_eq!(output.lines().last().expect("a line")["event"], "stopped");
@@ -55,7 +55,7 @@
 #[test]
 fn nobody_who_reads_holds_up_nothing_and_what_is_left_out_is_counted() {
     let output = Output::default();
-    let journal = EventLog::to(&LOGGING, output.clone());
+    let journal = EventLog::with_output(&LOGGING, output.clone());
     let held = output.hold();
     let written = 5_000;
     for number in 0..written {
@@ -78,7 +78,7 @@
 #[test]
 fn an_end_does_not_wait_for_a_reader_that_does_not_read() {
     let output = Output::default();
-    let journal = EventLog::to(&LOGGING, output.clone());
+    let journal = EventLog::with_output(&LOGGING, output.clone());
     let held = output.hold();
     journal.write("stopped", json!({}));
     journal.close();
@@ -88,7 +88,7 @@
 #[test]
 fn lines_of_each_kind_are_bounded_and_what_the_process_depends_on_is_not() {
     let output = Output::default();
-    let journal = EventLog::to(&LOGGING, output.clone());
+    let journal = EventLog::with_output(&LOGGING, output.clone());
     for _ in 0..100 {
         journal.request("refused", json!({}));
         journal.state_change("server", json!({}));
--- a/elmstream_edge/tests/start.rs
+++ b/elmstream_edge/tests/start.rs
@@ -277,7 +277,7 @@
                 }
             }
             Event::Fetched(host, table, end, told) => {
-                node.fetches.ended(now, table, host, end);
+                node.fetches.on_fetch_ended(now, table, host, end);
                 if end == FetchOutcome::Failed
                     || told.as_ref().is_some_and(|t| t.table.status.last_read.is_none())
                 {
--- a/elmstream_edge/tests/stop.rs
+++ b/elmstream_edge/tests/stop.rs
@@ -71,7 +71,7 @@
 #[test]
 fn a_connection_rests_longer_than_its_limit() {
     for limit in [0, 2, 15, 20, 60, 600].map(Duration::from_secs) {
-        let rest = connections::rest(limit);
+        let rest = connections::idle_timeout(limit);
         assert!(rest >= limit + Duration::from_secs(5), "{limit:?}: {rest:?}");
     }
 }
