--- a/elmstream_edge/tests/delays.rs
+++ b/elmstream_edge/tests/delays.rs
@@ -1,10 +1,10 @@
-//! News must reach all hosts within their bound: the sum of all that may delay them.
+//! News must reach all hosts within their bound, which covers the sum of all delays.
 //!
-//! A configuration was once late by a sum that nobody had written down: a wait for
-//! changes, the time for an answer, the turns of those who take over, their own time
-//! for an answer, and a pause that grew with the fleet. Each was reasonable; together
-//! they came to 6 s at 74 hosts, where 3 s are allowed. This test adds up what the
-//! constants say, for each kind of news and trouble and for fleets of any size.
+//! Configurations can be late by a sum of delays of which each is reasonable: the wait for
+//! changes, the response timeout, the slots of the hosts that take over, their response
+//! timeout, and a pause that grows with the fleet. Together they came to 6 s at 74
+//! hosts, where 3 s are allowed. This test adds up the constants for each kind of news and
+//! fault and for fleets of all sizes.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
     view::{TABLES, Table},
 };
 
-/// To another region and back.
-const WAY: u64 = 70;
-/// A whole reading of a well store by one of the faster hosts: a connection and two pages
-/// over such a way, 200 KB at 20 Mbit/s; one small page in a small fleet.
-const READ: u64 = 300;
-const READ_SMALL: u64 = 150;
-/// Hosts of a small fleet.
-const SMALL: usize = 12;
-/// Slots in which no host of a fleet happens to ask, at most: a draw of e^-10.
-const EMPTY_SLOTS: u64 = 10;
-/// The same beside another fault: a draw of e^-4.
-const EMPTY_SLOTS_BESIDE: u64 = 4;
-
-/// A fleet and what it has to keep, in milliseconds.
+/// Round trip to another region, in milliseconds.
+const ROUND_TRIP_MS: u64 = 70;
+/// Full read of a healthy store by one of the faster hosts, in milliseconds: a connection and
+/// two pages over such a distance, 200 KB at 20 Mbit/s; one small page in a small fleet.
+const FULL_READ_MS: u64 = 300;
+const SMALL_FLEET_READ_MS: u64 = 150;
+/// Size of a small fleet.
+const SMALL_FLEET_HOSTS: usize = 12;
+/// Most consecutive slots in which no host of a fleet asks; more have a probability of e^-10.
+const EMPTY_SLOTS_MAX: u64 = 10;
+/// The same in combination with another fault, with a probability of e^-4.
+const EMPTY_SLOTS_MAX_WITH_FAULT: u64 = 4;
+
+/// A fleet and its bounds, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
     hosts: usize,
-    /// From the acknowledgement of the store until all hosts act on it.
+    /// From the store's acknowledgement until all hosts apply the change.
     bound: u64,
-    /// From the end of the store's trouble until bounds hold again.
+    /// From the end of a store fault until bounds hold again.
     contact: u64,
 }
 
@@ -55,137 +55,143 @@
 
 impl Fleet {
     fn read(self) -> u64 {
-        if self.hosts <= SMALL { READ_SMALL } else { READ }
+        if self.hosts <= SMALL_FLEET_HOSTS { SMALL_FLEET_READ_MS } else { FULL_READ_MS }
     }
 
-    /// Until the reader asks again, if it is well: the store answers at once.
-    fn noticed(self, table: Table) -> u64 {
+    /// Until the reader calls the store again, if both are healthy: the store answers at
+    /// once.
+    fn until_read(self, table: Table) -> u64 {
         reader_rank::read_delay(table, 0, self.bound) / MILLI
             + millis(store_reader::TURN_CHECK_INTERVAL)
-            + WAY
+            + ROUND_TRIP_MS
     }
 
-    /// Until another host has heard of urgent news.
-    fn told(self) -> u64 {
-        millis(peers::HEARTBEAT_CHECK_INTERVAL) + millis(peers::URGENT_INTERVAL) + WAY / 2
+    /// Until another host has received urgent news.
+    fn until_notified(self) -> u64 {
+        millis(peers::HEARTBEAT_CHECK_INTERVAL) + millis(peers::URGENT_INTERVAL) + ROUND_TRIP_MS / 2
     }
 
-    /// Hands through which news go. Each second round of beats reaches other regions.
+    /// Hops that news take. Every second round of heartbeats reaches other regions.
     fn hops(self) -> u64 {
         let reached = (members::NEAR_FANOUT + members::FAR_FANOUT / 2) as f64;
         (self.hosts as f64).log(reached).ceil().max(1.0) as u64
     }
 
-    /// Until all have fetched them from hand to hand; who is slow is not waited for.
-    fn spread(self) -> u64 {
-        self.hops() * (self.told() + fetch_schedule::HEDGE_DELAY / MILLI)
+    /// Until all hosts have fetched the rows hop by hop; slow hosts are not waited for.
+    fn until_spread(self) -> u64 {
+        self.hops() * (self.until_notified() + fetch_schedule::HEDGE_DELAY / MILLI)
     }
 
-    /// Until a host that cannot fetch them has read them itself, also if its last call
+    /// Until a host that cannot fetch rows has read the store itself, even if its last call
     /// failed: that pause is over by then.
-    fn fallback(self) -> u64 {
-        let apart = (self.hosts as u64 * store_schedule::BEHIND_SLOT / MILLI)
+    fn own_read(self) -> u64 {
+        let stagger = (self.hosts as u64 * store_schedule::BEHIND_SLOT / MILLI)
             .min(store_schedule::BEHIND_SPREAD / MILLI);
         store_schedule::BEHIND_WAIT / MILLI
-            + apart
+            + stagger
             + millis(store_reader::TURN_CHECK_INTERVAL)
             + self.read()
     }
 
-    /// Until another host asks in place of those of the first ranks that have just died.
-    /// However late it heard of their last reading, that counts as old as it is.
-    fn taken_over(self, table: Table, dead: u64) -> u64 {
-        let slots = EMPTY_SLOTS_BESIDE * store_schedule::FLEET_READ_SLOT / MILLI;
+    /// Until another host takes over from hosts of the first ranks that have just died. Their
+    /// last read counts with its true age, however late the other host learned of it.
+    fn until_takeover(self, table: Table, dead: u64) -> u64 {
+        let slots = EMPTY_SLOTS_MAX_WITH_FAULT * store_schedule::FLEET_READ_SLOT / MILLI;
         let by_slot = if dead >= reader_rank::READER_RANKS { slots } else { 0 };
         reader_rank::read_delay(table, dead, self.bound) / MILLI
             + by_slot
             + millis(store_reader::TURN_CHECK_INTERVAL)
     }
 
-    /// Until somebody asks a store that is back.
-    fn found_back(self) -> u64 {
-        EMPTY_SLOTS * store_schedule::FLEET_READ_SLOT / MILLI
+    /// Until any host calls a store that has recovered.
+    fn until_store_found(self) -> u64 {
+        EMPTY_SLOTS_MAX * store_schedule::FLEET_READ_SLOT / MILLI
             + millis(store_reader::TURN_CHECK_INTERVAL)
     }
 
-    /// Until a reader whose kept connection has fallen silent asks over a new one.
-    fn renewed(self) -> u64 {
+    /// Until a reader whose reused connection stopped responding calls over a new one.
+    fn until_reconnected(self) -> u64 {
         (self.bound as f64 * reader_rank::WAIT_PART) as u64 + millis(ANSWER_TIMEOUT)
     }
 }
 
-fn check(fleet: Fleet, what: &str, sum: u64, most: u64) {
-    println!("{:>5} hosts  {what:<46} {sum:>5} of {most} ms", fleet.hosts);
-    assert!(sum <= most, "{fleet:?}: {what}: {sum} ms, allowed are {most}");
+fn check(fleet: Fleet, what: &str, sum: u64, allowed: u64) {
+    println!("{:>5} hosts  {what:<46} {sum:>5} of {allowed} ms", fleet.hosts);
+    assert!(sum <= allowed, "{fleet:?}: {what}: {sum} ms of {allowed} ms");
 }
 
 #[test]
-fn news_are_in_time_whoever_fails() {
+fn news_arrive_in_time_if_any_host_fails() {
     for fleet in FLEETS {
         for table in TABLES {
-            let noticed = fleet.noticed(table);
-            check(fleet, "all are well", noticed + fleet.spread(), fleet.bound);
-            let alone = noticed + fleet.spread() + fleet.fallback();
-            check(fleet, "a host cannot fetch them", alone, fleet.bound);
-            let after_death = fleet.taken_over(table, 1) + fleet.read() + fleet.spread();
+            let until_read = fleet.until_read(table);
+            check(fleet, "no host fails", until_read + fleet.until_spread(), fleet.bound);
+            let without_peers = until_read + fleet.until_spread() + fleet.own_read();
+            check(fleet, "a host cannot fetch them", without_peers, fleet.bound);
+            let after_death = fleet.until_takeover(table, 1) + fleet.read() + fleet.until_spread();
             check(fleet, "the reader has just died", after_death, fleet.bound);
-            let taken_over = fleet.taken_over(table, reader_rank::READER_RANKS + 1);
-            let sum = taken_over + fleet.read() + fleet.spread();
+            let until_takeover = fleet.until_takeover(table, reader_rank::READER_RANKS + 1);
+            let sum = until_takeover + fleet.read() + fleet.until_spread();
             check(fleet, "the first ranks have just died", sum, fleet.bound);
-            let renewed = fleet.renewed() + fleet.read() + fleet.spread();
-            check(fleet, "the reader's connection is silent", renewed, fleet.bound);
+            let until_reconnected = fleet.until_reconnected() + fleet.read() + fleet.until_spread();
+            check(fleet, "the reader's connection is broken", until_reconnected, fleet.bound);
         }
     }
 }
 
-/// A host that starts is told by others; if nobody tells it anything, it asks the store.
+/// A starting host gets its tables from other hosts, and reads the store if none answers.
 #[test]
-fn a_host_that_starts_knows_all_soon() {
+fn starting_host_knows_all_in_time() {
     for fleet in FLEETS {
-        let seeds = 2 * WAY + fetch_schedule::HEDGE_DELAY / MILLI;
-        check(fleet, "a seed tells a host that starts", seeds + fleet.read(), 1_000);
-        let apart = startup::READ_SPREAD / MILLI;
-        let alone = startup::PEER_WAIT_MAX / MILLI
-            + apart
+        let seeds = 2 * ROUND_TRIP_MS + fetch_schedule::HEDGE_DELAY / MILLI;
+        check(fleet, "a seed answers a starting host", seeds + fleet.read(), 1_000);
+        let stagger = startup::READ_SPREAD / MILLI;
+        let without_peers = startup::PEER_WAIT_MAX / MILLI
+            + stagger
             + millis(store_reader::TURN_CHECK_INTERVAL)
             + fleet.read();
-        check(fleet, "nobody tells it anything", alone, 1_500);
+        check(fleet, "no seed answers", without_peers, 1_500);
     }
 }
 
 #[test]
-fn news_are_in_time_after_an_outage_of_the_store() {
+fn news_arrive_in_time_after_a_store_outage() {
     for fleet in FLEETS {
-        let found = fleet.found_back() + fleet.read() + fleet.spread();
-        check(fleet, "the store is back", found, fleet.contact);
-        check(fleet, "and a host cannot fetch them", found + fleet.fallback(), fleet.contact);
+        let store_found = fleet.until_store_found() + fleet.read() + fleet.until_spread();
+        check(fleet, "the store is back", store_found, fleet.contact);
+        check(fleet, "and a host cannot fetch them", store_found + fleet.own_read(), fleet.contact);
     }
 }
 
-/// After its return from a copy the store is found as after an outage; both tables are read
-/// whole by those who ask first, and the others are told what has changed. What holds on
-/// from before is known at once, so only news wait for that.
+/// After a restore the store is found like after an outage; the hosts that call first read
+/// both tables completely, and the others fetch the changes. Retained rows stay in force
+/// meanwhile, so only news wait for this.
 #[test]
-fn news_are_in_time_after_the_store_came_back_from_a_copy() {
+fn news_arrive_in_time_after_a_store_restore() {
     for fleet in FLEETS {
-        // An answer that the return made void, and the whole reading that follows it.
-        let read = WAY + fleet.read();
-        let found = fleet.found_back() + read + fleet.spread();
-        check(fleet, "the store is back from a copy", found, fleet.contact);
-        check(fleet, "and a host cannot fetch them", found + fleet.fallback(), fleet.contact);
+        // A response that the restore made void, and the full read that follows it.
+        let read = ROUND_TRIP_MS + fleet.read();
+        let store_found = fleet.until_store_found() + read + fleet.until_spread();
+        check(fleet, "the store is restored", store_found, fleet.contact);
+        check(fleet, "and a host cannot fetch them", store_found + fleet.own_read(), fleet.contact);
     }
 }
 
 #[test]
-fn the_second_host_is_silent_while_the_first_one_reads() {
-    // In large fleets news of readings pass through hosts and come later; there some of
-    // the next ranks ask as well.
+fn second_reader_does_not_read_while_the_first_does() {
+    // In large fleets news of reads take several hops and arrive later; there some of the
+    // next ranks read as well.
     for fleet in FLEETS.into_iter().filter(|fleet| fleet.hosts <= 89) {
-        let asks = reader_rank::read_delay(Table::Rules, 0, fleet.bound) / MILLI
+        let until_call = reader_rank::read_delay(Table::Rules, 0, fleet.bound) / MILLI
             + millis(store_reader::TURN_CHECK_INTERVAL);
-        let waits = (fleet.bound as f64 * reader_rank::WAIT_PART) as u64;
+        let long_poll = (fleet.bound as f64 * reader_rank::WAIT_PART) as u64;
         let round = members::heartbeat_interval(fleet.hosts - 1) / MILLI;
-        let second = reader_rank::read_delay(Table::Rules, 1, fleet.bound) / MILLI;
-        check(fleet, "a round of readings", asks + waits + round + WAY / 2, second);
+        let second_delay = reader_rank::read_delay(Table::Rules, 1, fleet.bound) / MILLI;
+        check(
+            fleet,
+            "a round of reads",
+            until_call + long_poll + round + ROUND_TRIP_MS / 2,
+            second_delay,
+        );
     }
 }
--- a/elmstream_edge/tests/gate.rs
+++ b/elmstream_edge/tests/gate.rs
@@ -1,13 +1,13 @@
-//! A gate lets no more through than it has places.
+//! A concurrency limit never hands out more permits than it has.
 
 use elmstream_edge::concurrency_limit::ConcurrencyLimit;
 
 #[test]
-fn places_are_bounded_and_given_back() {
-    let gate = ConcurrencyLimit::new(2);
-    let first = gate.try_acquire().expect("a place");
-    let _second = gate.try_acquire().expect("a place");
-    assert!(gate.try_acquire().is_none());
+fn permits_are_bounded_and_returned() {
+    let limit = ConcurrencyLimit::new(2);
+    let first = limit.try_acquire().expect("a permit");
+    let _second = limit.try_acquire().expect("a permit");
+    assert!(limit.try_acquire().is_none());
     drop(first);
-    assert!(gate.try_acquire().is_some());
+    assert!(limit.try_acquire().is_some());
 }
