--- a/elmstream_edge/tests/content_cost.rs
+++ b/elmstream_edge/tests/content_cost.rs
@@ -1,6 +1,7 @@
-//! What it costs to know which requests are the same.
+//! Cost of request digests.
 //!
-//! As long as no server has ended under a request it costs nothing, as no digest is made.
+//! As long as no server has crashed under a request there is no cost, as no digest is
+//! computed.
 
 use std::{cell::OnceCell, hint::black_box, rc::Rc, time::Instant};
 
@@ -10,14 +11,14 @@
 use elmstream_steer::model::{Repeatability, Route, WeightedService};
 use http::{HeaderMap, Method};
 
-/// Requests that are timed, and how often; the fastest time counts.
+/// Requests in a timed run, and number of runs; the fastest run counts.
 const REQUESTS: usize = 2_000;
 const RUNS: usize = 5;
-/// Nanoseconds that a request without a body may cost, with room for a busy machine and
-/// for the test's profile.
-const MOST: u128 = 20_000;
+/// Nanoseconds that the digests of a request without a body may take, with a margin for a
+/// busy machine and for the test profile.
+const NANOS_MAX: u128 = 20_000;
 
-fn call(bytes: usize) -> CallerRequest {
+fn caller_request(bytes: usize) -> CallerRequest {
     let route = Route {
         name: "r".into(),
         host: "shop.example".into(),
@@ -52,13 +53,13 @@
     }
 }
 
-/// Nanoseconds of both digests of a request.
+/// Nanoseconds that both digests of a request take.
 fn cost(bytes: usize, requests: usize) -> u128 {
-    let call = call(bytes);
+    let caller_request = caller_request(bytes);
     let run = || {
         let began = Instant::now();
         for _ in 0..requests {
-            black_box(RequestDigests::of("a secret of the fleet", black_box(&call)));
+            black_box(RequestDigests::of("a secret of the fleet", black_box(&caller_request)));
         }
         began.elapsed().as_nanos() / requests as u128
     };
@@ -66,8 +67,8 @@
 }
 
 #[test]
-fn digests_of_a_request_cost_little() {
+fn digests_of_a_request_are_cheap() {
     let nanos = cost(0, REQUESTS);
     println!("no body: {nanos} ns; 60 KB: {} ns", cost(60_000, REQUESTS / 20));
-    assert!(nanos <= MOST, "{nanos} ns");
+    assert!(nanos <= NANOS_MAX, "{nanos} ns");
 }
--- a/elmstream_edge/tests/journal.rs
+++ b/elmstream_edge/tests/journal.rs
@@ -1,4 +1,4 @@
-//! What the process writes, whether somebody reads it or not.
+//! The event log, with and without a reader of its output.
 
 use std::{
     io::{self, Write},
@@ -8,16 +8,16 @@
 use elmstream_edge::{event_log::EventLog, settings::Logging};
 use serde_json::{Value, json};
 
-/// An output that keeps what is written, and can be held up.
+/// An output that collects what is written and can be blocked.
 #[derive(Clone, Default)]
 struct Output {
     text: Arc<Mutex<Vec<u8>>>,
-    held: Arc<Mutex<()>>,
+    blocked: Arc<Mutex<()>>,
 }
 
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _held = self.held.lock();
+        let _held = self.blocked.lock();
         self.text.lock().expect("no other user panicked").extend(bytes);
         Ok(bytes.len())
     }
@@ -28,8 +28,8 @@
 }
 
 impl Output {
-    fn hold(&self) -> MutexGuard<'_, ()> {
-        self.held.lock().expect("no other user panicked")
+    fn block(&self) -> MutexGuard<'_, ()> {
+        self.blocked.lock().expect("no other user panicked")
     }
 
     fn lines(&self) -> Vec<Value> {
@@ -42,61 +42,61 @@
 const LOGGING: Logging = Logging { sample: 0, lines_per_s: 10, beliefs_per_s: 5 };
 
 #[test]
-fn the_last_line_of_a_process_is_written() {
+fn last_line_is_written_before_close_returns() {
     for _ in 0..50 {
         let output = Output::default();
-        let journal = EventLog::with_output(&LOGGING, output.clone());
-        journal.write("stopped", json!({"host": "h"}));
-        journal.close();
+        let event_log = EventLog::with_output(&LOGGING, output.clone());
+        event_log.write("stopped", json!({"host": "h"}));
+        event_log.close();
         assert_eq!(output.lines().last().expect("a line")["event"], "stopped");
     }
 }
 
 #[test]
-fn nobody_who_reads_holds_up_nothing_and_what_is_left_out_is_counted() {
+fn stalled_reader_never_blocks_and_dropped_lines_are_counted() {
     let output = Output::default();
-    let journal = EventLog::with_output(&LOGGING, output.clone());
-    let held = output.hold();
+    let event_log = EventLog::with_output(&LOGGING, output.clone());
+    let blocked = output.block();
     let written = 5_000;
     for number in 0..written {
-        journal.write("event", json!({"number": number}));
+        event_log.write("event", json!({"number": number}));
     }
     // The end of the process does not wait for a reader either.
-    drop(held);
+    drop(blocked);
     while output.lines().is_empty() {
         std::thread::yield_now();
     }
-    journal.write("last", json!({}));
-    journal.close();
+    event_log.write("last", json!({}));
+    event_log.close();
     let lines = output.lines();
     let dropped: u64 = lines.iter().filter_map(|line| line["dropped"].as_u64()).sum();
-    let kept = lines.iter().filter(|line| line["event"] == "event").count() as u64;
-    assert_eq!(kept + dropped, written);
-    assert!(kept < written);
+    let written_lines = lines.iter().filter(|line| line["event"] == "event").count() as u64;
+    assert_eq!(written_lines + dropped, written);
+    assert!(written_lines < written);
 }
 
 #[test]
-fn an_end_does_not_wait_for_a_reader_that_does_not_read() {
+fn close_does_not_wait_for_a_stalled_reader() {
     let output = Output::default();
-    let journal = EventLog::with_output(&LOGGING, output.clone());
-    let held = output.hold();
-    journal.write("stopped", json!({}));
-    journal.close();
-    drop(held);
+    let event_log = EventLog::with_output(&LOGGING, output.clone());
+    let blocked = output.block();
+    event_log.write("stopped", json!({}));
+    event_log.close();
+    drop(blocked);
 }
 
 #[test]
-fn lines_of_each_kind_are_bounded_and_what_the_process_depends_on_is_not() {
+fn lines_are_limited_by_kind_except_process_events() {
     let output = Output::default();
-    let journal = EventLog::with_output(&LOGGING, output.clone());
+    let event_log = EventLog::with_output(&LOGGING, output.clone());
     for _ in 0..100 {
-        journal.request("refused", json!({}));
-        journal.state_change("server", json!({}));
+        event_log.request("refused", json!({}));
+        event_log.state_change("server", json!({}));
     }
-    journal.write("store_lost", json!({}));
-    journal.close();
+    event_log.write("store_lost", json!({}));
+    event_log.close();
     let count = |event: &str| output.lines().iter().filter(|line| line["event"] == event).count();
-    // A second may begin in between.
+    // A new second may begin in between.
     assert!((10..=20).contains(&count("refused")));
     assert!((5..=10).contains(&count("server")));
     assert_eq!(count("store_lost"), 1);
