--- a/elmstream_edge/tests/access.rs
+++ b/elmstream_edge/tests/access.rs
@@ -1,4 +1,4 @@
-//! Workspaces: keys, names, homes and limits, as callers and backend servers see them.
+//! Workspaces: keys, names, home regions and limits, as callers and backend servers see them.
 
 mod support;
 
@@ -22,12 +22,12 @@
 use http_body_util::BodyExt;
 use hyper::client::conn::http1::SendRequest;
 use support::{
-    Got, Running, Store, backend, configuration, good, header as field, ip, run, server, settings,
-    start_edge, start_with, until,
+    Received, Running, Store, backend, configuration, good, header as field, ip, run, server,
+    settings, start_edge, start_with, until,
 };
 
-/// Workspaces `w` and `v` with a key each, one that may send 24 requests in a window, and
-/// an open route.
+/// Workspaces `w` and `v` with a key each, workspace `few` that may send 24 requests in a
+/// window, and an open route.
 fn workspaces(version: u64, change: impl Fn(&mut Configuration)) -> RowContent {
     let RowContent::Configuration(mut configuration) = configuration(version, Repeatability::Safe)
     else {
@@ -48,29 +48,29 @@
     RowContent::Configuration(configuration)
 }
 
-/// A host with a server, and what that gets.
-async fn serving() -> (Store, Running, Got) {
+/// A host with a server, and what the server receives.
+async fn serving() -> (Store, Running, Received) {
     let ip = ip();
     serving_with(ip, Edge::new(settings(ip, &[]))).await
 }
 
-/// The same of a host that has been made.
-async fn serving_with(at: IpAddr, edge: Rc<Edge>) -> (Store, Running, Got) {
-    let (address, got) = backend(ip(), |head| good(head, "ok")).await;
+/// Starts the given host with a server, and returns what the server receives.
+async fn serving_with(at: IpAddr, edge: Rc<Edge>) -> (Store, Running, Received) {
+    let (address, received) = backend(ip(), |head| good(head, "ok")).await;
     let store = Store::default();
     store.put(RowKey::Configuration, Some(workspaces(1, |_| ())));
     store.put(RowKey::Server("s-0".into()), Some(server(address)));
     let running = start_edge(at, edge, &store);
-    let knows = || running.edge.serves() && running.edge.steer.borrow().has_host_list();
-    assert!(until(Duration::from_secs(3), knows).await, "the host is ready");
-    (store, running, got)
+    let is_ready = || running.edge.serves() && running.edge.steer.borrow().has_host_list();
+    assert!(until(Duration::from_secs(3), is_ready).await, "the host is ready");
+    (store, running, received)
 }
 
 async fn connect(host: SocketAddr) -> SendRequest<LocalBody> {
     client::connect(host, Duration::from_secs(1)).await.expect("a connection")
 }
 
-/// Status, code and headers of an answer.
+/// Status, result code and headers of a response.
 struct Answer {
     status: u16,
     code: String,
@@ -87,14 +87,14 @@
         request = request.header(*name, *value);
     }
     let request = request.body(body::empty()).expect("a request");
-    let (parts, rest) = sender.send_request(request).await.expect("an answer").into_parts();
-    rest.collect().await.expect("a whole answer");
+    let (parts, incoming) = sender.send_request(request).await.expect("an answer").into_parts();
+    incoming.collect().await.expect("a whole answer");
     let code = parts.headers.get("elmstream-code").map(|code| code.to_str().unwrap_or_default());
     let code = code.unwrap_or_default().to_owned();
     Answer { status: parts.status.as_u16(), code, headers: parts.headers }
 }
 
-/// Asks over a connection of its own.
+/// Sends a request over a new connection.
 async fn once(host: SocketAddr, path: &str, headers: &[(&str, &str)]) -> (u16, String) {
     let answer = ask(&mut connect(host).await, path, headers).await;
     (answer.status, answer.code)
@@ -105,17 +105,18 @@
 }
 
 #[test]
-fn a_route_asks_for_a_key_unless_it_is_open() {
+fn route_requires_a_key_unless_it_is_open() {
     run(async || {
-        let (_store, host, got) = serving().await;
+        let (_store, host, received) = serving().await;
         let at = host.callers;
         let key = |key| [("authorization", key)];
         assert_eq!(once(at, "/a", &[]).await, denied(1003));
         assert_eq!(once(at, "/a", &key("Bearer key-x")).await, denied(1004));
         assert_eq!(once(at, "/a", &key("Bearer key-w ")).await.0, 200);
         assert_eq!(once(at, "/a", &key("bearer key-w")).await.0, 200);
-        for unclear in ["key-w", "Basic key-w", "Bearer", "Bearer key-w,key-v", "Bearer a key-w"] {
-            assert_eq!(once(at, "/a", &key(unclear)).await, denied(1005), "{unclear}");
+        for ambiguous in ["key-w", "Basic key-w", "Bearer", "Bearer key-w,key-v", "Bearer a key-w"]
+        {
+            assert_eq!(once(at, "/a", &key(ambiguous)).await, denied(1005), "{ambiguous}");
         }
         let two = [("authorization", "Bearer key-w"), ("authorization", "Bearer key-w")];
         assert_eq!(once(at, "/a", &two).await, denied(1005));
@@ -123,14 +124,14 @@
         assert_eq!(once(at, "/open/a", &key("Bearer key-x")).await.0, 200);
         let answer = ask(&mut connect(at).await, "/a", &[]).await;
         assert_eq!(answer.headers.get(header::WWW_AUTHENTICATE).expect("a scheme"), "Bearer");
-        assert_eq!(got.requests.borrow().len(), 4, "what is denied reaches no server");
+        assert_eq!(received.requests.borrow().len(), 4, "denied requests reach no server");
     });
 }
 
 #[test]
-fn servers_get_the_workspaces_name_and_never_the_key() {
+fn servers_receive_the_workspace_name_and_never_the_key() {
     run(async || {
-        let (_store, host, got) = serving().await;
+        let (_store, host, received) = serving().await;
         let own = [
             ("authorization", "Bearer key-w"),
             ("elmstream-workspace", "v"),
@@ -142,7 +143,7 @@
             once(host.callers, "/open/b", &[("authorization", "Bearer key-x")]).await.0,
             200
         );
-        let heads = got.requests.take();
+        let heads = received.requests.take();
         assert_eq!(field(&heads[0], "elmstream-workspace"), "w");
         assert_eq!(heads[0].to_lowercase().matches("elmstream-workspace").count(), 1);
         for head in &heads[1..] {
@@ -153,16 +154,16 @@
 }
 
 #[test]
-fn a_repeat_and_an_upload_bear_the_name_too() {
+fn retries_and_uploads_carry_the_workspace_name() {
     run(async || {
         let full = "HTTP/1.1 503 Full\r\nelmstream-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-        let refuses = move |head: &str| match head.contains("/full") {
+        let refuse_full = move |head: &str| match head.contains("/full") {
             true => full.into(),
             false => good(head, "ok"),
         };
-        let (store, host, got) = serving().await;
-        let (other, got_other) = backend(ip(), refuses).await;
-        let (third, got_third) = backend(ip(), refuses).await;
+        let (store, host, received) = serving().await;
+        let (other, got_other) = backend(ip(), refuse_full).await;
+        let (third, got_third) = backend(ip(), refuse_full).await;
         store.put(RowKey::Server("s-0".into()), None);
         store.put(RowKey::Server("s-1".into()), Some(server(other)));
         store.put(RowKey::Server("s-2".into()), Some(server(third)));
@@ -173,7 +174,7 @@
             assert_eq!(once(host.callers, &format!("/{n}"), &key).await, (200, String::new()));
         }
         assert_eq!(once(host.callers, "/full", &key).await.0, 503);
-        // A server that said it is full is left alone for a moment.
+        // A server that reported to be full gets no requests for a moment.
         compio::time::sleep(Duration::from_millis(150)).await;
         let mut sender = connect(host.callers).await;
         let upload = Request::builder()
@@ -185,36 +186,40 @@
             .header("elmstream-workspace", "w");
         let upload = upload.body(body::full(Bytes::from(vec![7; 4_096]))).expect("a request");
         assert_eq!(sender.send_request(upload).await.expect("an answer").status(), 200);
-        let heads = [got.requests.take(), got_other.requests.take(), got_third.requests.take()];
+        let heads =
+            [received.requests.take(), got_other.requests.take(), got_third.requests.take()];
         let heads = heads.concat();
-        assert_eq!(heads.iter().filter(|head| head.contains("/full")).count(), 2, "a repeat");
+        assert_eq!(heads.iter().filter(|head| head.contains("/full")).count(), 2, "one retry");
         assert!(heads.iter().all(|head| field(head, "elmstream-workspace") == "v"), "{heads:?}");
         assert!(heads.iter().all(|head| !head.contains("key-")));
     });
 }
 
 #[test]
-fn a_key_that_is_taken_away_is_refused_on_kept_connections_too() {
+fn removed_key_is_refused_on_open_connections() {
     run(async || {
         let (store, host, _got) = serving().await;
-        let mut kept = connect(host.callers).await;
+        let mut connection = connect(host.callers).await;
         let key = [("authorization", "Bearer key-w")];
-        assert_eq!(ask(&mut kept, "/a", &key).await.status, 200);
+        assert_eq!(ask(&mut connection, "/a", &key).await.status, 200);
         store.put(RowKey::Configuration, Some(workspaces(2, |new| new.workspaces[0].keys.clear())));
-        let newer = || host.edge.steer.borrow().version() == Some(2);
-        assert!(until(Duration::from_secs(2), newer).await);
-        let answer = ask(&mut kept, "/a", &key).await;
+        let is_newer = || host.edge.steer.borrow().version() == Some(2);
+        assert!(until(Duration::from_secs(2), is_newer).await);
+        let answer = ask(&mut connection, "/a", &key).await;
         assert_eq!((answer.status, answer.code.as_str()), (401, "1004"));
-        // News of before, told late, bring it back no more.
+        // An older configuration that arrives late does not restore the key.
         store.put(RowKey::Configuration, Some(workspaces(1, |_| ())));
         compio::time::sleep(Duration::from_millis(300)).await;
-        assert_eq!(ask(&mut kept, "/a", &key).await.status, 401);
-        assert_eq!(ask(&mut kept, "/a", &[("authorization", "Bearer key-v")]).await.status, 200);
+        assert_eq!(ask(&mut connection, "/a", &key).await.status, 401);
+        assert_eq!(
+            ask(&mut connection, "/a", &[("authorization", "Bearer key-v")]).await.status,
+            200
+        );
     });
 }
 
 #[test]
-fn a_host_without_a_configuration_or_with_an_old_one_says_503() {
+fn host_without_current_configuration_answers_503() {
     run(async || {
         let at = ip();
         let store = Store::default();
@@ -227,7 +232,7 @@
 
         let (store, host, _got) = serving().await;
         store.down.set(true);
-        // Three fifths of the bound on configurations, and what a call takes.
+        // Three fifths of the configuration bound, and the duration of a call.
         compio::time::sleep(Duration::from_millis(1_900)).await;
         let unknown = [("authorization", "Bearer key-new")];
         assert_eq!(once(host.callers, "/a", &unknown).await, (503, "1118".into()));
@@ -236,9 +241,9 @@
 }
 
 #[test]
-fn the_homes_of_the_workspace_and_of_the_route_both_bind() {
+fn home_regions_of_workspace_and_route_both_apply() {
     run(async || {
-        let (store, host, got) = serving().await;
+        let (store, host, received) = serving().await;
         let homes = |workspace: &'static [&str], route: &'static [&str]| {
             move |new: &mut Configuration| {
                 new.workspaces[0].homes = workspace.iter().map(|home| (*home).into()).collect();
@@ -258,19 +263,19 @@
         for (workspace, route, status) in cases {
             version += 1;
             store.put(RowKey::Configuration, Some(workspaces(version, homes(workspace, route))));
-            let newer = || host.edge.steer.borrow().version() == Some(version);
-            assert!(until(Duration::from_secs(2), newer).await);
+            let is_newer = || host.edge.steer.borrow().version() == Some(version);
+            assert!(until(Duration::from_secs(2), is_newer).await);
             let path = format!("/{version}");
             assert_eq!(once(host.callers, &path, &key).await.0, status, "{workspace:?} {route:?}");
         }
-        assert_eq!(got.requests.borrow().len(), 2);
+        assert_eq!(received.requests.borrow().len(), 2);
     });
 }
 
 #[test]
-fn beyond_its_limit_a_workspace_gets_429_and_a_time_to_come_back() {
+fn workspace_over_its_limit_gets_429_with_retry_after() {
     run(async || {
-        let (_store, host, got) = serving().await;
+        let (_store, host, received) = serving().await;
         let key = [("authorization", "Bearer key-few")];
         let mut sender = connect(host.callers).await;
         let mut answers = Vec::new();
@@ -278,28 +283,32 @@
             answers.push(ask(&mut sender, &format!("/{n}"), &key).await);
             compio::time::sleep(Duration::from_millis(20)).await;
         }
-        let over: Vec<_> = answers.iter().filter(|answer| answer.status == 429).collect();
-        // 24 in a window, and what the bounds allow beyond; fewer at first, as a host that has
-        // just started takes most of the limit to have been used.
-        let ran = got.requests.borrow().len();
+        let throttled: Vec<_> = answers.iter().filter(|answer| answer.status == 429).collect();
+        // 24 in a window, and what the bounds allow on top; fewer at first, as a host that
+        // has just started assumes most of the limit to be used.
+        let ran = received.requests.borrow().len();
         assert!((6..=46).contains(&ran), "{ran} ran");
-        assert_eq!(over.len() + ran, 100);
-        for answer in over {
+        assert_eq!(throttled.len() + ran, 100);
+        for answer in throttled {
             assert_eq!(answer.code, "1119");
             let retry = answer.headers.get(header::RETRY_AFTER).expect("a time");
             let retry: f64 = retry.to_str().expect("a text").parse().expect("a number");
             assert!((0.3..=5.0).contains(&retry), "{retry}");
         }
-        let free = [("authorization", "Bearer key-w")];
-        assert_eq!(once(host.callers, "/w", &free).await.0, 200, "others are not held back");
+        let unlimited_key = [("authorization", "Bearer key-w")];
+        assert_eq!(
+            once(host.callers, "/w", &unlimited_key).await.0,
+            200,
+            "other workspaces are not throttled"
+        );
     });
 }
 
-/// What was written, shared with the test.
+/// Collects what is written, shared with the test.
 #[derive(Clone, Default)]
-struct Written(Arc<Mutex<Vec<u8>>>);
+struct SharedOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Written {
+impl Write for SharedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("no panic").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -311,9 +320,9 @@
 }
 
 #[test]
-fn no_line_and_no_metric_bears_a_key() {
+fn event_log_never_contains_a_key() {
     run(async || {
-        let written = Written::default();
+        let written = SharedOutput::default();
         let logging = Logging { sample: 1, lines_per_s: 1_000, beliefs_per_s: 1_000 };
         let at = ip();
         let edge = Edge::with_event_log(
--- a/elmstream_edge/tests/answers.rs
+++ b/elmstream_edge/tests/answers.rs
@@ -1,28 +1,28 @@
-//! Only a backend server's whole answer to the caller's own request is passed on.
+//! Only a backend server's complete response to the caller's own request is forwarded.
 
 mod support;
 
 use elmstream_steer::model::Repeatability;
-use support::{Answer, CLOSE, ask, backend, good, header, ip, run, serving};
+use support::{Answer, CLOSE_MARK, backend, good, header, ip, run, send_request, serving};
 
-/// What a caller gets when its server answers like this, without repeats.
-fn answered(answer: impl Fn(&str) -> Vec<u8> + 'static) -> Answer {
+/// What a caller receives if its server responds with `answer`, without retries.
+fn response(answer: impl Fn(&str) -> Vec<u8> + 'static) -> Answer {
     let result = std::rc::Rc::new(std::cell::RefCell::new(None));
     let filled = result.clone();
     run(async move || {
         let (address, _) = backend(ip(), answer).await;
         let (_store, host) = serving(Repeatability::Once, &[address]).await;
-        *filled.borrow_mut() = ask(host.callers, "id-1", "/thing").await;
+        *filled.borrow_mut() = send_request(host.callers, "id-1", "/thing").await;
     });
     result.take().expect("each request has an answer")
 }
 
 fn edited(change: impl Fn(String) -> String + 'static) -> Answer {
-    answered(move |head| change(String::from_utf8(good(head, "hello")).expect("text")).into_bytes())
+    response(move |head| change(String::from_utf8(good(head, "hello")).expect("text")).into_bytes())
 }
 
 #[test]
-fn a_good_answer_comes_as_it_is() {
+fn valid_response_is_forwarded_unchanged() {
     let answer = edited(|text| text.replace("elmstream-sig", "x-own: 1\r\nelmstream-sig"));
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, "hello");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn headers_of_the_connection_stay_there() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let answer = edited(|text| {
         text.replace(
             "elmstream-sig",
@@ -42,56 +42,56 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_not_passed_on() {
+fn response_to_another_request_is_rejected() {
     let answer = edited(|text| text.replace("id-1", "id-0"));
     assert_eq!(answer.status, 502);
     assert!(answer.body.is_empty());
 }
 
 #[test]
-fn a_success_without_a_signature_is_not_passed_on() {
+fn success_without_signature_is_rejected() {
     assert_eq!(edited(|text| text.replace("elmstream-signature: s\r\n", "")).status, 502);
 }
 
 #[test]
-fn an_encoded_answer_is_not_the_servers() {
+fn encoded_response_is_rejected() {
     let encoded =
         |text: String| text.replace("elmstream-sig", "content-encoding: gzip\r\nelmstream-sig");
     assert_eq!(edited(encoded).status, 502);
 }
 
 #[test]
-fn a_cut_answer_is_not_passed_on() {
-    let answer = answered(|head| {
+fn truncated_response_is_rejected() {
+    let answer = response(|head| {
         let whole = String::from_utf8(good(head, "hello")).expect("text");
-        [whole.replace("length: 5", "length: 50").as_bytes(), CLOSE].concat()
+        [whole.replace("length: 5", "length: 50").as_bytes(), CLOSE_MARK].concat()
     });
     assert_eq!(answer.status, 502);
 }
 
 #[test]
-fn bytes_that_are_no_answer_are_not_passed_on() {
-    assert_eq!(answered(|_| [b"what is this\r\n\r\n", CLOSE].concat()).status, 502);
+fn malformed_response_is_rejected() {
+    assert_eq!(response(|_| [b"what is this\r\n\r\n", CLOSE_MARK].concat()).status, 502);
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
-    let answer = answered(|head| {
+fn response_without_length_ends_at_connection_close() {
+    let answer = response(|head| {
         let whole = String::from_utf8(good(head, "hello")).expect("text");
-        [whole.replace("content-length: 5\r\n", "").as_bytes(), CLOSE].concat()
+        [whole.replace("content-length: 5\r\n", "").as_bytes(), CLOSE_MARK].concat()
     });
     assert_eq!((answer.status.as_u16(), &answer.body[..]), (200, &b"hello"[..]));
 }
 
 #[test]
-fn a_failure_of_the_server_comes_as_it_is() {
+fn server_error_is_forwarded_unchanged() {
     let answer = edited(|text| text.replace("200 OK", "500 Internal Server Error"));
     assert_eq!(answer.status, 500);
     assert_eq!(answer.headers["elmstream-signature"], "s");
 }
 
 #[test]
-fn a_surplus_answer_reaches_nobody() {
+fn surplus_response_is_never_forwarded() {
     run(async || {
         let (address, _) = backend(ip(), |head| {
             let text = header(head, "elmstream-request").to_owned();
@@ -102,7 +102,7 @@
         let (_store, host) = serving(Repeatability::Once, &[address]).await;
         for n in 0..30 {
             let id = format!("id-{n}");
-            let answer = ask(host.callers, &id, "/thing").await.expect("an answer");
+            let answer = send_request(host.callers, &id, "/thing").await.expect("an answer");
             let own = answer.status == 200 && answer.body == id;
             assert!(own || answer.status == 502, "{id} got {answer:?}");
         }
@@ -110,9 +110,9 @@
 }
 
 #[test]
-fn a_refusal_of_another_request_is_not_believed() {
+fn refusal_of_another_request_is_ignored() {
     for refusal in ["503 Full\r\nelmstream-not-run: 1", "421 Misdirected"] {
-        let answer = answered(move |_| {
+        let answer = response(move |_| {
             let text = format!(
                 "HTTP/1.1 {refusal}\r\nelmstream-request: id-0\r\ncontent-length: 0\r\n\r\n"
             );
--- a/elmstream_edge/tests/backend.rs
+++ b/elmstream_edge/tests/backend.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers that go silent for good while new ones work.
+//! Connections to backend servers that stop responding for good while new ones work.
 
 mod support;
 
@@ -15,62 +15,63 @@
 use futures_util::future::join_all;
 use http::Request;
 use socket2::SockRef;
-use support::{CLOSE, Got, backend, good, ip, run};
+use support::{CLOSE_MARK, Received, backend, good, ip, run};
 
-/// More than the buffers of both ends of a connection hold while nobody reads.
-const LARGE: usize = 32 << 20;
-/// Connections that rest after [`warm`].
-const RESTING: usize = 3;
+/// More bytes than the buffers of both ends of a connection hold while nobody reads.
+const LARGE_BODY_BYTES: usize = 32 << 20;
+/// Idle connections after [`pool_with_idle`].
+const IDLE_CONNECTIONS: usize = 3;
 /// The server's id.
-const ID: &str = "s-0";
+const SERVER_ID: &str = "s-0";
 
 fn request(path: &str, bytes: usize) -> Request<LocalBody> {
     let request = Request::builder().uri(path).header("host", "shop.example");
     request.body(request_body(&vec![b'x'; bytes].into())).expect("a request")
 }
 
-/// A server that closes after `/cut`, says nothing to `/mute`, and answers else.
-fn moody(head: &str) -> Vec<u8> {
+/// Closes the connection after `/cut`, sends nothing to `/mute`, and responds otherwise.
+fn respond_by_path(head: &str) -> Vec<u8> {
     match head {
-        cut if cut.contains("/cut") => CLOSE.to_vec(),
-        mute if mute.contains("/mute") => Vec::new(),
+        path if path.contains("/cut") => CLOSE_MARK.to_vec(),
+        path if path.contains("/mute") => Vec::new(),
         _ => good(head, "ok"),
     }
 }
 
-/// A server to which connections rest.
-async fn warm(pool: &Pool) -> (SocketAddr, Got) {
-    let (address, got) = backend(ip(), moody).await;
-    let slow = (0..RESTING).map(|_| pool.exchange(ID, address, || Some(request("/slow", 0))));
+/// A server to which the pool has idle connections.
+async fn pool_with_idle(pool: &Pool) -> (SocketAddr, Received) {
+    let (address, received) = backend(ip(), respond_by_path).await;
+    let slow = (0..IDLE_CONNECTIONS)
+        .map(|_| pool.exchange(SERVER_ID, address, || Some(request("/slow", 0))));
     for exchange in join_all(slow).await {
         assert!(matches!(exchange, Exchange::Whole(..)), "{exchange:?}");
     }
-    assert_eq!(got.connections.get(), RESTING);
-    (address, got)
+    assert_eq!(received.connections.get(), IDLE_CONNECTIONS);
+    (address, received)
 }
 
 #[test]
-fn a_connection_has_a_bound_on_silence() {
+fn connection_has_an_unacknowledged_data_timeout() {
     run(async || {
-        let (address, _) = backend(ip(), moody).await;
-        let (stream, bounded) = open_stream(address).await.expect("a connection");
-        bounded.expect("the option");
-        let bound = SockRef::from(&stream).tcp_user_timeout().expect("the option");
-        assert_eq!(bound, Some(UNACKED_TIMEOUT));
+        let (address, _) = backend(ip(), respond_by_path).await;
+        let (stream, timeout_set) = open_stream(address).await.expect("a connection");
+        timeout_set.expect("the option");
+        let timeout = SockRef::from(&stream).tcp_user_timeout().expect("the option");
+        assert_eq!(timeout, Some(UNACKED_TIMEOUT));
     });
 }
 
-/// What users saw: requests over connections that had gone silent waited for their
-/// whole time and were answered as unknown, one after the other, although new
-/// connections to the same servers worked.
+/// Requests over connections that had stopped responding waited for their whole timeout and
+/// got an unknown result, one after the other, although new connections to the same servers
+/// worked.
 #[test]
-fn what_is_not_taken_in_ends_as_broken_long_before_the_deadline() {
+fn unacknowledged_request_fails_long_before_the_deadline() {
     run(async || {
         let listener = TcpListener::bind((ip(), 0)).await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let pool = Pool::default();
         let began = Instant::now();
-        let exchange = pool.exchange(ID, address, || Some(request("/", LARGE)));
+        let exchange = pool.exchange(SERVER_ID, address, || Some(request("/", LARGE_BODY_BYTES)));
         let exchange = compio::time::timeout(Duration::from_secs(6), exchange).await;
         assert!(matches!(exchange, Ok(Exchange::Broken(_))), "{exchange:?}");
         assert!(began.elapsed() >= UNACKED_TIMEOUT, "after {:?}", began.elapsed());
@@ -78,71 +79,71 @@
 }
 
 #[test]
-fn after_a_broken_exchange_connections_that_rested_are_not_used() {
+fn idle_connections_are_discarded_after_a_broken_exchange() {
     run(async || {
         let pool = Pool::default();
-        let (address, got) = warm(&pool).await;
-        let cut = pool.exchange(ID, address, || Some(request("/cut", 0))).await;
+        let (address, received) = pool_with_idle(&pool).await;
+        let cut = pool.exchange(SERVER_ID, address, || Some(request("/cut", 0))).await;
         assert!(matches!(cut, Exchange::Broken(_)), "{cut:?}");
-        let next = pool.exchange(ID, address, || Some(request("/", 0))).await;
+        let next = pool.exchange(SERVER_ID, address, || Some(request("/", 0))).await;
         assert!(matches!(next, Exchange::Whole(..)), "{next:?}");
-        assert_eq!(got.connections.get(), RESTING + 1);
+        assert_eq!(received.connections.get(), IDLE_CONNECTIONS + 1);
     });
 }
 
 #[test]
-fn after_a_request_that_was_given_up_connections_that_rested_are_not_used() {
+fn idle_connections_are_discarded_after_an_abandoned_request() {
     run(async || {
         let pool = Pool::default();
-        let (address, got) = warm(&pool).await;
-        let mute = pool.exchange(ID, address, || Some(request("/mute", 0)));
-        let mute = compio::time::timeout(SUSPECT_AFTER + Duration::from_millis(50), mute).await;
-        assert!(mute.is_err(), "{mute:?}");
-        let next = pool.exchange(ID, address, || Some(request("/", 0))).await;
+        let (address, received) = pool_with_idle(&pool).await;
+        let silent = pool.exchange(SERVER_ID, address, || Some(request("/mute", 0)));
+        let silent = compio::time::timeout(SUSPECT_AFTER + Duration::from_millis(50), silent).await;
+        assert!(silent.is_err(), "{silent:?}");
+        let next = pool.exchange(SERVER_ID, address, || Some(request("/", 0))).await;
         assert!(matches!(next, Exchange::Whole(..)), "{next:?}");
-        assert_eq!(got.connections.get(), RESTING + 1);
+        assert_eq!(received.connections.get(), IDLE_CONNECTIONS + 1);
     });
 }
 
 #[test]
-fn a_caller_that_leaves_soon_costs_no_other_connection() {
+fn early_leave_of_a_caller_keeps_idle_connections() {
     run(async || {
         let pool = Pool::default();
-        let (address, got) = warm(&pool).await;
-        let mute = pool.exchange(ID, address, || Some(request("/mute", 0)));
-        let mute = compio::time::timeout(Duration::from_millis(50), mute).await;
-        assert!(mute.is_err(), "{mute:?}");
-        pool.exchange(ID, address, || Some(request("/", 0))).await;
-        assert_eq!(got.connections.get(), RESTING);
+        let (address, received) = pool_with_idle(&pool).await;
+        let silent = pool.exchange(SERVER_ID, address, || Some(request("/mute", 0)));
+        let silent = compio::time::timeout(Duration::from_millis(50), silent).await;
+        assert!(silent.is_err(), "{silent:?}");
+        pool.exchange(SERVER_ID, address, || Some(request("/", 0))).await;
+        assert_eq!(received.connections.get(), IDLE_CONNECTIONS);
     });
 }
 
 #[test]
-fn a_connection_that_answered_meanwhile_is_kept() {
+fn connection_that_responded_meanwhile_is_kept() {
     run(async || {
         let pool = Pool::default();
-        let (address, got) = warm(&pool).await;
-        let mute = pool.exchange(ID, address, || Some(request("/mute", 0)));
-        let mute = compio::time::timeout(SUSPECT_AFTER + Duration::from_millis(50), mute);
+        let (address, received) = pool_with_idle(&pool).await;
+        let silent = pool.exchange(SERVER_ID, address, || Some(request("/mute", 0)));
+        let silent = compio::time::timeout(SUSPECT_AFTER + Duration::from_millis(50), silent);
         let other = async {
             compio::time::sleep(SUSPECT_AFTER / 2).await;
-            pool.exchange(ID, address, || Some(request("/", 0))).await
+            pool.exchange(SERVER_ID, address, || Some(request("/", 0))).await
         };
-        let (mute, other) = futures_util::future::join(mute, other).await;
-        assert!(mute.is_err() && matches!(other, Exchange::Whole(..)), "{other:?}");
-        pool.exchange(ID, address, || Some(request("/", 0))).await;
-        assert_eq!(got.connections.get(), RESTING);
+        let (silent, other) = futures_util::future::join(silent, other).await;
+        assert!(silent.is_err() && matches!(other, Exchange::Whole(..)), "{other:?}");
+        pool.exchange(SERVER_ID, address, || Some(request("/", 0))).await;
+        assert_eq!(received.connections.get(), IDLE_CONNECTIONS);
     });
 }
 
-/// The host was suspended while the connection came up, say.
+/// This happens if the host is suspended while the connection opens.
 #[test]
-fn a_request_whose_time_is_over_before_a_connection_is_there_is_not_sent() {
+fn request_without_remaining_time_is_not_sent() {
     run(async || {
-        let (address, got) = backend(ip(), moody).await;
+        let (address, received) = backend(ip(), respond_by_path).await;
         let pool = Pool::default();
-        let exchange = pool.exchange(ID, address, || None).await;
+        let exchange = pool.exchange(SERVER_ID, address, || None).await;
         assert!(matches!(exchange, Exchange::NoTime), "{exchange:?}");
-        assert!(got.requests.borrow().is_empty());
+        assert!(received.requests.borrow().is_empty());
     });
 }
--- a/elmstream_edge/tests/hosts.rs
+++ b/elmstream_edge/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! News from host to host.
+//! Propagation of news between hosts.
 
 mod support;
 
@@ -13,54 +13,54 @@
 };
 use support::{PEERS, configuration, ip, run, start, until};
 
-const SOON: Duration = Duration::from_millis(600);
+const NEWS_TIME_MAX: Duration = Duration::from_millis(600);
 
 #[test]
-fn a_host_that_the_store_turns_away_learns_from_the_others() {
+fn host_refused_by_the_store_learns_from_peers() {
     run(async || {
         let store = support::Store::default();
         store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
         let first = start(ip(), &store, &[]);
         assert!(until(Duration::from_secs(3), || first.edge.serves()).await);
 
-        let away = support::Store::default();
-        away.down.set(true);
+        let unreachable_store = support::Store::default();
+        unreachable_store.down.set(true);
         let seed = first.edge.settings.host.peers;
-        let second = start(ip(), &away, &[seed]);
+        let second = start(ip(), &unreachable_store, &[seed]);
         assert!(until(Duration::from_secs(2), || second.edge.serves()).await);
         store.put(RowKey::Configuration, Some(configuration(2, Repeatability::Safe)));
-        let knows = || second.edge.steer.borrow().version() == Some(2);
-        assert!(until(Duration::from_secs(2), knows).await);
+        let is_known = || second.edge.steer.borrow().version() == Some(2);
+        assert!(until(Duration::from_secs(2), is_known).await);
     });
 }
 
 #[test]
-fn a_host_is_written_down_once_and_not_again_after_a_restart() {
+fn host_is_registered_once_across_restarts() {
     run(async || {
         let store = support::Store::default();
         store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
-        // One host was killed and starts anew at its address; the other one is new.
+        // One host was killed and restarts at its address; the other one is new.
         let killed = ip();
         store.hosts.borrow_mut().push(SocketAddr::new(killed, PEERS));
-        let again = start(killed, &store, &[]);
+        let restarted = start(killed, &store, &[]);
         let new = start(ip(), &store, &[]);
-        let written = |host: &support::Running| {
+        let listed_count = |host: &support::Running| {
             let hosts = store.hosts.borrow();
             hosts.iter().filter(|address| **address == host.edge.settings.host.peers).count()
         };
-        assert!(until(Duration::from_secs(2), || written(&new) == 1).await);
-        assert!(until(Duration::from_secs(2), || again.edge.serves()).await);
-        compio::time::sleep(SOON).await;
-        assert_eq!((written(&again), written(&new)), (1, 1));
+        assert!(until(Duration::from_secs(2), || listed_count(&new) == 1).await);
+        assert!(until(Duration::from_secs(2), || restarted.edge.serves()).await);
+        compio::time::sleep(NEWS_TIME_MAX).await;
+        assert_eq!((listed_count(&restarted), listed_count(&new)), (1, 1));
     });
 }
 
-/// A host that shows news, and never tells them.
-async fn mute(to: SocketAddr) {
+/// A host that offers newer rows in its heartbeats, but never answers a fetch.
+async fn start_mute_host(to: SocketAddr) {
     let peers = SocketAddr::new(ip(), PEERS);
     let socket = UdpSocket::bind(peers).await.expect("a port");
     let listener = TcpListener::bind(peers).await.expect("a port");
-    let beat = move |number| Heartbeat {
+    let heartbeat = move |number| Heartbeat {
         host: Host {
             name: format!("mute-{peers}"),
             domain: "a1".into(),
@@ -89,7 +89,7 @@
     };
     compio::runtime::spawn(async move {
         for number in 0.. {
-            let datagram = postcard::to_allocvec(&beat(number)).expect("it is small");
+            let datagram = postcard::to_allocvec(&heartbeat(number)).expect("it is small");
             let _ = socket.send_to(datagram, to).await;
             compio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -99,67 +99,66 @@
 }
 
 #[test]
-fn a_host_that_does_not_tell_its_news_holds_up_nobody_elses() {
+fn mute_host_does_not_delay_news_of_others() {
     run(async || {
         let store = support::Store::default();
         store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
         let first = start(ip(), &store, &[]);
-        let away = support::Store::default();
-        away.down.set(true);
-        let second = start(ip(), &away, &[first.edge.settings.host.peers]);
+        let unreachable_store = support::Store::default();
+        unreachable_store.down.set(true);
+        let second = start(ip(), &unreachable_store, &[first.edge.settings.host.peers]);
         assert!(until(Duration::from_secs(3), || second.edge.serves()).await);
 
-        mute(second.edge.settings.host.peers).await;
+        start_mute_host(second.edge.settings.host.peers).await;
         compio::time::sleep(Duration::from_millis(50)).await;
         let worst = Rc::new(Cell::new(Duration::ZERO));
         for version in 2..5 {
             store.put(RowKey::Configuration, Some(configuration(version, Repeatability::Safe)));
-            let known = || first.edge.steer.borrow().version() == Some(version);
-            assert!(until(Duration::from_secs(2), known).await, "the reader learns it");
+            let is_read = || first.edge.steer.borrow().version() == Some(version);
+            assert!(until(Duration::from_secs(2), is_read).await, "the reader reads it");
             let began = std::time::Instant::now();
-            let told = || second.edge.steer.borrow().version() == Some(version);
-            assert!(until(Duration::from_secs(4), told).await, "the other learns it");
+            let is_received = || second.edge.steer.borrow().version() == Some(version);
+            assert!(until(Duration::from_secs(4), is_received).await, "the other host receives it");
             worst.set(worst.get().max(began.elapsed()));
         }
-        assert!(worst.get() < SOON, "it took {:?}", worst.get());
+        assert!(worst.get() < NEWS_TIME_MAX, "it took {:?}", worst.get());
     });
 }
 
-/// Time to news that one sound host offers beside three that never tell theirs, from
-/// the moment at which it has them: three hedges of 150 ms, a beat, and the fetch.
-const DESPITE_THREE: Duration = Duration::from_millis(900);
+/// Longest time until news of one healthy host arrive while three mute hosts offer rows:
+/// three hedge delays of 150 ms, a heartbeat, and the fetch.
+const NEWS_TIME_MAX_WITH_THREE_MUTE: Duration = Duration::from_millis(900);
 
-/// What users saw: requests refused by a configuration that was no longer in force,
-/// and requests at servers that were about to leave, at hosts that heard of either
-/// later than the bound. Beats came from hosts whose connections led nowhere; each of
-/// three fetches from them waited for its whole time, nothing was remembered of that,
-/// and the next beats began the same three again, so that a sound host was not asked.
+/// Hosts applied a configuration and learned of leaving servers later than the bound if
+/// heartbeats came from hosts whose connections led nowhere. Three fetches from these waited
+/// for their whole timeout, the failures were not remembered, and the next heartbeats started
+/// the same fetches, so that no healthy host was asked.
 #[test]
-fn three_hosts_that_never_tell_their_news_hold_up_nobody_elses() {
+fn three_mute_hosts_do_not_delay_news_of_others() {
     run(async || {
         let store = support::Store::default();
         store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
         let first = start(ip(), &store, &[]);
-        let away = support::Store::default();
-        away.down.set(true);
-        let second = start(ip(), &away, &[first.edge.settings.host.peers]);
+        let unreachable_store = support::Store::default();
+        unreachable_store.down.set(true);
+        let second = start(ip(), &unreachable_store, &[first.edge.settings.host.peers]);
         assert!(until(Duration::from_secs(3), || second.edge.serves()).await);
 
         for _ in 0..3 {
-            mute(second.edge.settings.host.peers).await;
+            start_mute_host(second.edge.settings.host.peers).await;
         }
         compio::time::sleep(Duration::from_millis(50)).await;
         let mut took = Vec::new();
         for version in 2..6 {
             store.put(RowKey::Configuration, Some(configuration(version, Repeatability::Safe)));
-            let known = || first.edge.steer.borrow().version() == Some(version);
-            assert!(until(Duration::from_secs(2), known).await, "the reader learns it");
+            let is_read = || first.edge.steer.borrow().version() == Some(version);
+            assert!(until(Duration::from_secs(2), is_read).await, "the reader reads it");
             let began = std::time::Instant::now();
-            let told = || second.edge.steer.borrow().version() == Some(version);
-            until(Duration::from_secs(4), told).await;
+            let is_received = || second.edge.steer.borrow().version() == Some(version);
+            until(Duration::from_secs(4), is_received).await;
             took.push(began.elapsed());
         }
         let worst = took.iter().max().expect("there are some");
-        assert!(*worst < DESPITE_THREE, "it took {took:?}");
+        assert!(*worst < NEWS_TIME_MAX_WITH_THREE_MUTE, "it took {took:?}");
     });
 }
--- a/elmstream_edge/tests/once.rs
+++ b/elmstream_edge/tests/once.rs
@@ -1,23 +1,26 @@
-//! What may not be repeated runs at most once, and a refusal means that it did not.
+//! Requests that must not be repeated run at most once, and a refusal means that the request
+//! did not run.
 
 mod support;
 
 use std::{net::SocketAddr, time::Duration};
 
 use elmstream_steer::model::Repeatability;
-use support::{CLOSE, ask, ask_within, backend, good, header, ip, run, serving, until};
+use support::{
+    CLOSE_MARK, backend, good, header, ip, run, send_request, send_request_within, serving, until,
+};
 
-/// Enough good requests for the budget to hold a repeat.
-const EARNING: usize = 30;
+/// Successful requests that deposit a retry in the budget.
+const BUDGET_REQUESTS: usize = 30;
 
-fn cut(head: &str) -> Vec<u8> {
+fn cut_connection(head: &str) -> Vec<u8> {
     match head.contains("/cut") {
-        true => CLOSE.to_vec(),
+        true => CLOSE_MARK.to_vec(),
         false => good(head, "ok"),
     }
 }
 
-fn full(head: &str) -> Vec<u8> {
+fn refuse_full(head: &str) -> Vec<u8> {
     let refused = "HTTP/1.1 503 Full\r\nelmstream-not-run: 1\r\ncontent-length: 0\r\n\r\n";
     match head.contains("/full") {
         true => refused.into(),
@@ -26,16 +29,17 @@
 }
 
 #[test]
-fn a_request_whose_answer_is_lost_is_sent_once_and_is_unknown() {
+fn request_with_a_lost_response_is_sent_once_and_is_unknown() {
     run(async || {
-        let (first, got_first) = backend(ip(), cut).await;
-        let (second, got_second) = backend(ip(), cut).await;
+        let (first, got_first) = backend(ip(), cut_connection).await;
+        let (second, got_second) = backend(ip(), cut_connection).await;
         let (_store, host) = serving(Repeatability::Once, &[first, second]).await;
-        for n in 0..EARNING {
-            ask(host.callers, &format!("e-{n}"), &format!("/fine/{n}")).await;
+        for n in 0..BUDGET_REQUESTS {
+            send_request(host.callers, &format!("e-{n}"), &format!("/fine/{n}")).await;
         }
         for n in 0..5 {
-            let answer = ask(host.callers, &format!("id-{n}"), "/cut").await.expect("an answer");
+            let answer =
+                send_request(host.callers, &format!("id-{n}"), "/cut").await.expect("an answer");
             assert_eq!(answer.status, 502);
         }
         let all = [got_first.requests.take(), got_second.requests.take()].concat();
@@ -48,58 +52,58 @@
 }
 
 #[test]
-fn a_repeatable_request_whose_answer_is_lost_is_sent_to_another_server() {
+fn repeatable_request_with_a_lost_response_is_sent_to_another_server() {
     run(async || {
-        let (bad, _) = backend(ip(), cut).await;
-        let (well, _) = backend(ip(), |head| good(head, "ok")).await;
-        let (_store, host) = serving(Repeatability::Safe, &[bad, well]).await;
-        for n in 0..EARNING {
-            ask(host.callers, &format!("e-{n}"), &format!("/fine/{n}")).await;
+        let (bad, _) = backend(ip(), cut_connection).await;
+        let (healthy, _) = backend(ip(), |head| good(head, "ok")).await;
+        let (_store, host) = serving(Repeatability::Safe, &[bad, healthy]).await;
+        for n in 0..BUDGET_REQUESTS {
+            send_request(host.callers, &format!("e-{n}"), &format!("/fine/{n}")).await;
         }
         for n in 0..3 {
-            let answer = ask(host.callers, &format!("id-{n}"), "/cut").await.expect("an answer");
+            let answer =
+                send_request(host.callers, &format!("id-{n}"), "/cut").await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
     });
 }
 
 #[test]
-fn a_server_that_is_full_is_passed_over_within_the_budget() {
+fn full_server_is_retried_elsewhere_within_the_budget() {
     run(async || {
-        let (one, got_one) = backend(ip(), full).await;
-        let (two, got_two) = backend(ip(), full).await;
+        let (one, got_one) = backend(ip(), refuse_full).await;
+        let (two, got_two) = backend(ip(), refuse_full).await;
         let (_store, host) = serving(Repeatability::Once, &[one, two]).await;
-        let answer = ask(host.callers, "id-0", "/full").await.expect("an answer");
-        assert_eq!(answer.status, 503, "nothing was earned yet");
+        let answer = send_request(host.callers, "id-0", "/full").await.expect("an answer");
+        assert_eq!(answer.status, 503, "the retry budget is empty");
         assert!(answer.headers.contains_key("retry-after"));
         assert_eq!(got_one.requests.borrow().len() + got_two.requests.borrow().len(), 1);
-        for n in 0..EARNING {
-            ask(host.callers, &format!("e-{n}"), &format!("/fine/{n}")).await;
+        for n in 0..BUDGET_REQUESTS {
+            send_request(host.callers, &format!("e-{n}"), &format!("/fine/{n}")).await;
         }
-        // A server that said it is full is left alone for a moment.
+        // A server that reported to be full gets no requests for a moment.
         compio::time::sleep(Duration::from_millis(150)).await;
         got_one.requests.take();
         got_two.requests.take();
-        let answer = ask(host.callers, "id-1", "/full").await.expect("an answer");
+        let answer = send_request(host.callers, "id-1", "/full").await.expect("an answer");
         assert_eq!(answer.status, 503);
         assert_eq!(got_one.requests.borrow().len() + got_two.requests.borrow().len(), 2);
     });
 }
 
 #[test]
-fn a_request_without_any_server_is_refused_at_once() {
+fn request_without_any_server_is_refused_immediately() {
     run(async || {
         let (_store, host) = serving(Repeatability::Once, &[]).await;
-        let answer = ask(host.callers, "id-0", "/thing").await.expect("an answer");
+        let answer = send_request(host.callers, "id-0", "/thing").await.expect("an answer");
         assert_eq!(answer.status, 503);
         assert!(answer.headers.contains_key("retry-after"));
         assert!(answer.took < Duration::from_millis(200), "it took {:?}", answer.took);
     });
 }
 
-/// The status, and whether the caller is asked to come back, of a request that no
-/// route fits.
-async fn unknown(host: SocketAddr) -> (u16, bool) {
+/// Status, and whether there is a Retry-After, of the response to a request without a route.
+async fn unrouted_request(host: SocketAddr) -> (u16, bool) {
     let sender = elmstream_http::client::connect(host, Duration::from_secs(1)).await;
     let request = http::Request::builder().uri("/").header("host", "nobody.example");
     let request = request.body(elmstream_http::body::empty()).expect("a request");
@@ -108,68 +112,73 @@
 }
 
 #[test]
-fn a_route_that_is_not_there_is_told() {
+fn missing_route_gets_404() {
     run(async || {
         let (_store, host) = serving(Repeatability::Once, &[]).await;
-        assert_eq!(unknown(host.callers).await, (404, false));
+        assert_eq!(unrouted_request(host.callers).await, (404, false));
     });
 }
 
 #[test]
-fn a_host_whose_knowledge_is_old_does_not_say_that_a_route_is_not_there() {
+fn stale_host_answers_503_for_a_missing_route() {
     run(async || {
         let (store, host) = serving(Repeatability::Once, &[]).await;
         store.down.set(true);
-        // Three fifths of the bound on configurations, and what a call takes.
+        // Three fifths of the configuration bound, and the duration of a call.
         compio::time::sleep(Duration::from_millis(1_900)).await;
-        assert_eq!(unknown(host.callers).await, (503, true));
+        assert_eq!(unrouted_request(host.callers).await, (503, true));
         store.down.set(false);
-        let told = || host.edge.steer.borrow().can_deny_routes(elmstreamd::clock::now());
-        assert!(until(Duration::from_secs(2), told).await, "the store is found back");
-        assert_eq!(unknown(host.callers).await, (404, false));
+        let can_deny = || host.edge.steer.borrow().can_deny_routes(elmstreamd::clock::now());
+        assert!(until(Duration::from_secs(2), can_deny).await, "the store is found back");
+        assert_eq!(unrouted_request(host.callers).await, (404, false));
     });
 }
 
 #[test]
-fn a_silent_server_is_waited_for_until_the_routes_time_is_over() {
+fn silent_server_is_awaited_until_the_route_timeout() {
     run(async || {
-        let (address, got) = backend(ip(), |_| Vec::new()).await;
+        let (address, received) = backend(ip(), |_| Vec::new()).await;
         let (_store, host) = serving(Repeatability::Once, &[address]).await;
-        let answer = ask(host.callers, "id-0", "/thing").await.expect("an answer");
+        let answer = send_request(host.callers, "id-0", "/thing").await.expect("an answer");
         assert_eq!(answer.status, 504);
         assert!(
             answer.took >= Duration::from_millis(760) && answer.took < Duration::from_millis(1_200)
         );
-        let heads = got.requests.take();
-        let left: u64 = header(&heads[0], "elmstream-deadline").parse().expect("a number");
-        assert!((600..=800).contains(&left), "the server was told {left} ms");
+        let heads = received.requests.take();
+        let remaining_ms: u64 = header(&heads[0], "elmstream-deadline").parse().expect("a number");
+        assert!((600..=800).contains(&remaining_ms), "the server received {remaining_ms} ms");
         assert_eq!(header(&heads[0], "elmstream-server"), "s-0");
     });
 }
 
 #[test]
-fn when_the_caller_leaves_the_servers_connection_is_closed() {
+fn server_connection_is_closed_when_the_caller_leaves() {
     run(async || {
-        let (address, got) = backend(ip(), |_| Vec::new()).await;
+        let (address, received) = backend(ip(), |_| Vec::new()).await;
         let (_store, host) = serving(Repeatability::Safe, &[address]).await;
         assert!(
-            ask_within(host.callers, "id-0", "/thing", Duration::from_millis(100)).await.is_none()
+            send_request_within(host.callers, "id-0", "/thing", Duration::from_millis(100))
+                .await
+                .is_none()
         );
-        assert!(until(Duration::from_millis(400), || got.closed.get() == 1).await);
+        assert!(until(Duration::from_millis(400), || received.closed.get() == 1).await);
     });
 }
 
 #[test]
-fn connections_to_servers_are_kept() {
+fn server_connections_are_reused() {
     run(async || {
-        let (address, got) = backend(ip(), |head| good(head, "ok")).await;
+        let (address, received) = backend(ip(), |head| good(head, "ok")).await;
         let (_store, host) = serving(Repeatability::Once, &[address]).await;
         for n in 0..20 {
             assert_eq!(
-                ask(host.callers, &format!("id-{n}"), "/t").await.expect("an answer").status,
+                send_request(host.callers, &format!("id-{n}"), "/t")
+                    .await
+                    .expect("an answer")
+                    .status,
                 200
             );
         }
-        assert_eq!(got.connections.get(), 1);
+        assert_eq!(received.connections.get(), 1);
     });
 }
--- a/elmstream_edge/tests/reader.rs
+++ b/elmstream_edge/tests/reader.rs
@@ -1,4 +1,4 @@
-//! What a host makes of the store's answers.
+//! How a host dates the store's responses.
 
 mod support;
 
@@ -9,15 +9,15 @@
 use elmstreamd::clock;
 use support::serving;
 
-/// A host that stood still takes in what the store said before. Counted as fresh, that
-/// kept other hosts from asking the store, and a leaving server's news waited for the
-/// next reading.
+/// A suspended host processes responses that the store sent earlier. If these counted as
+/// recent, they would keep other hosts from reading the store, and news of a leaving server
+/// would wait for the next read.
 #[test]
-fn an_answer_that_is_taken_in_late_is_as_old_as_the_call() {
+fn late_response_is_as_old_as_its_call() {
     support::run(async || {
         let (store, running) = serving(Repeatability::Safe, &[]).await;
-        store.late.set(Duration::from_millis(1_300));
-        // A call that began before may still be answered at once.
+        store.response_delay.set(Duration::from_millis(1_300));
+        // A call that began before may still be answered immediately.
         compio::time::sleep(Duration::from_millis(1_700)).await;
         let age = || {
             let age = running.edge.steer.borrow().view().age(clock::now(), Table::Rules);
@@ -28,6 +28,6 @@
             least = least.min(age());
             compio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert!(least >= 1_000, "taken to be {least} ms old");
+        assert!(least >= 1_000, "assumed age: {least} ms");
     });
 }
--- a/elmstream_edge/tests/rollout.rs
+++ b/elmstream_edge/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! A service is rolled out to servers of another version, by hosts with real sockets.
+//! Roll-out of a new version of a service, by hosts with real sockets.
 
 mod support;
 
@@ -14,19 +14,19 @@
     view::{RowContent, RowKey},
 };
 use support::{
-    Running, SERVICE, Store, ask, backend, configuration, good, header, ip, run, server, start,
-    until,
+    Running, SERVICE, Store, backend, configuration, good, header, ip, run, send_request, server,
+    start, until,
 };
 
 /// Servers of each version.
 const SERVERS: usize = 3;
-/// Time from the order until it has to be decided.
-const DURATION: Duration = Duration::from_secs(8);
-/// Time between two requests of callers.
-const PAUSE: Duration = Duration::from_millis(4);
+/// Time from the roll-out order until the decision is due.
+const ROLLOUT_DURATION: Duration = Duration::from_secs(8);
+/// Pause between two requests of callers.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(4);
 
-/// A server's row with a version.
-fn of(version: &str, item: RowContent) -> RowContent {
+/// Sets the version in a server's row.
+fn with_version(version: &str, item: RowContent) -> RowContent {
     match item {
         RowContent::Server(server) => {
             RowContent::Server(elmstream_steer::model::Server { version: version.into(), ..server })
@@ -35,13 +35,13 @@
     }
 }
 
-fn failing(head: &str) -> Vec<u8> {
+fn server_error(head: &str) -> Vec<u8> {
     let id = header(head, "elmstream-request");
     format!("HTTP/1.1 500 Oops\r\nelmstream-request: {id}\r\ncontent-length: 0\r\n\r\n")
         .into_bytes()
 }
 
-/// Servers of a version; how many requests they have got together.
+/// Starts servers of a version; returns the count of requests that they receive together.
 async fn serve(
     store: &Store,
     version: &'static str,
@@ -49,19 +49,19 @@
 ) -> Rc<Cell<usize>> {
     let count = Rc::new(Cell::new(0));
     for n in 0..SERVERS {
-        let (got, answer) = (count.clone(), answer.clone());
+        let (received, answer) = (count.clone(), answer.clone());
         let (address, _) = backend(ip(), move |head| {
-            got.set(got.get() + 1);
-            answer(got.get(), head)
+            received.set(received.get() + 1);
+            answer(received.get(), head)
         })
         .await;
         let key = RowKey::Server(format!("{version}-{n}"));
-        store.put(key, Some(of(version, server(address))));
+        store.put(key, Some(with_version(version, server(address))));
     }
     count
 }
 
-/// Three hosts that have met, with servers of the first version.
+/// Three hosts that know each other, with servers of the first version.
 async fn fleet() -> (Store, Vec<Running>, Rc<Cell<usize>>) {
     let store = Store::default();
     store.put(RowKey::Configuration, Some(configuration(1, Repeatability::Safe)));
@@ -71,46 +71,47 @@
         let seeds: Vec<_> = hosts.iter().map(|host| host.edge.settings.host.peers).collect();
         hosts.push(start(ip(), &store, &seeds));
     }
-    let met = || {
+    let have_met = || {
         hosts.iter().all(|host| {
             host.edge.serves()
                 && host.edge.steer.borrow().members().target_count() + 1 == hosts.len()
         })
     };
-    assert!(until(Duration::from_secs(3), met).await, "the hosts have met");
+    assert!(until(Duration::from_secs(3), have_met).await, "the hosts know each other");
     (store, hosts, old)
 }
 
-/// Sends requests for a time or until something holds; how many, and how many failed.
-async fn send(hosts: &[Running], within: Duration, end: impl Fn() -> bool) -> (usize, usize) {
+/// Sends requests until `is_done` or the timeout; returns how many were sent, and how many
+/// failed.
+async fn send(hosts: &[Running], timeout: Duration, is_done: impl Fn() -> bool) -> (usize, usize) {
     let (began, mut sent, mut failed) = (Instant::now(), 0, 0);
-    while began.elapsed() < within && !end() {
+    while began.elapsed() < timeout && !is_done() {
         let host = hosts[sent % hosts.len()].callers;
-        let answer = ask(host, &format!("r-{sent}"), &format!("/{}", sent % 41)).await;
+        let answer = send_request(host, &format!("r-{sent}"), &format!("/{}", sent % 41)).await;
         failed += usize::from(answer.is_none_or(|answer| answer.status != 200));
         sent += 1;
-        compio::time::sleep(PAUSE).await;
+        compio::time::sleep(REQUEST_INTERVAL).await;
     }
     (sent, failed)
 }
 
-fn order(store: &Store) {
-    let duration_ms = DURATION.as_millis() as u64;
+fn write_order(store: &Store) {
+    let duration_ms = ROLLOUT_DURATION.as_millis() as u64;
     let order = RolloutOrder { target: "v2".into(), duration_ms };
     store.put(RowKey::Rollout(SERVICE.into()), Some(RowContent::Rollout(order)));
 }
 
 #[test]
-fn a_good_version_takes_over_before_the_others_are_stopped() {
+fn good_version_takes_over_all_requests() {
     run(async || {
         let (store, hosts, old) = fleet().await;
-        // Hosts know how long answers usually take, and have run for a while.
+        // The hosts must have run for a while and know the usual response times.
         send(&hosts, Duration::from_secs(4), || false).await;
-        order(&store);
+        write_order(&store);
         let new = serve(&store, "v2", |_, head| good(head, "new")).await;
-        let completed = || store.stage(SERVICE) == Some(RolloutStage::Completed);
-        let (sent, failed) = send(&hosts, DURATION, completed).await;
-        assert!(completed(), "it is {:?} after {sent} requests", store.stage(SERVICE));
+        let is_completed = || store.stage(SERVICE) == Some(RolloutStage::Completed);
+        let (sent, failed) = send(&hosts, ROLLOUT_DURATION, is_completed).await;
+        assert!(is_completed(), "it is {:?} after {sent} requests", store.stage(SERVICE));
         assert_eq!(failed, 0, "of {sent} requests");
         let before = old.get();
         let (sent, failed) = send(&hosts, Duration::from_secs(1), || false).await;
@@ -120,18 +121,19 @@
 }
 
 #[test]
-fn a_version_that_fails_is_turned_away_and_stays_so_for_a_host_that_starts() {
+fn failing_version_is_rolled_back_also_at_starting_hosts() {
     run(async || {
         let (store, mut hosts, _) = fleet().await;
         send(&hosts, Duration::from_secs(4), || false).await;
-        order(&store);
-        let fails = |count, head: &str| if count % 2 == 0 { failing(head) } else { good(head, "") };
-        let new = serve(&store, "v2", fails).await;
-        let decided = || store.stage(SERVICE).is_some_and(RolloutStage::is_final);
-        let (sent, failed) = send(&hosts, DURATION, decided).await;
+        write_order(&store);
+        let alternately_failing =
+            |count, head: &str| if count % 2 == 0 { server_error(head) } else { good(head, "") };
+        let new = serve(&store, "v2", alternately_failing).await;
+        let is_decided = || store.stage(SERVICE).is_some_and(RolloutStage::is_final);
+        let (sent, failed) = send(&hosts, ROLLOUT_DURATION, is_decided).await;
         assert_eq!(store.stage(SERVICE), Some(RolloutStage::RolledBack), "after {sent} requests");
         assert!(new.get() <= sent / 10 + 50, "{} of {sent} requests", new.get());
-        assert_eq!(failed, 0, "reads that failed there are sent on to others");
+        assert_eq!(failed, 0, "reads that failed there are retried at other servers");
         compio::time::sleep(Duration::from_secs(2)).await;
         let seeds: Vec<_> = hosts.iter().map(|host| host.edge.settings.host.peers).collect();
         hosts.push(start(ip(), &store, &seeds));
--- a/elmstream_edge/tests/server_says.rs
+++ b/elmstream_edge/tests/server_says.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves in their answers.
+//! Hints of backend servers in the headers of their responses.
 
 mod support;
 
@@ -11,24 +11,26 @@
 
 use elmstream_steer::{model::Repeatability, view::RowKey};
 use support::{
-    Running, Store, ask, backend, configuration, good, ip, run, server, serving, start, until,
+    Running, Store, backend, configuration, good, ip, run, send_request, server, serving, start,
+    until,
 };
 
-/// Time between two requests of callers.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Time within which a server that leaves gets nothing more.
-const DRAIN: Duration = Duration::from_secs(1);
-/// Rest that a server asks for, and when requests are no more on their way to it.
-const REST: Duration = Duration::from_secs(3);
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
-/// Requests that may reach a server in its rest.
-const IN_REST: usize = 2;
+/// Pause between two requests of callers.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after which a leaving server must get no more requests.
+const LEAVE_TIME_MAX: Duration = Duration::from_secs(1);
+/// Back-off that a server asks for, and the time after which no earlier request is in
+/// transit.
+const BACKOFF: Duration = Duration::from_secs(3);
+const IN_TRANSIT: Duration = Duration::from_millis(500);
+/// Requests that may reach a server during its back-off.
+const BACKOFF_REQUESTS_MAX: usize = 2;
 
-/// When requests came to a server.
+/// Arrival times of requests at a server.
 type Arrivals = Rc<RefCell<Vec<Instant>>>;
 
-/// A server whose answers `answer` makes, and when requests came.
-async fn watched(answer: impl Fn(&str) -> Vec<u8> + 'static) -> (SocketAddr, Arrivals) {
+/// A server that responds with `answer`, and the arrival times of its requests.
+async fn recording_server(answer: impl Fn(&str) -> Vec<u8> + 'static) -> (SocketAddr, Arrivals) {
     let arrivals = Arrivals::default();
     let seen = arrivals.clone();
     let (address, _) = backend(ip(), move |head| {
@@ -39,32 +41,34 @@
     (address, arrivals)
 }
 
-/// A good answer with one header more.
-fn with(head: &str, line: &str) -> Vec<u8> {
+/// A successful response with an additional header line.
+fn with_header(head: &str, line: &str) -> Vec<u8> {
     let answer = String::from_utf8(good(head, "ok")).expect("text");
     answer.replacen("200 OK\r\n", &format!("200 OK\r\n{line}\r\n"), 1).into_bytes()
 }
 
-/// An answer that turns a request away and asks for rest.
-fn turned_away(head: &str, rest: &str) -> Vec<u8> {
+/// A response that refuses a request and asks for a back-off of `retry_after` seconds.
+fn refusal_with_retry_after(head: &str, retry_after: &str) -> Vec<u8> {
     let id = support::header(head, "elmstream-request");
     format!(
         "HTTP/1.1 503 Service Unavailable\r\nelmstream-request: {id}\r\nelmstream-not-run: 1\r\n\
-         retry-after: {rest}\r\ncontent-length: 0\r\n\r\n"
+         retry-after: {retry_after}\r\ncontent-length: 0\r\n\r\n"
     )
     .into_bytes()
 }
 
-/// Sends requests of many keys to hosts by turns for a time; how many were answered well.
-async fn press(hosts: &[Running], time: Duration, name: &str) -> (usize, usize) {
+/// Sends requests of many keys to the hosts in turn for a time; returns how many were sent,
+/// and how many succeeded.
+async fn send_requests(hosts: &[Running], time: Duration, name: &str) -> (usize, usize) {
     let began = Instant::now();
     let (mut sent, mut served) = (0, 0);
     while began.elapsed() < time {
         let host = hosts[sent % hosts.len()].callers;
-        let answer = ask(host, &format!("{name}-{sent}"), &format!("/{}", sent % 41)).await;
+        let answer =
+            send_request(host, &format!("{name}-{sent}"), &format!("/{}", sent % 41)).await;
         served += usize::from(answer.is_some_and(|answer| answer.status == 200));
         sent += 1;
-        compio::time::sleep(PAUSE).await;
+        compio::time::sleep(REQUEST_INTERVAL).await;
     }
     (sent, served)
 }
@@ -78,113 +82,102 @@
     let first = start(ip(), &store, &[]);
     let second = start(ip(), &store, &[first.edge.settings.host.peers]);
     let hosts = vec![first, second];
-    let met = || {
+    let have_met = || {
         hosts.iter().all(|host| {
             host.edge.serves() && host.edge.steer.borrow().members().target_count() == 1
         })
     };
-    assert!(until(Duration::from_secs(3), met).await, "the hosts have met");
+    assert!(until(Duration::from_secs(3), have_met).await, "the hosts know each other");
     (store, hosts)
 }
 
-/// What users saw: requests reached a server for up to 13 s after its answers had begun to
-/// say that it leaves, until the store had taken that.
+/// A server that announces its leaving in response headers must get no more requests, also
+/// while the store is unavailable.
 ///
-/// Order of events: the store gave no answers; a server began to leave and could only say so
-/// in its answers, as its word did not reach the store; hosts passed these answers on and
-/// sent it more requests.
-///
-/// Cause: whether a server leaves was read from its entry in the store and nowhere else; of
-/// an answer's headers hosts took none but the load for themselves.
-///
-/// Evidence: requests went on until the store was back, also at hosts that had passed
-/// such answers on, and stopped in the second in which its entry said so; nothing that had
-/// waited was among them, as they had come seconds after the word.
+/// If hosts learn of a leaving server from its row in the store only, a server that begins to
+/// leave during a store outage goes on receiving requests until the store is back, in one
+/// case for 13 s, although its responses say that it is leaving.
 #[test]
-fn a_server_that_says_it_leaves_gets_nothing_more_without_the_store() {
+fn leaving_server_gets_no_requests_during_a_store_outage() {
     run(async || {
-        let leaves = Rc::new(Cell::new(false));
-        let said = leaves.clone();
-        let (leaving, arrivals) = watched(move |head| match said.get() {
-            true => with(head, "elmstream-server-leaving: 1"),
+        let is_leaving = Rc::new(Cell::new(false));
+        let announces = is_leaving.clone();
+        let (leaving, arrivals) = recording_server(move |head| match announces.get() {
+            true => with_header(head, "elmstream-server-leaving: 1"),
             false => good(head, "ok"),
         })
         .await;
-        let (other, _) = watched(|head| good(head, "ok")).await;
+        let (other, _) = recording_server(|head| good(head, "ok")).await;
         let (store, hosts) = two_hosts(&[leaving, other]).await;
-        press(&hosts, Duration::from_millis(500), "a").await;
+        send_requests(&hosts, Duration::from_millis(500), "a").await;
         assert!(!arrivals.borrow().is_empty(), "the server is used");
         store.down.set(true);
-        leaves.set(true);
+        is_leaving.set(true);
         let first = arrivals.borrow().len();
-        press(&hosts, DRAIN, "b").await;
-        assert!(arrivals.borrow().len() > first, "it has said so");
+        send_requests(&hosts, LEAVE_TIME_MAX, "b").await;
+        assert!(arrivals.borrow().len() > first, "a response has announced it");
         let before = arrivals.borrow().len();
-        let (sent, served) = press(&hosts, Duration::from_secs(2), "c").await;
-        assert_eq!(arrivals.borrow().len(), before, "requests came after it had said so");
+        let (sent, served) = send_requests(&hosts, Duration::from_secs(2), "c").await;
+        assert_eq!(arrivals.borrow().len(), before, "requests arrived after the announcement");
         assert_eq!(served, sent);
-        // The store's entry still says that it is ready.
+        // The store's row still says that the server is ready.
         store.down.set(false);
         store.put(RowKey::Configuration, Some(configuration(2, Repeatability::Safe)));
-        press(&hosts, Duration::from_secs(1), "d").await;
-        assert_eq!(arrivals.borrow().len(), before, "the store's entry took it back");
+        send_requests(&hosts, Duration::from_secs(1), "d").await;
+        assert_eq!(arrivals.borrow().len(), before, "the store's row overrode the announcement");
     });
 }
 
-/// A server that leaves may break its last answers off.
+/// A leaving server may abort its last responses.
 #[test]
-fn what_the_head_of_an_answer_says_holds_though_its_body_breaks_off() {
+fn hints_apply_if_only_the_response_body_is_truncated() {
     run(async || {
-        let (leaving, arrivals) = watched(|head| {
-            let answer = with(head, "elmstream-server-leaving: 1");
+        let (leaving, arrivals) = recording_server(|head| {
+            let answer = with_header(head, "elmstream-server-leaving: 1");
             let cut = answer.len() - 1;
-            [&answer[..cut], support::CLOSE].concat()
+            [&answer[..cut], support::CLOSE_MARK].concat()
         })
         .await;
-        // There is no other server to go to.
+        // There is no other server to send requests to.
         let (_store, host) = serving(Repeatability::Safe, &[leaving]).await;
-        press(&[host], Duration::from_millis(800), "h").await;
+        send_requests(&[host], Duration::from_millis(800), "h").await;
         assert_eq!(arrivals.borrow().len(), 1);
     });
 }
 
-/// What users saw: while six servers turned all requests away for nine seconds, about as
-/// many as before went to them; one lookup in ten was refused and one in ten late.
-///
-/// Order of events: servers turned requests away, not run, and asked for three seconds of
-/// rest each time; hosts sent to them again within a tenth of a second, many requests met
-/// two such servers in a row and were lost.
-///
-/// Cause: a server that turned a request away counted as full for 60 ms, whatever it asked
-/// for; nobody read the time in its answer.
+/// A server that refuses requests with Retry-After must get none for that time.
 ///
-/// Evidence: lines of requests that two servers had turned away named the same two servers up
-/// to 20 times at one host, over five seconds and with many keys, and what the six servers
-/// got did not fall.
+/// If hosts ignore Retry-After, a refusing server only counts as full for 60 ms. Six servers
+/// that refused all requests for nine seconds, asking for a back-off of three seconds each
+/// time, then got about as many requests as before. Many requests met two of these servers in
+/// a row and were lost: one look-up in ten was refused and one in ten late.
 #[test]
-fn a_server_that_asks_for_rest_gets_it() {
+fn server_that_asks_for_backoff_gets_no_requests() {
     run(async || {
-        let turns_away = Rc::new(Cell::new(false));
-        let asks = turns_away.clone();
-        let (resting, arrivals) = watched(move |head| match asks.get() {
-            true => turned_away(head, "3"),
+        let is_refusing = Rc::new(Cell::new(false));
+        let refuses = is_refusing.clone();
+        let (refusing, arrivals) = recording_server(move |head| match refuses.get() {
+            true => refusal_with_retry_after(head, "3"),
             false => good(head, "ok"),
         })
         .await;
-        let (other, _) = watched(|head| good(head, "ok")).await;
-        let (_store, host) = serving(Repeatability::Safe, &[resting, other]).await;
+        let (other, _) = recording_server(|head| good(head, "ok")).await;
+        let (_store, host) = serving(Repeatability::Safe, &[refusing, other]).await;
         let hosts = [host];
-        // The host has to have earned a repeat.
-        press(&hosts, Duration::from_millis(500), "b").await;
-        turns_away.set(true);
+        // The retry budget must allow a retry.
+        send_requests(&hosts, Duration::from_millis(500), "b").await;
+        is_refusing.set(true);
         let before = arrivals.borrow().len();
-        let (sent, served) = press(&hosts, REST, "r").await;
+        let (sent, served) = send_requests(&hosts, BACKOFF, "r").await;
         let arrivals = arrivals.borrow();
-        let first = *arrivals.get(before).expect("it was asked once");
-        let in_rest = arrivals[before..].iter();
-        let in_rest = in_rest.filter(|at| at.duration_since(first) > ON_THEIR_WAY);
-        let in_rest = in_rest.count();
-        assert!(in_rest <= IN_REST, "{in_rest} requests in its rest");
+        let first = *arrivals.get(before).expect("one request reached it");
+        let during_backoff = arrivals[before..].iter();
+        let during_backoff = during_backoff.filter(|at| at.duration_since(first) > IN_TRANSIT);
+        let during_backoff = during_backoff.count();
+        assert!(
+            during_backoff <= BACKOFF_REQUESTS_MAX,
+            "{during_backoff} requests during its back-off"
+        );
         assert_eq!(served, sent);
     });
 }
--- a/elmstream_edge/tests/support/mod.rs
+++ b/elmstream_edge/tests/support/mod.rs
@@ -40,11 +40,11 @@
 
 /// The only service.
 pub const SERVICE: &str = "shop";
-/// Port of callers, and of hosts.
+/// Ports for callers, and for other hosts.
 pub const CALLERS: u16 = 7_001;
 pub const PEERS: u16 = 7_002;
 
-/// An IP number of this process that no other test uses.
+/// A loopback address that no other test uses.
 pub fn ip() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let pid = process::id();
@@ -52,23 +52,23 @@
     IpAddr::V4(Ipv4Addr::new(127, 64 | (pid >> 8) as u8 & 63, pid as u8, last))
 }
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on its own runtime.
 pub fn run(test: impl AsyncFnOnce()) {
     Runtime::new().expect("a runtime").block_on(test());
 }
 
-/// Rows of the store, shared by hosts, and whether it serves.
+/// A store that hosts share, and whether it answers.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     rows: Rc<RefCell<BTreeMap<RowKey, Row>>>,
     pub hosts: Rc<RefCell<Vec<SocketAddr>>>,
-    pub harmful: Rc<RefCell<BTreeMap<RequestDigest, Vec<ServerCrash>>>>,
+    pub refused_requests: Rc<RefCell<BTreeMap<RequestDigest, Vec<ServerCrash>>>>,
     version: Rc<Cell<u64>>,
     era: Rc<Cell<u64>>,
     pub down: Rc<Cell<bool>>,
     pub calls: Rc<Cell<u64>>,
-    /// How long answers take on their way to a host.
-    pub late: Rc<Cell<Duration>>,
+    /// Delay of responses on their way to a host.
+    pub response_delay: Rc<Cell<Duration>>,
 }
 
 impl Store {
@@ -76,11 +76,11 @@
     pub fn put(&self, key: RowKey, item: Option<RowContent>) {
         let version = self.version.get() + 1;
         self.version.set(version);
-        let version = self.newest();
+        let version = self.current_version();
         self.rows.borrow_mut().insert(key.clone(), Row::new(key, version, item));
     }
 
-    /// How far the roll-out of a service has come.
+    /// Stage of a service's roll-out.
     pub fn stage(&self, service: &str) -> Option<RolloutStage> {
         let rows = self.rows.borrow();
         match &rows.get(&RowKey::Progress(service.into()))?.content {
@@ -89,22 +89,22 @@
         }
     }
 
-    fn newest(&self) -> StoreVersion {
+    fn current_version(&self) -> StoreVersion {
         StoreVersion::new(self.era.get() + 1, self.version.get())
     }
 
-    /// Comes back from a copy in which its rows are as they are, and what elmstream wrote
-    /// is as it was before.
-    pub fn come_back(
+    /// Simulates a restore from a copy with the same rows, and with the given content of the
+    /// lists that elmstream writes.
+    pub fn restore_from_copy(
         &self,
         hosts: Vec<SocketAddr>,
-        harmful: BTreeMap<RequestDigest, Vec<ServerCrash>>,
+        refused_requests: BTreeMap<RequestDigest, Vec<ServerCrash>>,
     ) {
         self.era.set(self.era.get() + 1);
-        let newest = self.newest();
-        self.rows.borrow_mut().values_mut().for_each(|row| row.version = newest);
+        let current_version = self.current_version();
+        self.rows.borrow_mut().values_mut().for_each(|row| row.version = current_version);
         self.hosts.replace(hosts);
-        self.harmful.replace(harmful);
+        self.refused_requests.replace(refused_requests);
     }
 
     fn serve(&self, table: Table, after: Option<StoreVersion>) -> Result<StoreRows, SourceError> {
@@ -112,7 +112,7 @@
         if self.down.get() {
             return Err(SourceError::Refused { status: 503 });
         }
-        if after.is_some_and(|after| after.era != self.newest().era) {
+        if after.is_some_and(|after| after.era != self.current_version().era) {
             return Err(SourceError::Refused { status: 410 });
         }
         let wanted = |row: &&Row| {
@@ -120,7 +120,7 @@
             row.key.table() == table && new
         };
         let rows = self.rows.borrow().values().filter(wanted).cloned().collect();
-        Ok(StoreRows { version: self.newest(), rows, unreadable: Vec::new() })
+        Ok(StoreRows { version: self.current_version(), rows, unreadable: Vec::new() })
     }
 }
 
@@ -136,7 +136,7 @@
         _: Duration,
     ) -> Result<Option<StoreRows>, SourceError> {
         let rows = self.serve(table, Some(after)).map(Some);
-        compio::time::sleep(self.late.get()).await;
+        compio::time::sleep(self.response_delay.get()).await;
         rows
     }
 
@@ -157,19 +157,19 @@
 
     async fn refused_requests(&self) -> Result<RefusedList, SourceError> {
         self.serve(Table::Rules, None)?;
-        let listed = self.harmful.borrow().clone().into_iter().collect();
+        let listed = self.refused_requests.borrow().clone().into_iter().collect();
         Ok(RefusedList { listed, unreadable: Vec::new() })
     }
 
     async fn add_refused_request(
         &self,
         digest: &RequestDigest,
-        endings: &[ServerCrash],
+        crashes: &[ServerCrash],
     ) -> Result<(), SourceError> {
         self.serve(Table::Rules, None)?;
-        match endings.is_empty() {
-            true => drop(self.harmful.borrow_mut().remove(digest)),
-            false => drop(self.harmful.borrow_mut().insert(*digest, endings.to_vec())),
+        match crashes.is_empty() {
+            true => drop(self.refused_requests.borrow_mut().remove(digest)),
+            false => drop(self.refused_requests.borrow_mut().insert(*digest, crashes.to_vec())),
         }
         Ok(())
     }
@@ -190,11 +190,11 @@
             return Ok(None);
         }
         self.put(progress, Some(RowContent::Progress(write.progress.clone())));
-        Ok(Some(self.newest()))
+        Ok(Some(self.current_version()))
     }
 }
 
-/// A host that runs.
+/// A running host.
 pub struct Running {
     pub edge: Rc<Edge>,
     pub callers: SocketAddr,
@@ -203,18 +203,18 @@
 }
 
 impl Running {
-    /// Asks for the planned stop.
+    /// Requests the planned stop.
     pub fn terminate(&self) {
         self.terminate.stop();
     }
 }
 
-/// Name of the host at an IP number.
+/// Name of the host at an address.
 pub fn name(ip: IpAddr) -> String {
     format!("host-{ip}")
 }
 
-/// Settings of a host at an IP number.
+/// Settings of a host at an address.
 pub fn settings(ip: IpAddr, seeds: &[SocketAddr]) -> Settings {
     let text = serde_json::json!({
         "host": {
@@ -234,12 +234,12 @@
     start_with(ip, settings(ip, seeds), store)
 }
 
-/// Starts a host with settings.
+/// Starts a host with the given settings.
 pub fn start_with(ip: IpAddr, settings: Settings, store: &Store) -> Running {
     start_edge(ip, Edge::new(settings), store)
 }
 
-/// Starts a host that has been made.
+/// Starts the given host.
 pub fn start_edge(ip: IpAddr, edge: Rc<Edge>, store: &Store) -> Running {
     let (terminate, terminated) = Stopper::new();
     let (stopper, stop) = Stopper::new();
@@ -254,16 +254,16 @@
     Running { edge, callers: SocketAddr::new(ip, CALLERS), ended, terminate }
 }
 
-/// Waits until something holds.
-pub async fn until(within: Duration, what: impl Fn() -> bool) -> bool {
+/// Waits until a condition holds; returns whether it did within the timeout.
+pub async fn until(timeout: Duration, holds: impl Fn() -> bool) -> bool {
     let began = Instant::now();
-    while began.elapsed() < within {
-        if what() {
+    while began.elapsed() < timeout {
+        if holds() {
             return true;
         }
         compio::time::sleep(Duration::from_millis(10)).await;
     }
-    what()
+    holds()
 }
 
 /// A configuration with one route.
@@ -305,44 +305,51 @@
     })
 }
 
-/// What a backend server got.
+/// What a backend server received.
 #[derive(Clone, Debug, Default)]
-pub struct Got {
+pub struct Received {
     pub requests: Rc<RefCell<Vec<String>>>,
     pub connections: Rc<Cell<usize>>,
     pub closed: Rc<Cell<usize>>,
 }
 
-/// A backend server that writes back whatever `answer` makes of a request's head;
-/// nothing at all and no more for an empty text. A close follows an answer that
-/// ends with [`CLOSE`].
-pub async fn backend(ip: IpAddr, answer: impl Fn(&str) -> Vec<u8> + 'static) -> (SocketAddr, Got) {
+/// A backend server that responds with what `answer` returns for the head of a request; it
+/// sends nothing for an empty text. It closes the connection after a response that ends with
+/// [`CLOSE_MARK`].
+pub async fn backend(
+    ip: IpAddr,
+    answer: impl Fn(&str) -> Vec<u8> + 'static,
+) -> (SocketAddr, Received) {
     let listener = TcpListener::bind((ip, 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let got = Got::default();
+    let received = Received::default();
     let answer = Rc::new(answer);
-    let all = got.clone();
+    let all = received.clone();
     compio::runtime::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (got, answer) = (all.clone(), answer.clone());
-            got.connections.set(got.connections.get() + 1);
+            let (received, answer) = (all.clone(), answer.clone());
+            received.connections.set(received.connections.get() + 1);
             compio::runtime::spawn(async move {
-                converse(stream, &got, &*answer).await;
-                got.closed.set(got.closed.get() + 1);
+                serve_connection(stream, &received, &*answer).await;
+                received.closed.set(received.closed.get() + 1);
             })
             .detach();
         }
     })
     .detach();
-    (address, got)
+    (address, received)
 }
 
 /// Time that a backend server takes for paths that begin with `/slow`.
-pub const SLOW: Duration = Duration::from_millis(500);
-/// Ends an answer after which the server closes.
-pub const CLOSE: &[u8] = b"\0close";
-
-pub async fn converse(mut stream: TcpStream, got: &Got, answer: &dyn Fn(&str) -> Vec<u8>) {
+pub const SLOW_RESPONSE_TIME: Duration = Duration::from_millis(500);
+/// Marks the end of a response after which the server closes the connection.
+pub const CLOSE_MARK: &[u8] = b"\0close";
+
+pub async fn serve_connection(
+    mut stream: TcpStream,
+    received: &Received,
+    answer: &dyn Fn(&str) -> Vec<u8>,
+) {
     let mut text = String::new();
     loop {
         let BufResult(read, bytes) = stream.read(Vec::with_capacity(65_536)).await;
@@ -353,12 +360,12 @@
         let Some(end) = text.find("\r\n\r\n") else { continue };
         let head = text[..end].to_owned();
         text.clear();
-        got.requests.borrow_mut().push(head.clone());
+        received.requests.borrow_mut().push(head.clone());
         if head.starts_with("GET /slow") {
-            compio::time::sleep(SLOW).await;
+            compio::time::sleep(SLOW_RESPONSE_TIME).await;
         }
         let bytes = answer(&head);
-        let (bytes, closes) = match bytes.strip_suffix(CLOSE) {
+        let (bytes, closes) = match bytes.strip_suffix(CLOSE_MARK) {
             Some(bytes) => (bytes.to_vec(), true),
             None => (bytes, false),
         };
@@ -368,7 +375,7 @@
     }
 }
 
-/// A header of a request's head.
+/// Value of a header in the head of a request; empty if absent.
 pub fn header<'a>(head: &'a str, name: &str) -> &'a str {
     let lines = head.lines().filter_map(|line| line.split_once(": "));
     lines
@@ -378,7 +385,7 @@
         .unwrap_or("")
 }
 
-/// A whole good answer to a request.
+/// A complete successful response to a request.
 pub fn good(head: &str, text: &str) -> Vec<u8> {
     let id = header(head, "elmstream-request");
     format!(
@@ -389,7 +396,7 @@
     .into_bytes()
 }
 
-/// An answer to a caller.
+/// A response to a caller.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -398,13 +405,13 @@
     pub took: Duration,
 }
 
-/// Sends a request; none if the connection ends without an answer.
-pub async fn ask(host: SocketAddr, id: &str, path: &str) -> Option<Answer> {
-    ask_from(None, host, id, path).await
+/// Sends a request; `None` if the connection ends without a response.
+pub async fn send_request(host: SocketAddr, id: &str, path: &str) -> Option<Answer> {
+    send_request_from(None, host, id, path).await
 }
 
-/// Sends a request from an address, if one is given.
-pub async fn ask_from(
+/// Sends a request from the given local address, if any.
+pub async fn send_request_from(
     from: Option<IpAddr>,
     host: SocketAddr,
     id: &str,
@@ -424,15 +431,15 @@
     Some(Answer { status: parts.status, headers: parts.headers, body, took: began.elapsed() })
 }
 
-/// The same within a time.
-pub async fn ask_within(
+/// Sends a request; `None` if there is no response within the timeout.
+pub async fn send_request_within(
     host: SocketAddr,
     id: &str,
     path: &str,
-    within: Duration,
+    timeout: Duration,
 ) -> Option<Answer> {
-    let asking = Box::pin(ask(host, id, path));
-    match select(asking, Box::pin(compio::time::sleep(within))).await {
+    let sending = Box::pin(send_request(host, id, path));
+    match select(sending, Box::pin(compio::time::sleep(timeout))).await {
         Either::Left((answer, _)) => answer,
         Either::Right(_) => None,
     }
