--- a/elmstream_soak/src/backend.rs
+++ b/elmstream_soak/src/backend.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 
 use crate::{
-    listen, needy, versions, workspaces,
+    listen, server_signals, versions, workspaces,
     world::{SHOP, ServerMode, World},
 };
 
@@ -32,41 +32,41 @@
     };
     let (id, server) = (field("elmstream-request"), field("elmstream-server"));
     let known = world.servers.borrow().get(&server).copied();
-    let of_version = server.starts_with(versions::NEXT);
+    let of_version = server.starts_with(versions::NEXT_VERSION_PREFIX);
     if of_version || server.starts_with(SHOP) {
-        world.arrivals.add(versions::ALL, world.now());
+        world.arrivals.record(versions::ALL_SERVERS, world.now());
         // A server that has ended gets nothing, however its requests are answered.
         if of_version || known.is_none() {
-            world.arrivals.add(&server, world.now());
+            world.arrivals.record(&server, world.now());
         }
     }
     let Some(mode) = known else {
         return Ok(status(StatusCode::MISDIRECTED_REQUEST));
     };
-    if matches!(mode, ServerMode::Resting | ServerMode::Leaving | ServerMode::Limited) {
-        world.arrivals.add(&server, world.now());
+    if matches!(mode, ServerMode::BackingOff | ServerMode::Leaving | ServerMode::Limited) {
+        world.arrivals.record(&server, world.now());
     }
-    if matches!(mode, ServerMode::Full | ServerMode::Resting) {
+    if matches!(mode, ServerMode::Full | ServerMode::BackingOff) {
         let mut refusal = status(StatusCode::SERVICE_UNAVAILABLE);
-        if mode == ServerMode::Resting {
-            needy::turn_away(&mut refusal);
+        if mode == ServerMode::BackingOff {
+            server_signals::refuse_with_back_off(&mut refusal);
         }
         refusal.headers_mut().insert("elmstream-not-run", http::HeaderValue::from_static("1"));
         return Ok(refusal);
     }
     check(&world, &request, &id);
-    world.ledger.borrow_mut().runs(&id);
+    world.ledger.borrow_mut().record_run(&id);
     if world.breaks("once") && id.ends_with("7") {
-        world.ledger.borrow_mut().runs(&id);
+        world.ledger.borrow_mut().record_run(&id);
     }
     compio::time::sleep(WORK).await;
     match mode {
-        ServerMode::Dark => {
+        ServerMode::Unresponsive => {
             compio::time::sleep(DARK).await;
             Err(Aborted)
         }
-        ServerMode::Cutting => Err(Aborted),
-        ServerMode::Failing if world.arrivals.of(&server).len().is_multiple_of(2) => {
+        ServerMode::Closing => Err(Aborted),
+        ServerMode::FailingVersion if world.arrivals.times(&server).len().is_multiple_of(2) => {
             let mut failure = status(StatusCode::INTERNAL_SERVER_ERROR);
             if let Ok(value) = id.parse() {
                 failure.headers_mut().insert("elmstream-request", value);
@@ -74,7 +74,7 @@
             Ok(failure)
         }
         _ => {
-            let echoed = if mode == ServerMode::Mixing { "another" } else { &id };
+            let echoed = if mode == ServerMode::MixingIds { "another" } else { &id };
             let told = if world.breaks("mixed") && id.ends_with("7") { "x" } else { &id };
             let mut response = Response::new(body::full(format!("{told} {server}")));
             if let Ok(value) = echoed.parse() {
@@ -83,7 +83,7 @@
             response
                 .headers_mut()
                 .insert("elmstream-signature", http::HeaderValue::from_static("s"));
-            needy::say(mode, &mut response);
+            server_signals::add_signal(mode, &mut response);
             Ok(response)
         }
     }
@@ -101,20 +101,21 @@
     let wanted = request.uri().path().split('/').nth(2).unwrap_or_default();
     let named = if world.breaks("name") { "other" } else { wanted };
     if names != [named.as_bytes()] {
-        ledger.violate(format!("{id} of workspace {wanted} ran under another name: {names:?}"));
+        ledger
+            .add_violation(format!("{id} of workspace {wanted} ran under another name: {names:?}"));
     }
-    if wanted == workspaces::AWAY {
-        ledger.violate(format!("{id} ran outside the homes of its workspace"));
+    if wanted == workspaces::UNSERVED_WORKSPACE {
+        ledger.add_violation(format!("{id} ran outside the homes of its workspace"));
     }
     let shows = |value: &http::HeaderValue| {
-        value.to_str().is_ok_and(|text| text.contains(workspaces::KEY_BEGINS))
+        value.to_str().is_ok_and(|text| text.contains(workspaces::KEY_PREFIX))
     };
     if request.headers().values().any(shows) || world.breaks("key") {
-        ledger.violate(format!("{id} was passed on with its key"));
+        ledger.add_violation(format!("{id} was passed on with its key"));
     }
-    if wanted == workspaces::LIMITED {
+    if wanted == workspaces::LIMITED_WORKSPACE {
         let copies = if world.breaks("limit") { 20 } else { 1 };
-        (0..copies).for_each(|_| ledger.limited_ran(world.now()));
+        (0..copies).for_each(|_| ledger.record_limited_run(world.now()));
     }
 }
 
--- a/elmstream_soak/src/host.rs
+++ b/elmstream_soak/src/host.rs
@@ -7,7 +7,7 @@
 use elmstreamd::signals::{SIGHUP, SIGTERM, Signals};
 use serde_json::json;
 
-use crate::remote::Remote;
+use crate::store_client::StoreClient;
 
 /// Runs a host until it is asked to stop.
 pub async fn run(path: PathBuf, store: SocketAddr) -> Result<(), String> {
@@ -15,7 +15,7 @@
     let changes = Signals::new(SIGHUP).map_err(waits)?;
     let mut terminations = Signals::new(SIGTERM).map_err(waits)?;
     let settings = Settings::load(&path).map_err(|error| error.to_string())?;
-    let source = Remote::new(store, settings.host.name.clone());
+    let source = StoreClient::new(store, settings.host.name.clone());
     let edge = Edge::new(settings);
     compio::runtime::spawn(reload(Rc::clone(&edge), path, changes)).detach();
     let (stopper, stop) = Stopper::new();
--- a/elmstream_soak/src/strike.rs
+++ b/elmstream_soak/src/injection.rs
@@ -5,12 +5,10 @@
 use elmstream_steer::view::RowKey;
 
 use crate::{
-    aimed,
     callers::Hosts,
     faults::{Event, Fault},
-    needy,
     process::Process,
-    versions,
+    server_signals, stop_load, versions,
     world::{SHOP, ServerMode, StoreMode, World},
 };
 
@@ -36,9 +34,9 @@
 const OFTEN: u32 = 400;
 
 /// Brings a fault about, and ends it.
-pub async fn run(world: &Rc<World>, hosts: &Hosts, event: Event, address: SocketAddr) {
-    let lasts = Duration::from_millis(event.lasts);
-    let disturb = |n: usize| hosts.borrow_mut()[n].disturb(world.now());
+pub async fn inject(world: &Rc<World>, hosts: &Hosts, event: Event, address: SocketAddr) {
+    let lasts = Duration::from_millis(event.duration_ms);
+    let disturb = |n: usize| hosts.borrow_mut()[n].record_unplanned(world.now());
     match event.fault {
         Fault::Kill(n) => {
             disturb(n);
@@ -54,9 +52,9 @@
             disturb(n);
         }
         Fault::Terminate(n) => terminate(world, hosts, n).await,
-        Fault::Starve(n) => starve(world, hosts, n, event.lasts).await,
+        Fault::Starve(n) => starve(world, hosts, n, event.duration_ms).await,
         Fault::Reload(n) => reload(world, hosts, n, 1),
-        Fault::ReloadOften(n) => reload(world, hosts, n, OFTEN),
+        Fault::ReloadBurst(n) => reload(world, hosts, n, OFTEN),
         Fault::KillAll => {
             let all = hosts.borrow().len();
             (0..all).for_each(disturb);
@@ -65,32 +63,32 @@
             (0..all).for_each(|n| restart(world, hosts, n));
         }
         Fault::Store(mode) => {
-            let trouble = world.trouble(mode);
+            let trouble = world.begin_outage(mode);
             compio::time::sleep(lasts).await;
-            world.relieve(trouble);
+            world.end_outage(trouble);
         }
         Fault::Restore(age, again) => restore(world, lasts, age, again).await,
-        Fault::Mute => world.mute(),
-        Fault::TurnAway(n) => {
+        Fault::MuteConnections => world.mute_connections(),
+        Fault::RefuseHost(n) => {
             let name = hosts.borrow()[n].name();
-            world.away.replace(Some(name));
+            world.refused_host.replace(Some(name));
             compio::time::sleep(lasts).await;
-            world.away.replace(None);
+            world.refused_host.replace(None);
         }
         Fault::Server(n, mode) => {
             set(world, n, mode);
             compio::time::sleep(lasts).await;
-            set(world, n, ServerMode::Well);
+            set(world, n, ServerMode::Healthy);
         }
         Fault::Replace(n) => replace(world, n, address).await,
-        Fault::Leave(n) => needy::leave(world, hosts, n, address).await,
-        Fault::Rest(n) => needy::rest(world, hosts, n, lasts).await,
-        Fault::Need(n) => needy::need(world, hosts, n).await,
+        Fault::Leave(n) => server_signals::leave(world, hosts, n, address).await,
+        Fault::BackOff(n) => server_signals::back_off(world, hosts, n, lasts).await,
+        Fault::NameLimit(n) => server_signals::name_limit(world, hosts, n).await,
         Fault::RollOut(bad) => versions::roll_out(world, hosts, bad, address).await,
         Fault::Configure => {
-            let next = world.ledger.borrow().newest() + 1;
+            let next = world.ledger.borrow().newest_version() + 1;
             // A store that is away acknowledges nothing.
-            if world.store() != StoreMode::Away {
+            if world.store_mode() != StoreMode::Closing {
                 world.configure(next);
             }
         }
@@ -101,13 +99,13 @@
 /// and the operator after another one. What nobody writes again lapses.
 async fn restore(world: &Rc<World>, away: Duration, age: u64, again: u64) {
     let gone = world.now();
-    let number = world.troubles.borrow_mut().begin(gone);
-    world.modes.borrow_mut().push((number, StoreMode::Away));
+    let number = world.outages.borrow_mut().begin(gone);
+    world.store_modes.borrow_mut().push((number, StoreMode::Closing));
     compio::time::sleep(away).await;
-    world.come_back(gone.saturating_sub(age));
-    world.modes.borrow_mut().retain(|(known, _)| *known != number);
+    world.restore_backup(gone.saturating_sub(age));
+    world.store_modes.borrow_mut().retain(|(known, _)| *known != number);
     let back = world.now();
-    let servers: Vec<RowKey> = world.lost();
+    let servers: Vec<RowKey> = world.lost_rows();
     for (place, key) in servers.iter().enumerate().filter(|(_, key)| **key != RowKey::Configuration)
     {
         let gone = world.written.borrow().get(key).is_none_or(Option::is_none);
@@ -115,15 +113,15 @@
         let (world, key) = (world.clone(), key.clone());
         compio::runtime::spawn(async move {
             compio::time::sleep(Duration::from_millis(after)).await;
-            world.write_again(&key);
+            world.rewrite(&key);
         })
         .detach();
     }
     compio::time::sleep(Duration::from_millis(again)).await;
-    world.write_again(&RowKey::Configuration);
+    world.rewrite(&RowKey::Configuration);
     // Until then a host that starts cannot know what the store has lost, if all restarted.
     let now = world.now().max(back);
-    world.troubles.borrow_mut().end(number, now);
+    world.outages.borrow_mut().end(number, now);
 }
 
 /// A backend server behaves in another way, if it is still there.
@@ -135,16 +133,16 @@
 
 /// Ends a host if it runs, and starts it; what is not planned.
 pub fn restart(world: &World, hosts: &Hosts, n: usize) {
-    hosts.borrow_mut()[n].disturb(world.now());
+    hosts.borrow_mut()[n].record_unplanned(world.now());
     start(world, hosts, n);
 }
 
 fn start(world: &World, hosts: &Hosts, n: usize) {
     let mut hosts = hosts.borrow_mut();
     hosts[n].kill();
-    hosts[n].disturbed = world.now();
+    hosts[n].disturbed_ms = world.now();
     if let Err(error) = hosts[n].start(world.now()) {
-        world.ledger.borrow_mut().violate(format!("host {n} does not start: {error}"));
+        world.ledger.borrow_mut().add_violation(format!("host {n} does not start: {error}"));
     }
 }
 
@@ -154,35 +152,41 @@
         return;
     }
     hosts.borrow_mut()[n].signal("TERM");
-    hosts.borrow_mut()[n].asks += 1;
-    if hosts.borrow()[n].terminated.is_some() {
+    hosts.borrow_mut()[n].stop_requests += 1;
+    if hosts.borrow()[n].stop_requested_ms.is_some() {
         // It was asked before, and whoever did that waits for its end.
         return;
     }
     let asked = world.now();
-    hosts.borrow_mut()[n].terminated = Some(asked);
-    compio::runtime::spawn(aimed::run(world.clone(), hosts.clone(), n, asked)).detach();
+    hosts.borrow_mut()[n].stop_requested_ms = Some(asked);
+    compio::runtime::spawn(stop_load::send_around_notice_end(
+        world.clone(),
+        hosts.clone(),
+        n,
+        asked,
+    ))
+    .detach();
     let mut looks = LOOKS;
     let ended = loop {
-        let ended = hosts.borrow_mut()[n].ended();
+        let ended = hosts.borrow_mut()[n].exit_status();
         if ended.is_some() || hosts.borrow()[n].killed() || looks == 0 {
             break ended;
         }
         compio::time::sleep(STEP).await;
         looks -= 1;
     };
-    let undisturbed = hosts.borrow()[n].unplanned.is_none_or(|at| at < asked);
+    let undisturbed = hosts.borrow()[n].unplanned_ms.is_none_or(|at| at < asked);
     if let Some(problem) = problem(ended, looks)
         && undisturbed
     {
         let since = world.now() - asked;
-        let Process { asks, started, .. } = hosts.borrow()[n];
+        let Process { stop_requests: asks, started_ms: started, .. } = hosts.borrow()[n];
         let text = format!(
             "host {n} {problem}, {since} ms after it was asked at {asked} ms, {} ms after its \
              start; asked {asks} times",
             asked - started
         );
-        world.ledger.borrow_mut().violate(text);
+        world.ledger.borrow_mut().add_violation(text);
     }
     match ended {
         Some(_) => start(world, hosts, n),
@@ -202,25 +206,25 @@
 /// A start of a host gets a ninth of the time.
 async fn starve(world: &Rc<World>, hosts: &Hosts, n: usize, lasts: u64) {
     let until = world.now() + lasts;
-    let start = hosts.borrow()[n].start;
-    while world.now() < until && hosts.borrow()[n].start == start {
-        hosts.borrow_mut()[n].disturbed = world.now();
-        aimed::burst(world, hosts, n).await;
+    let start = hosts.borrow()[n].start_number;
+    while world.now() < until && hosts.borrow()[n].start_number == start {
+        hosts.borrow_mut()[n].disturbed_ms = world.now();
+        stop_load::burst(world, hosts, n).await;
         hosts.borrow_mut()[n].signal("STOP");
         compio::time::sleep(STARVED).await;
         hosts.borrow_mut()[n].signal("CONT");
         compio::time::sleep(RUNS).await;
     }
-    hosts.borrow_mut()[n].disturbed = world.now();
+    hosts.borrow_mut()[n].disturbed_ms = world.now();
 }
 
 /// Tells a host that its settings have changed.
 fn reload(world: &World, hosts: &Hosts, n: usize, times: u32) {
     let now = world.now();
     let mut hosts = hosts.borrow_mut();
-    if now > hosts[n].started + LISTENS_MS && !hosts[n].killed() {
-        hosts[n].reloaded = Some(now);
-        hosts[n].signals("HUP", times);
+    if now > hosts[n].started_ms + LISTENS_MS && !hosts[n].killed() {
+        hosts[n].reloaded_ms = Some(now);
+        hosts[n].repeat_signal("HUP", times);
     }
 }
 
@@ -231,9 +235,9 @@
         return;
     }
     let new = format!("shop-{n}-{}", world.now());
-    world.servers.borrow_mut().insert(new.clone(), ServerMode::Well);
-    world.serve(&new, SHOP, address, false);
-    world.serve(&old, SHOP, address, true);
+    world.servers.borrow_mut().insert(new.clone(), ServerMode::Healthy);
+    world.register_server(&new, SHOP, address, false);
+    world.register_server(&old, SHOP, address, true);
     compio::time::sleep(DRAIN).await;
     world.put(RowKey::Server(old.clone()), None);
     compio::time::sleep(DRAIN).await;
--- a/elmstream_soak/src/ledger.rs
+++ b/elmstream_soak/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-use crate::{fragile, trouble::Troubles, workspaces};
+use crate::{outages::Outages, poison, workspaces};
 
 /// A connection that ends this soon after a request's last byte may have been closed
 /// before the request came.
@@ -10,7 +10,7 @@
 
 /// What became of a request for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Seen {
+pub enum Outcome {
     /// A success.
     Success,
     /// It was refused: it has not run and will not.
@@ -28,50 +28,50 @@
 
 /// A request that was sent whole to a host under planned work only, and got no answer.
 #[derive(Clone, Debug)]
-pub struct Cut {
+pub struct LostRequest {
     /// Its id.
     pub id: String,
     /// Time from its last byte to the end of its connection, in milliseconds.
-    pub after: u64,
+    pub ended_after_ms: u64,
     /// For how long of that the soak itself may have looked late, in milliseconds.
-    pub late: u64,
+    pub stall_ms: u64,
     /// Where and when.
-    pub how: String,
+    pub context: String,
 }
 
 /// A success that shows a configuration.
 #[derive(Clone, Copy, Debug)]
-pub struct Served {
+pub struct VersionObservation {
     /// Host, and number of its start.
     pub host: (usize, u64),
     /// The service that shows the version.
     pub pin: u64,
     /// Number of such services.
-    pub pins: u64,
+    pub pin_count: u64,
     /// When the request was sent, in milliseconds since the beginning.
-    pub sent: u64,
+    pub sent_ms: u64,
     /// When its answer was there.
-    pub now: u64,
+    pub received_ms: u64,
     /// Whether the host was undisturbed for long enough before.
-    pub calm: bool,
+    pub undisturbed: bool,
 }
 
 /// A success that shows that a key was taken.
 #[derive(Clone, Copy, Debug)]
-pub struct Taken {
+pub struct KeyAcceptance {
     /// Host, and number of its start.
     pub host: (usize, u64),
     /// Newest version that holds the key.
-    pub held_until: u64,
+    pub last_valid_version: u64,
     /// When the request was sent, in milliseconds since the beginning.
-    pub sent: u64,
+    pub sent_ms: u64,
     /// Whether the host was undisturbed for long enough before.
-    pub calm: bool,
+    pub undisturbed: bool,
 }
 
 /// Requests under which servers end.
 #[derive(Debug, Default)]
-struct Harm {
+struct PoisonRecord {
     /// When servers ended under them.
     ended: Vec<u64>,
     /// Those that were sent to hosts that must know of them.
@@ -86,14 +86,14 @@
 /// All that was seen.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    harm: Harm,
+    harm: PoisonRecord,
     /// When requests of the limited workspace ran.
     limited: VecDeque<u64>,
     requests: HashMap<String, Entry>,
     versions: BTreeMap<u64, u64>,
     last: HashMap<(usize, u64), (u64, u64)>,
     counts: BTreeMap<&'static str, u64>,
-    cuts: Vec<Cut>,
+    cuts: Vec<LostRequest>,
     violations: Vec<String>,
 }
 
@@ -114,102 +114,107 @@
     }
 
     /// A promise is broken.
-    pub fn violate(&mut self, text: String) {
+    pub fn add_violation(&mut self, text: String) {
         self.violations.push(text);
     }
 
     /// A backend server begins to run a request.
-    pub fn runs(&mut self, id: &str) {
+    pub fn record_run(&mut self, id: &str) {
         self.count("run");
         let entry = self.requests.entry(id.to_owned()).or_default();
         entry.runs += 1;
         let (runs, refused) = (entry.runs, entry.refused);
         let once = id.starts_with("once");
         if once && runs > 1 {
-            self.violate(format!("{id} ran {runs} times"));
+            self.add_violation(format!("{id} ran {runs} times"));
         }
         if once && refused {
-            self.violate(format!("{id} ran after it was refused"));
+            self.add_violation(format!("{id} ran after it was refused"));
         }
     }
 
     /// A caller has its final answer.
-    pub fn answered(&mut self, id: &str, seen: Seen) {
+    pub fn record_outcome(&mut self, id: &str, seen: Outcome) {
         let entry = self.requests.entry(id.to_owned()).or_default();
         let ran = entry.runs > 0;
-        entry.refused |= seen == Seen::Refused;
+        entry.refused |= seen == Outcome::Refused;
         match seen {
-            Seen::Success => self.count("success"),
-            Seen::Refused => self.count("refused"),
-            Seen::Unknown => self.count("unknown"),
+            Outcome::Success => self.count("success"),
+            Outcome::Refused => self.count("refused"),
+            Outcome::Unknown => self.count("unknown"),
         }
-        if seen == Seen::Refused && ran && id.starts_with("once") {
-            self.violate(format!("{id} was refused and has run"));
+        if seen == Outcome::Refused && ran && id.starts_with("once") {
+            self.add_violation(format!("{id} was refused and has run"));
         }
-        if seen == Seen::Success && !ran {
-            self.violate(format!("{id} succeeded and has not run"));
+        if seen == Outcome::Success && !ran {
+            self.add_violation(format!("{id} succeeded and has not run"));
         }
     }
 
     /// A server has ended under a harmful request.
-    pub fn harm_ended(&mut self, now: u64) {
+    pub fn record_crash(&mut self, now: u64) {
         self.count("server ended");
         self.harm.ended.push(now);
     }
 
     /// When the third server ended; never, as long as it has not.
-    pub fn harm_third(&self) -> u64 {
+    pub fn third_crash_ms(&self) -> u64 {
         self.harm.ended.get(2).copied().unwrap_or(u64::MAX / 2)
     }
 
     /// A harmful request is sent to a host, that must know of it or not.
-    pub fn harm_sent(&mut self, id: &str, known: bool) {
+    pub fn record_poison_sent(&mut self, id: &str, known: bool) {
         if known {
             self.harm.known.insert(id.to_owned());
         }
     }
 
     /// A harmful request begins to run.
-    pub fn harm_arrived(&mut self, id: &str) {
+    pub fn record_poison_run(&mut self, id: &str) {
         self.harm.late += usize::from(self.harm.known.contains(id));
         let late = self.harm.late;
         if late > STILL {
             let ended = self.harm.ended.len();
-            self.violate(format!(
+            self.add_violation(format!(
                 "{id} ran, {late} after hosts had to know; {ended} servers ended"
             ));
         }
     }
 
     /// A request was refused for the servers that end under it.
-    pub fn harm_refused(&mut self, id: &str) {
+    pub fn record_poison_refusal(&mut self, id: &str) {
         self.count("refused for harm");
-        if !id.starts_with(fragile::BAD) {
-            self.violate(format!("{id} was refused for harm, and does none"));
+        if !id.starts_with(poison::POISON_ID_PREFIX) {
+            self.add_violation(format!("{id} was refused for harm, and does none"));
         }
     }
 
     /// A request of the limited workspace runs.
-    pub fn limited_ran(&mut self, now: u64) {
-        let (most, window) = workspaces::bound();
+    pub fn record_limited_run(&mut self, now: u64) {
+        let (most, window) = workspaces::limited_window_bound();
         self.limited.push_back(now);
         while self.limited.front().is_some_and(|at| at + window <= now) {
             self.limited.pop_front();
         }
         let ran = self.limited.len();
         if ran > most {
-            self.violate(format!("{ran} requests over a limit of {most} up to {now} ms"));
+            self.add_violation(format!("{ran} requests over a limit of {most} up to {now} ms"));
         }
     }
 
     /// A host took a key.
-    pub fn key_taken(&mut self, taken: &Taken, troubles: &Troubles) {
-        let Taken { host, held_until, sent, calm } = *taken;
+    pub fn check_key_acceptance(&mut self, taken: &KeyAcceptance, troubles: &Outages) {
+        let KeyAcceptance {
+            host,
+            last_valid_version: held_until,
+            sent_ms: sent,
+            undisturbed: calm,
+        } = *taken;
         let due = |at: u64| troubles.due(at).is_some_and(|due| due < sent);
         let newer = self.versions.range(held_until + 1..).next().filter(|(_, at)| due(**at));
         if calm && let Some((version, at)) = newer {
             let since = sent - at;
-            self.violate(format!(
+            self.add_violation(format!(
                 "host {host:?} took a key at {sent} ms that version {version} took away, \
                  acknowledged {since} ms before"
             ));
@@ -217,37 +222,46 @@
     }
 
     /// A configuration is accepted.
-    pub fn configured(&mut self, version: u64, now: u64) {
+    pub fn record_configuration(&mut self, version: u64, now: u64) {
         self.versions.insert(version, now);
     }
 
     /// The newest configuration.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_version(&self) -> u64 {
         self.versions.keys().next_back().copied().unwrap_or(0)
     }
 
     /// A request got no answer, from a host under planned work only.
-    pub fn cut(&mut self, cut: Cut) {
+    pub fn record_lost_request(&mut self, cut: LostRequest) {
         self.count("cut");
         self.cuts.push(cut);
     }
 
     /// Judges what got no answer, once no backend server can run any of it any more.
-    pub fn close(&mut self) {
+    pub fn check_lost_requests(&mut self) {
         for cut in std::mem::take(&mut self.cuts) {
             let ran = self.requests.get(&cut.id).is_some_and(|entry| entry.runs > 0);
-            let Cut { id, after, late, how } = cut;
+            let LostRequest { id, ended_after_ms: after, stall_ms: late, context: how } = cut;
             if ran || after > CROSSING_MS + late {
                 let ran = if ran { "which a backend server ran" } else { "which ran nowhere" };
-                self.violate(format!("{id}, {ran}, got no answer: ended {after} ms after {how}"));
+                self.add_violation(format!(
+                    "{id}, {ran}, got no answer: ended {after} ms after {how}"
+                ));
             }
         }
     }
 
     /// A start of a host served a request by a configuration.
-    pub fn served_by(&mut self, served: &Served, troubles: &Troubles) {
-        let Served { host, pin, pins, sent, now, calm } = *served;
-        let newest = self.newest();
+    pub fn check_served_version(&mut self, served: &VersionObservation, troubles: &Outages) {
+        let VersionObservation {
+            host,
+            pin,
+            pin_count: pins,
+            sent_ms: sent,
+            received_ms: now,
+            undisturbed: calm,
+        } = *served;
+        let newest = self.newest_version();
         let back = (newest + pins - pin % pins) % pins;
         let version = newest - back.min(newest);
         let due = |at: u64| troubles.due(at).is_some_and(|due| due < sent);
@@ -256,7 +270,7 @@
             && version < *wanted
         {
             let since = sent - at;
-            self.violate(format!(
+            self.add_violation(format!(
                 "host {host:?} served by version {version} at {sent} ms, {wanted} is in force, \
                  acknowledged {since} ms before"
             ));
@@ -265,7 +279,7 @@
             && *at < sent
             && version < *seen
         {
-            self.violate(format!("host {host:?} went back from version {seen} to {version}"));
+            self.add_violation(format!("host {host:?} went back from version {seen} to {version}"));
         }
         let last = self.last.entry(host).or_default();
         if version >= last.0 {
--- a/elmstream_soak/src/lib.rs
+++ b/elmstream_soak/src/lib.rs
@@ -4,22 +4,22 @@
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
-pub mod aimed;
 pub mod backend;
 pub mod callers;
 pub mod faults;
-pub mod fragile;
 pub mod host;
+pub mod injection;
 pub mod ledger;
 pub mod listen;
-pub mod needy;
+pub mod outages;
+pub mod poison;
 pub mod process;
-pub mod remote;
 pub mod series;
+pub mod server_signals;
 pub mod soak;
+pub mod stop_load;
 pub mod store;
-pub mod strike;
-pub mod trouble;
+pub mod store_client;
 pub mod versions;
 pub mod watch;
 pub mod wire;
--- a/elmstream_soak/src/listen.rs
+++ b/elmstream_soak/src/listen.rs
@@ -36,7 +36,7 @@
     /// In milliseconds since the beginning. Used by reference, so that a handler holds
     /// the whole value and its clones are clones of it.
     fn millis(&self, world: &World) -> u64 {
-        self.0.saturating_duration_since(world.began).as_millis() as u64
+        self.0.saturating_duration_since(world.started).as_millis() as u64
     }
 }
 
--- a/elmstream_soak/src/fragile.rs
+++ b/elmstream_soak/src/poison.rs
@@ -10,17 +10,17 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use crate::{
-    callers::{Hosts, Line, Shows},
+    callers::{HostConnection, Hosts, RequestParams},
     workspaces::NAMES,
     world::World,
 };
 
 /// Their service.
-pub const SERVICE: &str = "fragile";
+pub const POISON_SERVICE: &str = "fragile";
 /// First part of its requests' paths, and of their ids.
-pub const KIND: &str = "harm";
+pub const POISON_REQUEST_KIND: &str = "harm";
 /// How the ids of harmful ones begin.
-pub const BAD: &str = "harm-bad-";
+pub const POISON_ID_PREFIX: &str = "harm-bad-";
 /// Key of the harmful ones; others end no server.
 const BAD_KEY: u32 = 0;
 /// Keys of its requests.
@@ -45,8 +45,9 @@
         let world = world.clone();
         compio::runtime::spawn(async move {
             for start in 0u64.. {
-                if let Err(error) = one(&world, &format!("{SERVICE}-{number}-{start}")).await {
-                    world.ledger.borrow_mut().violate(format!("no server: {error}"));
+                if let Err(error) = one(&world, &format!("{POISON_SERVICE}-{number}-{start}")).await
+                {
+                    world.ledger.borrow_mut().add_violation(format!("no server: {error}"));
                     return;
                 }
             }
@@ -64,12 +65,12 @@
     let (seen, server, at) = (ended.clone(), id.to_owned(), world.clone());
     let handler = move |_, request| answer(at.clone(), seen.clone(), server.clone(), request);
     compio::runtime::spawn(server::serve(listener, None, stop, handler)).detach();
-    world.serve(id, SERVICE, address, false);
+    world.register_server(id, POISON_SERVICE, address, false);
     while !ended.get() {
         compio::time::sleep(WORK / 3).await;
     }
     stopper.stop();
-    world.ledger.borrow_mut().harm_ended(world.now());
+    world.ledger.borrow_mut().record_crash(world.now());
     compio::time::sleep(LAPSES).await;
     world.put(RowKey::Server(id.into()), None);
     compio::time::sleep(BACK).await;
@@ -87,12 +88,12 @@
     if ended.get() {
         return Err(Aborted);
     }
-    world.ledger.borrow_mut().runs(&id);
-    if id.starts_with(BAD) {
-        world.ledger.borrow_mut().harm_arrived(&id);
+    world.ledger.borrow_mut().record_run(&id);
+    if id.starts_with(POISON_ID_PREFIX) {
+        world.ledger.borrow_mut().record_poison_run(&id);
     }
     compio::time::sleep(WORK).await;
-    if id.starts_with(BAD) {
+    if id.starts_with(POISON_ID_PREFIX) {
         ended.set(true);
     }
     if ended.get() {
@@ -117,25 +118,25 @@
         let host = random.random_range(0..hosts.borrow().len());
         let bad = random.random_bool(BAD_PART);
         let id = match bad {
-            true => format!("{BAD}{number}-{count}"),
-            false => format!("{KIND}-{number}-{count}"),
+            true => format!("{POISON_ID_PREFIX}{number}-{count}"),
+            false => format!("{POISON_REQUEST_KIND}-{number}-{count}"),
         };
-        let version = world.ledger.borrow().newest();
+        let version = world.ledger.borrow().newest_version();
         let key = match bad {
             // As if no host knew a harmful request when it comes again.
             true if world.breaks("harm") => KEYS + count as u32,
             true => BAD_KEY,
             false => random.random_range(1..KEYS),
         };
-        let shows = Shows { key, workspace: NAMES[0], version };
-        if let Some(line) = Line::open(&world, &hosts, host).await {
-            let calm = world.now() > hosts.borrow()[host].disturbed + CALM_MS;
+        let shows = RequestParams { key, workspace: NAMES[0], key_version: version };
+        if let Some(line) = HostConnection::open(&world, &hosts, host).await {
+            let calm = world.now() > hosts.borrow()[host].disturbed_ms + CALM_MS;
             if bad {
-                let due = world.troubles.borrow().due(world.ledger.borrow().harm_third());
+                let due = world.outages.borrow().due(world.ledger.borrow().third_crash_ms());
                 let knows = calm && due.is_some_and(|due| due + CALM_MS < world.now());
-                world.ledger.borrow_mut().harm_sent(&id, knows);
+                world.ledger.borrow_mut().record_poison_sent(&id, knows);
             }
-            line.request(&world, &hosts, KIND, &id, shows).await;
+            line.request(&world, &hosts, POISON_REQUEST_KIND, &id, shows).await;
         }
         compio::time::sleep(PAUSE).await;
     }
--- a/elmstream_soak/src/series.rs
+++ b/elmstream_soak/src/series.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use crate::{
-    faults::{CALM, Event, Fault},
+    faults::{CALM_MARGIN_MS, Event, Fault},
     world::StoreMode,
 };
 
@@ -36,7 +36,7 @@
 const RESTS: std::ops::Range<u64> = 1_000..4_000;
 
 /// Hosts are asked to stop, several at once, until each had its turn.
-pub fn roll(random: &mut StdRng, at: u64, hosts: usize, events: &mut Vec<Event>) {
+pub fn rolling_stops(random: &mut StdRng, at: u64, hosts: usize, events: &mut Vec<Event>) {
     let gap = random.random_range(500..1_000);
     let together = random.random_range(1..=1 + hosts / 4);
     let first = random.random_range(0..hosts);
@@ -46,9 +46,9 @@
         let at = at + gap * (turn / together) as u64;
         if starved {
             let at = at - STARVED_BEFORE + random.random_range(STARVED_SHIFT);
-            events.push(Event { at, lasts: STARVED, fault: Fault::Starve(host) });
+            events.push(Event { at_ms: at, duration_ms: STARVED, fault: Fault::Starve(host) });
         }
-        events.push(Event { at, lasts: 0, fault: Fault::Terminate(host) });
+        events.push(Event { at_ms: at, duration_ms: 0, fault: Fault::Terminate(host) });
     }
 }
 
@@ -58,15 +58,19 @@
     for turn in 0..hosts {
         let at = at + gap * turn as u64;
         let often = random.random_bool(0.3);
-        let fault = if often { Fault::ReloadOften(turn) } else { Fault::Reload(turn) };
-        events.push(Event { at, lasts: 0, fault });
+        let fault = if often { Fault::ReloadBurst(turn) } else { Fault::Reload(turn) };
+        events.push(Event { at_ms: at, duration_ms: 0, fault });
     }
 }
 
 /// Configurations for a while.
 pub fn configurations(at: u64, lasts: u64, events: &mut Vec<Event>) {
     for n in 0..lasts.div_ceil(CONFIGURE_EVERY) {
-        events.push(Event { at: at + n * CONFIGURE_EVERY, lasts: 0, fault: Fault::Configure });
+        events.push(Event {
+            at_ms: at + n * CONFIGURE_EVERY,
+            duration_ms: 0,
+            fault: Fault::Configure,
+        });
     }
 }
 
@@ -74,35 +78,35 @@
 pub fn restore(random: &mut StdRng, at: u64, events: &mut Vec<Event>) {
     let lasts = random.random_range(AWAY);
     let fault = Fault::Restore(random.random_range(AGE), random.random_range(AGAIN));
-    events.push(Event { at, lasts, fault });
+    events.push(Event { at_ms: at, duration_ms: lasts, fault });
     // None comes before the hosts have had their first calm seconds.
-    for at in [(at - 400).max(CALM), at + lasts + 200, at + lasts + 1_200] {
+    for at in [(at - 400).max(CALM_MARGIN_MS), at + lasts + 200, at + lasts + 1_200] {
         let at = at + random.random_range(0..600);
-        events.push(Event { at, lasts: 0, fault: Fault::Configure });
+        events.push(Event { at_ms: at, duration_ms: 0, fault: Fault::Configure });
     }
 }
 
 /// The store is silent, and a configuration comes shortly before that ends, or after.
 pub fn silence(random: &mut StdRng, at: u64, events: &mut Vec<Event>) {
     let lasts = random.random_range(SILENCE);
-    events.push(Event { at, lasts, fault: Fault::Store(StoreMode::Silent) });
+    events.push(Event { at_ms: at, duration_ms: lasts, fault: Fault::Store(StoreMode::Silent) });
     let at = at + lasts - 300 + random.random_range(0..600);
-    events.push(Event { at, lasts: 0, fault: Fault::Configure });
+    events.push(Event { at_ms: at, duration_ms: 0, fault: Fault::Configure });
 }
 
 /// Servers say of themselves that they leave, want rest or are in need, each alone and
 /// beside all else. These are drawn apart, so that a seed's other faults stay as they are.
-pub fn says(seed: u64, millis: u64, servers: usize, events: &mut Vec<Event>) {
+pub fn server_signals(seed: u64, millis: u64, servers: usize, events: &mut Vec<Event>) {
     let mut random = StdRng::seed_from_u64(!seed);
-    let mut at = CALM + random.random_range(0..SAYS.end);
-    while at + CALM < millis {
+    let mut at = CALM_MARGIN_MS + random.random_range(0..SAYS.end);
+    while at + CALM_MARGIN_MS < millis {
         let server = random.random_range(0..servers);
         let fault = match random.random_range(0..3) {
             0 => Fault::Leave(server),
-            1 => Fault::Rest(server),
-            _ => Fault::Need(server),
+            1 => Fault::BackOff(server),
+            _ => Fault::NameLimit(server),
         };
-        events.push(Event { at, lasts: random.random_range(RESTS), fault });
+        events.push(Event { at_ms: at, duration_ms: random.random_range(RESTS), fault });
         at += random.random_range(SAYS);
     }
 }
@@ -111,9 +115,9 @@
 /// It is drawn apart, so that a seed's other faults stay as they are.
 pub fn roll_outs(seed: u64, millis: u64, events: &mut Vec<Event>) {
     let mut random = StdRng::seed_from_u64(seed ^ ROLL_OUTS);
-    let last = millis.saturating_sub(ROLL_OUT + CALM);
-    if last > CALM && random.random_bool(0.5) {
-        let at = random.random_range(CALM..last);
-        events.push(Event { at, lasts: 0, fault: Fault::RollOut(true) });
+    let last = millis.saturating_sub(ROLL_OUT + CALM_MARGIN_MS);
+    if last > CALM_MARGIN_MS && random.random_bool(0.5) {
+        let at = random.random_range(CALM_MARGIN_MS..last);
+        events.push(Event { at_ms: at, duration_ms: 0, fault: Fault::RollOut(true) });
     }
 }
--- a/elmstream_soak/src/needy.rs
+++ b/elmstream_soak/src/server_signals.rs
@@ -37,18 +37,18 @@
 
 impl Arrivals {
     /// A request has come.
-    pub fn add(&self, server: &str, now: u64) {
+    pub fn record(&self, server: &str, now: u64) {
         self.0.borrow_mut().entry(server.to_owned()).or_default().push(now);
     }
 
     /// When requests came to a server.
-    pub fn of(&self, server: &str) -> Vec<u64> {
+    pub fn times(&self, server: &str) -> Vec<u64> {
         self.0.borrow().get(server).cloned().unwrap_or_default()
     }
 }
 
 /// Adds to an answer what its server says of itself.
-pub fn say<B>(mode: ServerMode, response: &mut Response<B>) {
+pub fn add_signal<B>(mode: ServerMode, response: &mut Response<B>) {
     let headers = response.headers_mut();
     match mode {
         ServerMode::Leaving => {
@@ -64,14 +64,14 @@
 }
 
 /// Turns a request away and asks for rest.
-pub fn turn_away<B>(response: &mut Response<B>) {
+pub fn refuse_with_back_off<B>(response: &mut Response<B>) {
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     response.headers_mut().insert("retry-after", HeaderValue::from_static(REST));
 }
 
 /// Whether any host met something unplanned since a time, or is another start.
 fn disturbed(hosts: &Hosts, since: u64) -> bool {
-    hosts.borrow().iter().any(|host| host.disturbed >= since)
+    hosts.borrow().iter().any(|host| host.disturbed_ms >= since)
 }
 
 /// Time before a server's first word from which on hosts have to be undisturbed, in
@@ -79,12 +79,12 @@
 const BEFORE: u64 = 2_000;
 
 /// A server turns all requests away for a while and asks for rest.
-pub async fn rest(world: &Rc<World>, hosts: &Hosts, n: usize, lasts: Duration) {
-    let Some(server) = begin(world, n, ServerMode::Resting) else { return };
-    let (began, before) = (world.now(), world.arrivals.of(&server).len());
+pub async fn back_off(world: &Rc<World>, hosts: &Hosts, n: usize, lasts: Duration) {
+    let Some(server) = begin(world, n, ServerMode::BackingOff) else { return };
+    let (began, before) = (world.now(), world.arrivals.times(&server).len());
     compio::time::sleep(lasts).await;
     end(world, &server);
-    let got = world.arrivals.of(&server).len() - before;
+    let got = world.arrivals.times(&server).len() - before;
     let most = IN_REST * hosts.borrow().len();
     let calm = !disturbed(hosts, began.saturating_sub(BEFORE));
     if calm || world.breaks("rest") {
@@ -94,7 +94,7 @@
 }
 
 /// A server names a limit for a while.
-pub async fn need(world: &Rc<World>, hosts: &Hosts, n: usize) {
+pub async fn name_limit(world: &Rc<World>, hosts: &Hosts, n: usize) {
     let Some(server) = begin(world, n, ServerMode::Limited) else { return };
     let began = world.now();
     compio::time::sleep(IN_NEED).await;
@@ -102,7 +102,7 @@
     if disturbed(hosts, began.saturating_sub(BEFORE)) && !world.breaks("need") {
         return;
     }
-    let mut came = world.arrivals.of(&server);
+    let mut came = world.arrivals.times(&server);
     came.retain(|at| *at >= began + CONTACT);
     let within = |from: &u64| came.iter().filter(|at| (*from..from + WINDOW).contains(at)).count();
     let worst = came.iter().map(within).max().unwrap_or(0);
@@ -116,12 +116,12 @@
     let Some(server) = begin(world, n, ServerMode::Leaving) else { return };
     let began = world.now();
     let new = format!("shop-{n}-{began}");
-    world.servers.borrow_mut().insert(new.clone(), ServerMode::Well);
-    world.serve(&new, SHOP, address, false);
+    world.servers.borrow_mut().insert(new.clone(), ServerMode::Healthy);
+    world.register_server(&new, SHOP, address, false);
     compio::time::sleep(LEAVES).await;
-    let before = world.arrivals.of(&server).len();
+    let before = world.arrivals.times(&server).len();
     compio::time::sleep(ENDS - LEAVES).await;
-    let late = world.arrivals.of(&server).len() - before;
+    let late = world.arrivals.times(&server).len() - before;
     let calm = before > 0 && !disturbed(hosts, began.saturating_sub(BEFORE));
     if calm || world.breaks("leave") {
         let late = if world.breaks("leave") { 1 } else { late };
@@ -136,7 +136,7 @@
     let mut ledger = world.ledger.borrow_mut();
     ledger.count(what);
     if broken {
-        ledger.violate(text);
+        ledger.add_violation(text);
     }
 }
 
@@ -144,13 +144,13 @@
 fn begin(world: &World, n: usize, mode: ServerMode) -> Option<String> {
     let server = format!("shop-{n}");
     let mut servers = world.servers.borrow_mut();
-    let known = servers.get_mut(&server).filter(|known| **known == ServerMode::Well)?;
+    let known = servers.get_mut(&server).filter(|known| **known == ServerMode::Healthy)?;
     *known = mode;
     Some(server)
 }
 
 fn end(world: &World, server: &str) {
     if let Some(known) = world.servers.borrow_mut().get_mut(server) {
-        *known = ServerMode::Well;
+        *known = ServerMode::Healthy;
     }
 }
--- a/elmstream_soak/src/soak.rs
+++ b/elmstream_soak/src/soak.rs
@@ -14,10 +14,10 @@
     backend,
     callers::{self, Hosts},
     faults::{self, Event},
-    fragile,
-    process::{Place, Process},
-    store, strike, watch,
-    world::{HOSTS_MAX, PINS, SHOP, ServerMode, World},
+    injection, poison,
+    process::{HostId, Process},
+    store, watch,
+    world::{MAX_HOSTS, PIN_SERVICES, SHOP, ServerMode, World},
 };
 
 /// Backend servers of the shop.
@@ -89,7 +89,11 @@
         }
         if !self.passed() {
             for event in &self.events {
-                writeln!(f, "  {:6} ms, {:4} ms long: {:?}", event.at, event.lasts, event.fault)?;
+                writeln!(
+                    f,
+                    "  {:6} ms, {:4} ms long: {:?}",
+                    event.at_ms, event.duration_ms, event.fault
+                )?;
             }
         }
         write!(f, "{}", if self.passed() { "passed" } else { "FAILED" })
@@ -108,7 +112,7 @@
     let millis = time.as_millis() as u64;
     let world = World::new(options.broken.clone());
     if let Err(error) = play(options, &world, &events, millis).await {
-        world.ledger.borrow_mut().violate(format!("the soak cannot run: {error}"));
+        world.ledger.borrow_mut().add_violation(format!("the soak cannot run: {error}"));
     }
     let ledger = world.ledger.borrow();
     Report {
@@ -125,25 +129,25 @@
     events: &[Event],
     millis: u64,
 ) -> io::Result<()> {
-    if !(1..=HOSTS_MAX).contains(&options.processes) {
-        return Err(io::Error::other(format!("{HOSTS_MAX} hosts at most, one at least")));
+    if !(1..=MAX_HOSTS).contains(&options.processes) {
+        return Err(io::Error::other(format!("{MAX_HOSTS} hosts at most, one at least")));
     }
     let store = store::start(world).await?;
     let address = backend::start(world).await?;
     let servers = (0..SERVERS).map(|n| (format!("shop-{n}"), SHOP.to_owned()));
-    let pins = (0..PINS).map(|n| (format!("pin-{n}"), format!("pin-{n}")));
+    let pins = (0..PIN_SERVICES).map(|n| (format!("pin-{n}"), format!("pin-{n}")));
     for (id, service) in servers.chain(pins) {
-        world.servers.borrow_mut().insert(id.clone(), ServerMode::Well);
-        world.serve(&id, &service, address, false);
+        world.servers.borrow_mut().insert(id.clone(), ServerMode::Healthy);
+        world.register_server(&id, &service, address, false);
     }
-    fragile::start(world);
+    poison::start(world);
     world.configure(1);
     static SOAKS: AtomicU8 = AtomicU8::new(0);
     let soak = SOAKS.fetch_add(1, Ordering::Relaxed);
     let folder = env::temp_dir().join(format!("elmstream-soak-{}-{soak}", std::process::id()));
     fs::create_dir_all(&folder)?;
     let program = options.program.clone().map_or_else(env::current_exe, Ok)?;
-    let place = |number| Place { soak, number, hosts: options.processes };
+    let place = |number| HostId { soak, number, host_count: options.processes };
     let new = |n| Process::new(place(n), store, folder.clone(), program.clone());
     let hosts: Hosts = Rc::new(RefCell::new((0..options.processes).map(new).collect()));
     for number in 0..options.processes {
@@ -153,26 +157,25 @@
         hosts.borrow_mut()[number].start(world.now())?;
     }
     compio::time::sleep(STARTED).await;
-    compio::runtime::spawn(watch::stalls(world.clone())).detach();
-    compio::runtime::spawn(watch::copies(world.clone())).detach();
-    let watching = compio::runtime::spawn(watch::ends(world.clone(), hosts.clone()));
+    compio::runtime::spawn(watch::record_stalls(world.clone())).detach();
+    compio::runtime::spawn(watch::take_backups(world.clone())).detach();
+    let watching = compio::runtime::spawn(watch::restart_ended_hosts(world.clone(), hosts.clone()));
     let begin = world.now();
     let until = begin + millis;
     let callers = CALLERS + options.processes / HOSTS_A_CALLER;
     let calling: Vec<_> = (0..callers as u64)
         .map(|n| compio::runtime::spawn(callers::run(world.clone(), hosts.clone(), n, until)))
         .collect();
-    let harming =
-        (0..FRAGILE_CALLERS).map(|n| fragile::run(world.clone(), hosts.clone(), n, until));
+    let harming = (0..FRAGILE_CALLERS).map(|n| poison::run(world.clone(), hosts.clone(), n, until));
     let harming: Vec<_> = harming.map(compio::runtime::spawn).collect();
     let mut running: Vec<_> = Vec::new();
     for event in events {
-        while world.now() < begin + event.at {
+        while world.now() < begin + event.at_ms {
             compio::time::sleep(STEP).await;
         }
         let (world, hosts, event) = (world.clone(), hosts.clone(), *event);
         running.push(compio::runtime::spawn(async move {
-            strike::run(&world, &hosts, event, address).await
+            injection::inject(&world, &hosts, event, address).await
         }));
     }
     for task in running {
@@ -183,7 +186,7 @@
     }
     drop(watching);
     compio::time::sleep(SETTLED).await;
-    world.ledger.borrow_mut().close();
+    world.ledger.borrow_mut().check_lost_requests();
     let kept = world.ledger.borrow().violations().is_empty();
     hosts.borrow_mut().clear();
     if kept {
--- a/elmstream_soak/src/aimed.rs
+++ b/elmstream_soak/src/stop_load.rs
@@ -6,8 +6,8 @@
 use std::{rc::Rc, time::Duration};
 
 use crate::{
-    callers::{Hosts, Line, Shows},
-    process::NOTICE_MS,
+    callers::{HostConnection, Hosts, RequestParams},
+    process::STOP_NOTICE_MS,
     world::World,
 };
 
@@ -25,13 +25,13 @@
 const BURST_BEGUN: Duration = Duration::from_millis(4);
 
 /// Sends them around the end of a host's notice; the stop must be asked for now.
-pub async fn run(world: Rc<World>, hosts: Hosts, host: usize, asked: u64) {
+pub async fn send_around_notice_end(world: Rc<World>, hosts: Hosts, host: usize, asked: u64) {
     let mut running = Vec::new();
     for number in 0..2 * EACH {
         let (world, hosts) = (world.clone(), hosts.clone());
         running.push(compio::runtime::spawn(async move {
             let id = format!("stop-{host}-{asked}-{number}");
-            let at = asked + NOTICE_MS - BEFORE_MS + number / 2 * GAP_MS;
+            let at = asked + STOP_NOTICE_MS - BEFORE_MS + number / 2 * GAP_MS;
             one(&world, &hosts, host, number % 2 == 0, &id, at).await;
         }));
     }
@@ -49,9 +49,9 @@
     for number in 0..BURST {
         let (world, hosts) = (world.clone(), hosts.clone());
         compio::runtime::spawn(async move {
-            if let Some(line) = Line::open(&world, &hosts, host).await {
+            if let Some(line) = HostConnection::open(&world, &hosts, host).await {
                 let id = format!("once-burst-{host}-{now}-{number}");
-                let shows = Shows::newest(&world);
+                let shows = RequestParams::with_newest_key(&world);
                 line.request(&world, &hosts, "once", &id, shows).await;
             }
         })
@@ -62,14 +62,29 @@
 
 async fn one(world: &World, hosts: &Hosts, host: usize, kept: bool, id: &str, at: u64) {
     let mut line = None;
-    if kept && let Some(new) = Line::open(world, hosts, host).await {
-        line = new.request(world, hosts, "safe", &format!("safe-{id}"), Shows::newest(world)).await;
+    if kept && let Some(new) = HostConnection::open(world, hosts, host).await {
+        line = new
+            .request(
+                world,
+                hosts,
+                "safe",
+                &format!("safe-{id}"),
+                RequestParams::with_newest_key(world),
+            )
+            .await;
     }
     compio::time::sleep(Duration::from_millis(at.saturating_sub(world.now()))).await;
     if line.is_none() {
-        line = Line::open(world, hosts, host).await;
+        line = HostConnection::open(world, hosts, host).await;
     }
     if let Some(line) = line {
-        line.request(world, hosts, "once", &format!("once-{id}"), Shows::newest(world)).await;
+        line.request(
+            world,
+            hosts,
+            "once",
+            &format!("once-{id}"),
+            RequestParams::with_newest_key(world),
+        )
+        .await;
     }
 }
--- a/elmstream_soak/src/store.rs
+++ b/elmstream_soak/src/store.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     listen,
-    remote::Page,
+    store_client::Page,
     world::{StoreMode, World},
 };
 
@@ -34,18 +34,18 @@
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Aborted> {
     let from = request.headers().get("from").and_then(|from| from.to_str().ok());
-    let turned_away = from.is_some() && world.away.borrow().as_deref() == from;
-    match world.store() {
-        StoreMode::Away => return Err(Aborted),
-        StoreMode::Down => return Ok(refuse()),
+    let turned_away = from.is_some() && world.refused_host.borrow().as_deref() == from;
+    match world.store_mode() {
+        StoreMode::Closing => return Err(Aborted),
+        StoreMode::Refusing => return Ok(refuse()),
         _ if turned_away => return Ok(refuse()),
         StoreMode::Slow => compio::time::sleep(SLOW).await,
-        StoreMode::Silent | StoreMode::Well => {}
+        StoreMode::Silent | StoreMode::Healthy => {}
     }
     if !mute(&world, opened) {
         let era = world.era.get();
         let response = respond(&world, &request).await;
-        if world.store() == StoreMode::Away || world.era.get() != era {
+        if world.store_mode() == StoreMode::Closing || world.era.get() != era {
             return Err(Aborted);
         }
         // What was asked before a silence is not answered in it either.
@@ -59,7 +59,8 @@
 
 /// Whether nothing comes back on a connection that was opened at a time.
 fn mute(world: &World, opened: u64) -> bool {
-    world.store() == StoreMode::Silent || world.muted.get().is_some_and(|since| opened <= since)
+    world.store_mode() == StoreMode::Silent
+        || world.muted_until_ms.get().is_some_and(|since| opened <= since)
 }
 
 async fn respond(world: &World, request: &Request<Incoming>) -> Response<LocalBody> {
@@ -89,20 +90,22 @@
         }
         "/announce" => {
             let listed = host.map(|host| (text("name").to_owned(), host));
-            world.hosts.borrow_mut().extend(listed);
+            world.registered_hosts.borrow_mut().extend(listed);
             packed(&())
         }
         "/withdraw" => {
-            world.hosts.borrow_mut().remove(text("name"));
+            world.registered_hosts.borrow_mut().remove(text("name"));
             packed(&())
         }
-        "/harmful" => packed(&world.harmful.borrow().clone().into_iter().collect::<Vec<_>>()),
+        "/harmful" => {
+            packed(&world.refused_requests.borrow().clone().into_iter().collect::<Vec<_>>())
+        }
         "/list" => {
             list(world, text("content"), text("endings"));
             packed(&())
         }
         "/progress" => packed(&progress(world, text("write"))),
-        _ => packed(&*world.hosts.borrow()),
+        _ => packed(&*world.registered_hosts.borrow()),
     }
 }
 
@@ -111,11 +114,11 @@
     let write: RolloutWrite = postcard::from_bytes(&bytes(hex)?).ok()?;
     let progress = RowKey::Progress(write.service.clone());
     let order = RowKey::Rollout(write.service.clone());
-    if (world.count(&progress), world.count(&order)) != write.expected {
+    if (world.row_count(&progress), world.row_count(&order)) != write.expected {
         return None;
     }
-    world.progressed(&write);
-    Some(world.newest())
+    world.record_progress(&write);
+    Some(world.store_version())
 }
 
 /// Bytes that are written as hexadecimal digits.
@@ -131,8 +134,8 @@
         bytes.and_then(|bytes| postcard::from_bytes(&bytes).ok());
     let Some((digest, endings)) = RequestDigest::from_hex(content).zip(endings) else { return };
     match endings.is_empty() {
-        true => drop(world.harmful.borrow_mut().remove(&digest)),
-        false => drop(world.harmful.borrow_mut().insert(digest, endings)),
+        true => drop(world.refused_requests.borrow_mut().remove(&digest)),
+        false => drop(world.refused_requests.borrow_mut().insert(digest, endings)),
     }
 }
 
@@ -142,7 +145,7 @@
         let new = after.map_or(row.content.is_some(), |after| row.version.count > after);
         row.key.table() as u64 == table && new
     });
-    Page { version: world.newest(), rows: wanted.cloned().collect() }
+    Page { version: world.store_version(), rows: wanted.cloned().collect() }
 }
 
 fn packed<T: Serialize>(value: &T) -> Response<LocalBody> {
--- a/elmstream_soak/src/remote.rs
+++ b/elmstream_soak/src/store_client.rs
@@ -40,16 +40,16 @@
 
 /// The soak's store, as a host sees it.
 #[derive(Debug)]
-pub struct Remote {
+pub struct StoreClient {
     address: SocketAddr,
     name: String,
     idle: RefCell<Vec<SendRequest<LocalBody>>>,
 }
 
-impl Remote {
+impl StoreClient {
     /// The store at an address, for a host of a name.
-    pub fn new(address: SocketAddr, name: String) -> Remote {
-        Remote { address, name, idle: RefCell::default() }
+    pub fn new(address: SocketAddr, name: String) -> StoreClient {
+        StoreClient { address, name, idle: RefCell::default() }
     }
 
     async fn get<T: DeserializeOwned>(
@@ -100,7 +100,7 @@
     SourceError::Unreachable { cause: cause.to_string(), kept: false }
 }
 
-impl StoreSource for Remote {
+impl StoreSource for StoreClient {
     async fn read_all(&self, table: Table) -> Result<StoreRows, SourceError> {
         let page: Page =
             self.get(format!("/rows?table={}", table as usize), Duration::ZERO).await?;
--- a/elmstream_soak/src/versions.rs
+++ b/elmstream_soak/src/versions.rs
@@ -30,13 +30,13 @@
 const BEFORE: u64 = 2_000;
 const LOOK: Duration = Duration::from_millis(50);
 /// What the ids of servers of a version begin with.
-pub const NEXT: &str = "next-";
+pub const NEXT_VERSION_PREFIX: &str = "next-";
 /// Where all of the shop's requests are counted.
-pub const ALL: &str = "all";
+pub const ALL_SERVERS: &str = "all";
 
 /// The version of a server by its id.
-pub fn version(id: &str) -> String {
-    let began = id.strip_prefix(NEXT).and_then(|rest| rest.split_once('-'));
+pub fn version_of(id: &str) -> String {
+    let began = id.strip_prefix(NEXT_VERSION_PREFIX).and_then(|rest| rest.split_once('-'));
     began.map_or("v1".to_owned(), |(_, began)| format!("v-{began}"))
 }
 
@@ -47,11 +47,12 @@
     let order = RolloutOrder { target: target.clone(), duration_ms: DURATION };
     world.put(RowKey::Rollout(SHOP.into()), Some(RowContent::Rollout(order)));
     compio::time::sleep(STARTED).await;
-    let servers: Vec<String> = (0..SERVERS).map(|n| format!("{NEXT}{n}-{began}")).collect();
-    let mode = if bad { ServerMode::Failing } else { ServerMode::Next };
+    let servers: Vec<String> =
+        (0..SERVERS).map(|n| format!("{NEXT_VERSION_PREFIX}{n}-{began}")).collect();
+    let mode = if bad { ServerMode::FailingVersion } else { ServerMode::NextVersion };
     for server in &servers {
         world.servers.borrow_mut().insert(server.clone(), mode);
-        world.serve(server, SHOP, address, false);
+        world.register_server(server, SHOP, address, false);
     }
     let calm = watch(world, hosts, began, &target).await;
     let stage = stage(world, &target);
@@ -65,18 +66,22 @@
 
 /// Waits for the decision; whether nothing was in trouble until then.
 async fn watch(world: &World, hosts: &Hosts, began: u64, target: &str) -> bool {
-    let (era, muted) = (world.era.get(), world.muted.get());
+    let (era, muted) = (world.era.get(), world.muted_until_ms.get());
     let mut calm = true;
     while world.now() < began + DURATION {
-        let store = world.store() == StoreMode::Well && world.away.borrow().is_none();
-        calm &= store && (world.era.get(), world.muted.get()) == (era, muted);
+        let store =
+            world.store_mode() == StoreMode::Healthy && world.refused_host.borrow().is_none();
+        calm &= store && (world.era.get(), world.muted_until_ms.get()) == (era, muted);
         if stage(world, target) == Some(RolloutStage::Completed) {
             break;
         }
         compio::time::sleep(LOOK).await;
     }
     let since = began.saturating_sub(BEFORE);
-    calm && hosts.borrow().iter().all(|host| host.disturbed < since && host.terminated.is_none())
+    calm && hosts
+        .borrow()
+        .iter()
+        .all(|host| host.disturbed_ms < since && host.stop_requested_ms.is_none())
 }
 
 fn stage(world: &World, target: &str) -> Option<RolloutStage> {
@@ -96,12 +101,12 @@
 ) {
     let until = began + DURATION;
     let within = |server: &str| {
-        let times = world.arrivals.of(server);
+        let times = world.arrivals.times(server);
         times.into_iter().filter(|at| (began..until).contains(at)).collect::<Vec<u64>>()
     };
     let mut got: Vec<u64> = servers.iter().flat_map(|server| within(server)).collect();
     got.sort_unstable();
-    let all = within(ALL).len();
+    let all = within(ALL_SERVERS).len();
     let most = all as f64 * SHARE + SLACK;
     let many = got.len() as f64 > most || world.breaks("exposure");
     let text = format!("a bad version got {} of {all} requests", got.len());
@@ -132,8 +137,8 @@
     let began = world.now();
     world.servers.borrow_mut().retain(|id, _| !old.contains(id));
     compio::time::sleep(Duration::from_millis(1_000)).await;
-    let came = old.iter().flat_map(|id| world.arrivals.of(id)).filter(|at| *at > began).count();
-    let undisturbed = hosts.borrow().iter().all(|host| host.disturbed < began);
+    let came = old.iter().flat_map(|id| world.arrivals.times(id)).filter(|at| *at > began).count();
+    let undisturbed = hosts.borrow().iter().all(|host| host.disturbed_ms < began);
     let text = format!("servers that may be stopped got {came} requests");
     judge(world, "leaving the others judged", undisturbed && came > 0, text);
     leave(world, &old);
@@ -151,6 +156,6 @@
     let mut ledger = world.ledger.borrow_mut();
     ledger.count(what);
     if broken {
-        ledger.violate(text);
+        ledger.add_violation(text);
     }
 }
--- a/elmstream_soak/src/watch.rs
+++ b/elmstream_soak/src/watch.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     callers::Hosts,
-    strike,
+    injection,
     world::{StoreMode, World},
 };
 
@@ -16,7 +16,7 @@
 const LATE_MS: u64 = 10;
 
 /// Writes down when the soak itself was late, as it then sees all else late.
-pub async fn stalls(world: Rc<World>) {
+pub async fn record_stalls(world: Rc<World>) {
     loop {
         let before = world.now();
         compio::time::sleep(LOOK).await;
@@ -29,32 +29,32 @@
 }
 
 /// Keeps copies of the store.
-pub async fn copies(world: Rc<World>) {
+pub async fn take_backups(world: Rc<World>) {
     loop {
         // What is away cannot be copied.
-        if world.store() != StoreMode::Away {
-            world.keep_copy();
+        if world.store_mode() != StoreMode::Closing {
+            world.take_backup();
         }
         compio::time::sleep(COPY).await;
     }
 }
 
 /// Notices hosts that end though nobody asked them to, and starts them again.
-pub async fn ends(world: Rc<World>, hosts: Hosts) {
+pub async fn restart_ended_hosts(world: Rc<World>, hosts: Hosts) {
     loop {
         compio::time::sleep(LOOK).await;
         let all = hosts.borrow().len();
         for n in 0..all {
-            let asked = hosts.borrow()[n].terminated.is_some();
-            let ended = hosts.borrow_mut()[n].ended();
+            let asked = hosts.borrow()[n].stop_requested_ms.is_some();
+            let ended = hosts.borrow_mut()[n].exit_status();
             if let Some(status) = ended.filter(|_| !asked) {
                 let now = world.now();
-                let reloaded = hosts.borrow()[n].reloaded;
-                world.ledger.borrow_mut().violate(format!(
+                let reloaded = hosts.borrow()[n].reloaded_ms;
+                world.ledger.borrow_mut().add_violation(format!(
                     "host {n} ended by itself at {now} ms: {status}; told of changed settings at \
                      {reloaded:?} ms"
                 ));
-                strike::restart(&world, &hosts, n);
+                injection::restart(&world, &hosts, n);
             }
         }
     }
--- a/elmstream_soak/src/wire.rs
+++ b/elmstream_soak/src/wire.rs
@@ -37,18 +37,18 @@
 
 /// How an exchange ended.
 #[derive(Debug)]
-pub enum End {
+pub enum ExchangeOutcome {
     /// By a whole answer.
     Answer(Answer),
     /// The request could not be sent whole.
     NotSent,
     /// The connection ended without a whole answer to a request whose last byte left
     /// at the first of these times; at the second it was seen to have ended.
-    Ended(u64, u64),
+    Closed(u64, u64),
     /// No whole answer in time; when the last byte had left.
-    Silent(u64),
+    TimedOut(u64),
     /// What came is no answer to one request.
-    Garbled(String),
+    Malformed(String),
 }
 
 /// A connection that may carry many requests, one after the other.
@@ -56,7 +56,7 @@
 pub struct Connection {
     stream: TcpStream,
     /// Requests that were answered on it.
-    pub answered: u64,
+    pub answered_count: u64,
 }
 
 impl Connection {
@@ -65,26 +65,31 @@
         let connecting = compio::time::timeout(within, TcpStream::connect(address));
         let stream = connecting.await.map_err(|_| io::ErrorKind::TimedOut)??;
         stream.set_nodelay(true)?;
-        Ok(Connection { stream, answered: 0 })
+        Ok(Connection { stream, answered_count: 0 })
     }
 
     /// Sends a request and reads its answer; only after one the connection may be
     /// used again.
-    pub async fn exchange(&mut self, world: &World, request: String, within: Duration) -> End {
+    pub async fn exchange(
+        &mut self,
+        world: &World,
+        request: String,
+        within: Duration,
+    ) -> ExchangeOutcome {
         let BufResult(written, _) = self.stream.write_all(request.into_bytes()).await;
         if written.is_err() {
-            return End::NotSent;
+            return ExchangeOutcome::NotSent;
         }
         let sent = world.now();
         let read = self.read_late(world, within).await;
-        let Some(read) = read else { return End::Silent(sent) };
+        let Some(read) = read else { return ExchangeOutcome::TimedOut(sent) };
         match read {
             Ok(Some(answer)) => {
-                self.answered += 1;
-                End::Answer(answer)
+                self.answered_count += 1;
+                ExchangeOutcome::Answer(answer)
             }
-            Ok(None) => End::Ended(sent, world.now()),
-            Err(garbled) => End::Garbled(garbled),
+            Ok(None) => ExchangeOutcome::Closed(sent, world.now()),
+            Err(garbled) => ExchangeOutcome::Malformed(garbled),
         }
     }
 
@@ -111,7 +116,7 @@
                 Ok(0) | Err(_) => return Ok(None),
                 Ok(_) => bytes.extend_from_slice(&chunk),
             }
-            if let Some(answer) = parse(&bytes)? {
+            if let Some(answer) = parse_answer(&bytes)? {
                 return Ok(Some(answer));
             }
         }
@@ -121,7 +126,7 @@
 /// The answer in these bytes; none if more must come.
 ///
 /// Hosts give the length of each body, as they read it whole before they pass it on.
-pub fn parse(bytes: &[u8]) -> Result<Option<Answer>, String> {
+pub fn parse_answer(bytes: &[u8]) -> Result<Option<Answer>, String> {
     let Some(end) = bytes.windows(HEAD_END.len()).position(|window| window == HEAD_END) else {
         return Ok(None);
     };
--- a/elmstream_soak/src/world.rs
+++ b/elmstream_soak/src/world.rs
@@ -18,11 +18,13 @@
     view::{Row, RowContent, RowKey},
 };
 
-use crate::{fragile, ledger::Ledger, needy::Arrivals, trouble::Troubles, versions, workspaces};
+use crate::{
+    ledger::Ledger, outages::Outages, poison, server_signals::Arrivals, versions, workspaces,
+};
 
 /// Services with which a configuration shows its version. A host that lags by as many
 /// versions would seem to be ahead; at one change each 350 ms that takes 22 s.
-pub const PINS: u64 = 64;
+pub const PIN_SERVICES: u64 = 64;
 /// The service of all other requests.
 pub const SHOP: &str = "shop";
 /// Port on which hosts of the first soak of this process take callers.
@@ -37,15 +39,15 @@
 pub enum StoreMode {
     /// It answers.
     #[default]
-    Well,
+    Healthy,
     /// It refuses.
-    Down,
+    Refusing,
     /// It does not answer.
     Silent,
     /// It answers late.
     Slow,
     /// It closes all connections.
-    Away,
+    Closing,
 }
 
 /// How a backend server behaves.
@@ -53,25 +55,25 @@
 pub enum ServerMode {
     /// It answers.
     #[default]
-    Well,
+    Healthy,
     /// It runs requests and never answers.
-    Dark,
+    Unresponsive,
     /// It runs requests and closes without an answer.
-    Cutting,
+    Closing,
     /// It answers with the id of another request.
-    Mixing,
+    MixingIds,
     /// It refuses.
     Full,
     /// It refuses, and asks for rest.
-    Resting,
+    BackingOff,
     /// It answers, and says that it is about to leave.
     Leaving,
     /// It answers, and names a limit.
     Limited,
     /// It answers, and is of a version that is rolled out.
-    Next,
+    NextVersion,
     /// The same, and each second answer is a failure.
-    Failing,
+    FailingVersion,
 }
 
 /// For how long copies of the store are kept, in milliseconds.
@@ -79,7 +81,7 @@
 
 /// What the store held at some time.
 #[derive(Clone, Debug)]
-pub struct Copied {
+pub struct Backup {
     rows: BTreeMap<RowKey, Row>,
     version: u64,
     hosts: BTreeMap<String, SocketAddr>,
@@ -90,7 +92,7 @@
 #[derive(Debug)]
 pub struct World {
     /// When it began.
-    pub began: Instant,
+    pub started: Instant,
     /// Rows of the store.
     pub rows: RefCell<BTreeMap<RowKey, Row>>,
     /// The store's counter.
@@ -98,21 +100,21 @@
     /// How often the store has come back from a copy.
     pub era: Cell<u64>,
     /// Hosts that are written down.
-    pub hosts: RefCell<BTreeMap<String, SocketAddr>>,
+    pub registered_hosts: RefCell<BTreeMap<String, SocketAddr>>,
     /// Requests that are refused, with the ends of servers that decided it.
-    pub harmful: RefCell<BTreeMap<RequestDigest, Vec<ServerCrash>>>,
+    pub refused_requests: RefCell<BTreeMap<RequestDigest, Vec<ServerCrash>>>,
     /// What the store held, by the time since the beginning, in milliseconds.
-    pub copies: RefCell<BTreeMap<u64, Copied>>,
+    pub backups: RefCell<BTreeMap<u64, Backup>>,
     /// What the operator and the servers have written, whatever the store has lost of it.
     pub written: RefCell<BTreeMap<RowKey, Option<RowContent>>>,
     /// When the store was in trouble.
-    pub troubles: RefCell<Troubles>,
+    pub outages: RefCell<Outages>,
     /// The troubles that the store is in; it behaves as the latest one says.
-    pub modes: RefCell<Vec<(usize, StoreMode)>>,
+    pub store_modes: RefCell<Vec<(usize, StoreMode)>>,
     /// Connections to the store that were opened up to this time are mute for good.
-    pub muted: Cell<Option<u64>>,
+    pub muted_until_ms: Cell<Option<u64>>,
     /// Name of a host that the store turns away.
-    pub away: RefCell<Option<String>>,
+    pub refused_host: RefCell<Option<String>>,
     /// How each backend server behaves.
     pub servers: RefCell<BTreeMap<String, ServerMode>>,
     /// When requests came to servers that say something of themselves.
@@ -122,67 +124,67 @@
     /// When the soak itself was late, and for how long, in milliseconds.
     pub stalls: RefCell<Vec<(u64, u64)>>,
     /// A rule that the soak itself breaks, to see that it notices.
-    pub broken: Option<String>,
+    pub broken_rule: Option<String>,
 }
 
 impl World {
     /// An empty world.
     pub fn new(broken: Option<String>) -> Rc<World> {
         Rc::new(World {
-            began: Instant::now(),
+            started: Instant::now(),
             rows: RefCell::default(),
             version: Cell::new(0),
             era: Cell::new(1),
-            hosts: RefCell::default(),
-            harmful: RefCell::default(),
-            copies: RefCell::default(),
+            registered_hosts: RefCell::default(),
+            refused_requests: RefCell::default(),
+            backups: RefCell::default(),
             written: RefCell::default(),
-            troubles: RefCell::default(),
-            modes: RefCell::default(),
-            muted: Cell::default(),
-            away: RefCell::default(),
+            outages: RefCell::default(),
+            store_modes: RefCell::default(),
+            muted_until_ms: Cell::default(),
+            refused_host: RefCell::default(),
             servers: RefCell::default(),
             arrivals: Arrivals::default(),
             ledger: RefCell::default(),
             stalls: RefCell::default(),
-            broken,
+            broken_rule: broken,
         })
     }
 
     /// Milliseconds since the beginning.
     pub fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
     /// How the store behaves.
-    pub fn store(&self) -> StoreMode {
-        self.modes.borrow().last().map(|(_, mode)| *mode).unwrap_or_default()
+    pub fn store_mode(&self) -> StoreMode {
+        self.store_modes.borrow().last().map(|(_, mode)| *mode).unwrap_or_default()
     }
 
     /// The store behaves badly from now on; the number by which that ends.
-    pub fn trouble(&self, mode: StoreMode) -> usize {
-        let number = self.troubles.borrow_mut().begin(self.now());
-        self.modes.borrow_mut().push((number, mode));
+    pub fn begin_outage(&self, mode: StoreMode) -> usize {
+        let number = self.outages.borrow_mut().begin(self.now());
+        self.store_modes.borrow_mut().push((number, mode));
         number
     }
 
     /// The store does not behave badly in this way any more.
-    pub fn relieve(&self, number: usize) {
-        self.troubles.borrow_mut().end(number, self.now());
-        self.modes.borrow_mut().retain(|(known, _)| *known != number);
+    pub fn end_outage(&self, number: usize) {
+        self.outages.borrow_mut().end(number, self.now());
+        self.store_modes.borrow_mut().retain(|(known, _)| *known != number);
     }
 
     /// The store's open connections go mute for good; new ones work.
-    pub fn mute(&self) {
+    pub fn mute_connections(&self) {
         let now = self.now();
-        self.muted.set(Some(now));
-        let mut troubles = self.troubles.borrow_mut();
+        self.muted_until_ms.set(Some(now));
+        let mut troubles = self.outages.borrow_mut();
         let number = troubles.begin(now);
         troubles.end(number, now);
     }
 
     /// For how long the soak itself was late after a time, in milliseconds.
-    pub fn late_since(&self, since: u64) -> u64 {
+    pub fn stall_ms_since(&self, since: u64) -> u64 {
         let stalls = self.stalls.borrow();
         let last = stalls.iter().rev().take_while(|(end, _)| *end >= since);
         last.map(|(_, millis)| *millis).sum()
@@ -190,38 +192,38 @@
 
     /// Whether a rule is left out on purpose.
     pub fn breaks(&self, rule: &str) -> bool {
-        self.broken.as_deref() == Some(rule)
+        self.broken_rule.as_deref() == Some(rule)
     }
 
     /// The store's version.
-    pub fn newest(&self) -> StoreVersion {
+    pub fn store_version(&self) -> StoreVersion {
         StoreVersion::new(self.era.get(), self.version.get())
     }
 
     /// Keeps what the store holds.
-    pub fn keep_copy(&self) {
-        let copied = Copied {
+    pub fn take_backup(&self) {
+        let copied = Backup {
             rows: self.rows.borrow().clone(),
             version: self.version.get(),
-            hosts: self.hosts.borrow().clone(),
-            harmful: self.harmful.borrow().clone(),
+            hosts: self.registered_hosts.borrow().clone(),
+            harmful: self.refused_requests.borrow().clone(),
         };
         let now = self.now();
-        let mut copies = self.copies.borrow_mut();
+        let mut copies = self.backups.borrow_mut();
         copies.insert(now, copied);
         copies.retain(|made, _| made + COPIES_MS >= now);
     }
 
     /// The store comes back from what it held at a time; what was written since is gone.
-    pub fn come_back(&self, made: u64) {
-        let mut copies = self.copies.borrow_mut();
+    pub fn restore_backup(&self, made: u64) {
+        let mut copies = self.backups.borrow_mut();
         // What was copied later is of a history that is gone.
         copies.retain(|at, _| *at <= made);
         let Some((_, copied)) = copies.last_key_value() else { return };
         self.rows.replace(copied.rows.clone());
         self.version.set(copied.version);
-        self.hosts.replace(copied.hosts.clone());
-        self.harmful.replace(copied.harmful.clone());
+        self.registered_hosts.replace(copied.hosts.clone());
+        self.refused_requests.replace(copied.harmful.clone());
         if !self.breaks("era") {
             self.era.set(self.era.get() + 1);
         }
@@ -229,7 +231,7 @@
     }
 
     /// Keys of what was written and is not in the store as it was.
-    pub fn lost(&self) -> Vec<RowKey> {
+    pub fn lost_rows(&self) -> Vec<RowKey> {
         let rows = self.rows.borrow();
         let held = |key: &RowKey| rows.get(key).and_then(|row| row.content.clone());
         let written = self.written.borrow();
@@ -241,7 +243,7 @@
     }
 
     /// The operator or a server writes a row again as it meant it.
-    pub fn write_again(&self, key: &RowKey) {
+    pub fn rewrite(&self, key: &RowKey) {
         let item = self.written.borrow().get(key).cloned().flatten();
         let there = self.rows.borrow().get(key).is_some_and(|row| row.content.is_some());
         if item.is_some() || there {
@@ -252,37 +254,37 @@
     /// Writes a row, or removes it.
     pub fn put(&self, key: RowKey, item: Option<RowContent>) {
         self.written.borrow_mut().insert(key.clone(), item.clone());
-        if self.store() == StoreMode::Away {
+        if self.store_mode() == StoreMode::Closing {
             // It is written again once the store is back.
             return;
         }
         let version = self.version.get() + 1;
         self.version.set(version);
-        let version = self.newest();
+        let version = self.store_version();
         self.rows.borrow_mut().insert(key.clone(), Row::new(key, version, item));
     }
 
     /// Puts a configuration in force.
     pub fn configure(&self, version: u64) {
         self.put(RowKey::Configuration, Some(RowContent::Configuration(configuration(version))));
-        self.ledger.borrow_mut().configured(version, self.now());
+        self.ledger.borrow_mut().record_configuration(version, self.now());
     }
 
     /// The store's counter for a row; 0 if it is not there.
-    pub fn count(&self, key: &RowKey) -> u64 {
+    pub fn row_count(&self, key: &RowKey) -> u64 {
         let rows = self.rows.borrow();
         let row = rows.get(key).filter(|row| row.content.is_some());
         row.map_or(0, |row| row.version.count)
     }
 
     /// A host wrote how far a roll-out has come.
-    pub fn progressed(&self, write: &RolloutWrite) {
+    pub fn record_progress(&self, write: &RolloutWrite) {
         let key = RowKey::Progress(write.service.clone());
         self.put(key, Some(RowContent::Progress(write.progress.clone())));
     }
 
     /// Writes down a server.
-    pub fn serve(&self, id: &str, service: &str, address: SocketAddr, draining: bool) {
+    pub fn register_server(&self, id: &str, service: &str, address: SocketAddr, draining: bool) {
         let written = self.written.borrow().get(&RowKey::Server(id.into())).cloned();
         let entries = match written {
             Some(Some(RowContent::Server(server))) => server.entries + 1,
@@ -297,14 +299,14 @@
             cold_ms: 0,
             born: 0,
             entries,
-            version: versions::version(id),
+            version: versions::version_of(id),
         };
         self.put(RowKey::Server(id.into()), Some(RowContent::Server(server)));
     }
 }
 
 /// Hosts of one soak at most, as a few hundred processes are what a machine is to bear.
-pub const HOSTS_MAX: usize = 200;
+pub const MAX_HOSTS: usize = 200;
 
 /// The IP number of a host; soaks of other processes do not share it.
 fn ip(number: usize) -> IpAddr {
@@ -313,30 +315,31 @@
 }
 
 /// Where callers reach a host of a soak.
-pub fn callers(soak: u8, number: usize) -> SocketAddr {
+pub fn caller_address(soak: u8, number: usize) -> SocketAddr {
     SocketAddr::new(ip(number), CALLERS + 2 * (u16::from(soak) % SOAKS))
 }
 
 /// Where hosts reach a host of a soak.
-pub fn peers(soak: u8, number: usize) -> SocketAddr {
+pub fn peer_address(soak: u8, number: usize) -> SocketAddr {
     SocketAddr::new(ip(number), PEERS + 2 * (u16::from(soak) % SOAKS))
 }
 
 fn configuration(version: u64) -> Configuration {
-    let pin = format!("pin-{}", version % PINS);
-    let services =
-        (0..PINS).map(|n| format!("pin-{n}")).chain([SHOP.to_owned(), fragile::SERVICE.to_owned()]);
+    let pin = format!("pin-{}", version % PIN_SERVICES);
+    let services = (0..PIN_SERVICES)
+        .map(|n| format!("pin-{n}"))
+        .chain([SHOP.to_owned(), poison::POISON_SERVICE.to_owned()]);
     Configuration {
         version,
         routes: vec![
             route("/safe/", Repeatability::Safe, SHOP),
             route("/once/", Repeatability::Once, SHOP),
             route("/pin/", Repeatability::Safe, &pin),
-            route("/harm/", Repeatability::Safe, fragile::SERVICE),
+            route("/harm/", Repeatability::Safe, poison::POISON_SERVICE),
         ],
         services: services.map(|name| Service { name, cold_ms: 0, cold_per_s: 9.0 }).collect(),
         limits: Limits::default(),
-        workspaces: workspaces::of(version),
+        workspaces: workspaces::workspaces_of_version(version),
     }
 }
 
--- a/elmstream_soak/tests/ledger.rs
+++ b/elmstream_soak/tests/ledger.rs
@@ -1,22 +1,27 @@
 //! What the ledger takes for a broken promise.
 
 use elmstream_soak::{
-    ledger::{Cut, Ledger, Seen, Served},
-    trouble::{CONTACT_MS, Troubles},
+    ledger::{Ledger, LostRequest, Outcome, VersionObservation},
+    outages::{Outages, RECOVERY_DEADLINE_MS},
 };
 
-fn cut(after: u64, late: u64) -> Cut {
-    Cut { id: "once-1".into(), after, late, how: String::new() }
+fn cut(after: u64, late: u64) -> LostRequest {
+    LostRequest {
+        id: "once-1".into(),
+        ended_after_ms: after,
+        stall_ms: late,
+        context: String::new(),
+    }
 }
 
-fn judged(cut: Cut, ran: bool) -> usize {
+fn judged(cut: LostRequest, ran: bool) -> usize {
     let mut ledger = Ledger::default();
-    ledger.cut(cut);
+    ledger.record_lost_request(cut);
     // A server may begin to run it after its caller has seen the end.
     if ran {
-        ledger.runs("once-1");
+        ledger.record_run("once-1");
     }
-    ledger.close();
+    ledger.check_lost_requests();
     ledger.violations().len()
 }
 
@@ -37,22 +42,29 @@
     assert_eq!(judged(cut(251, 50), false), 1);
 }
 
-fn served(pin: u64, sent: u64) -> Served {
-    Served { host: (0, 1), pin, pins: 8, sent, now: sent, calm: true }
+fn served(pin: u64, sent: u64) -> VersionObservation {
+    VersionObservation {
+        host: (0, 1),
+        pin,
+        pin_count: 8,
+        sent_ms: sent,
+        received_ms: sent,
+        undisturbed: true,
+    }
 }
 
 #[test]
 fn an_old_configuration_is_noticed_also_after_a_silence() {
-    let mut troubles = Troubles::default();
+    let mut troubles = Outages::default();
     let silence = troubles.begin(9_000);
     troubles.end(silence, 11_000);
-    let due = 11_000 + CONTACT_MS;
+    let due = 11_000 + RECOVERY_DEADLINE_MS;
     for (sent, broken) in [(due, 0), (due + 1, 1)] {
         let mut ledger = Ledger::default();
-        ledger.configured(1, 0);
-        ledger.configured(2, 10_000);
-        ledger.served_by(&served(1, sent), &troubles);
+        ledger.record_configuration(1, 0);
+        ledger.record_configuration(2, 10_000);
+        ledger.check_served_version(&served(1, sent), &troubles);
         assert_eq!(ledger.violations().len(), broken, "sent at {sent} ms");
-        ledger.answered("safe-1", Seen::Unknown);
+        ledger.record_outcome("safe-1", Outcome::Unknown);
     }
 }
--- a/elmstream_soak/tests/planned.rs
+++ b/elmstream_soak/tests/planned.rs
@@ -15,7 +15,8 @@
 const HOSTS: usize = 12;
 
 fn soak(faults: &[(u64, Fault)]) -> Report {
-    let events = faults.iter().map(|(at, fault)| Event { at: *at, lasts: 1_000, fault: *fault });
+    let events =
+        faults.iter().map(|(at, fault)| Event { at_ms: *at, duration_ms: 1_000, fault: *fault });
     let options = Options {
         seed: 0,
         seconds: TIME.as_secs(),
@@ -64,7 +65,7 @@
 /// default action is in force.
 #[test]
 fn settings_that_change_again_and_again_do_not_end_a_host() {
-    let often = |n: usize| (1_500 + 100 * n as u64, Fault::ReloadOften(n % 3));
+    let often = |n: usize| (1_500 + 100 * n as u64, Fault::ReloadBurst(n % 3));
     let report = soak(&(0..15).map(often).collect::<Vec<_>>());
     assert!(report.passed(), "{report}");
 }
--- a/elmstream_soak/tests/soak.rs
+++ b/elmstream_soak/tests/soak.rs
@@ -68,12 +68,12 @@
 /// Servers say of themselves what they want, in their answers alone; nothing else happens.
 fn saying(broken: Option<&str>) -> Report {
     let options = options(3, 16, broken);
-    let event = |at, lasts, fault| Event { at, lasts, fault };
+    let event = |at, lasts, fault| Event { at_ms: at, duration_ms: lasts, fault };
     let events = vec![
-        event(2_500, 0, Fault::Need(0)),
-        event(3_000, 3_500, Fault::Rest(1)),
+        event(2_500, 0, Fault::NameLimit(0)),
+        event(3_000, 3_500, Fault::BackOff(1)),
         event(4_000, 0, Fault::Leave(2)),
-        event(6_000, 3_000, Fault::Store(StoreMode::Down)),
+        event(6_000, 3_000, Fault::Store(StoreMode::Refusing)),
         event(6_500, 0, Fault::Leave(3)),
     ];
     let runtime = Runtime::new().expect("a runtime");
@@ -112,7 +112,7 @@
 /// The store comes back from a copy three seconds old.
 fn restored(broken: Option<&str>) -> Report {
     let options = options(2, 12, broken);
-    let event = |at, lasts, fault| Event { at, lasts, fault };
+    let event = |at, lasts, fault| Event { at_ms: at, duration_ms: lasts, fault };
     let events = vec![
         event(2_600, 0, Fault::Configure),
         event(3_800, 0, Fault::Configure),
@@ -145,11 +145,11 @@
 #[test]
 fn series_fall_between_each_other_and_in_order() {
     let events = faults::draw(7, 600_000, 5, 5);
-    let at: Vec<_> = events.iter().map(|event| event.at).collect();
+    let at: Vec<_> = events.iter().map(|event| event.at_ms).collect();
     assert!(at.is_sorted());
     assert!(at.iter().all(|at| (2_500..597_500).contains(at)));
     let planned = events.iter().filter(|event| matches!(event.fault, Fault::Terminate(_)));
-    let times: Vec<_> = planned.map(|event| event.at).collect();
+    let times: Vec<_> = planned.map(|event| event.at_ms).collect();
     let together = times.windows(2).filter(|pair| pair[1] - pair[0] <= 1_000).count();
     assert!(together > times.len() / 2, "{together} of {} stops follow another", times.len());
 }
@@ -157,7 +157,7 @@
 /// The shop is rolled out; nothing else happens.
 fn rolled_out(bad: bool, broken: Option<&str>) -> Report {
     let options = options(2, 14, broken);
-    let event = Event { at: 4_000, lasts: 0, fault: Fault::RollOut(bad) };
+    let event = Event { at_ms: 4_000, duration_ms: 0, fault: Fault::RollOut(bad) };
     let runtime = Runtime::new().expect("a runtime");
     runtime.block_on(soak::run_events(&options, Duration::from_secs(14), vec![event]))
 }
