--- a/elmstream_bench/src/analyze.rs
+++ b/elmstream_bench/src/analyze.rs
@@ -120,19 +120,19 @@
 }
 
 /// Reads files of lines.
-pub fn files(paths: &[String]) -> Result<Report, AnalyzeError> {
+pub fn read_files(paths: &[String]) -> Result<Report, AnalyzeError> {
     let mut text = String::new();
     for path in paths {
         text += &fs::read_to_string(path).context(ReadSnafu { path: path.clone() })?;
         text.push('\n');
     }
-    Report::of(&text).ok_or(AnalyzeError::Empty)
+    Report::from_text(&text).ok_or(AnalyzeError::Empty)
 }
 
 impl Report {
     /// What a text of lines tells; none if it holds none. What stands before the first
     /// brace of a line, and lines that are not a host's, are passed over.
-    pub fn of(text: &str) -> Option<Report> {
+    pub fn from_text(text: &str) -> Option<Report> {
         let mut lines: Vec<Line> = text.lines().filter_map(Line::parse).collect();
         lines.sort_by_key(|line| line.unix_ms);
         let mut report = Report { begin: lines.first()?.unix_ms, ..Report::default() };
--- a/elmstream_bench/src/cli.rs
+++ b/elmstream_bench/src/cli.rs
@@ -6,7 +6,7 @@
 
 /// A part of the measurements of a user's fleet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Part {
+pub enum SteeringPart {
     /// Latency against an ideal queue and the baselines.
     Latency,
     /// Several times the capacity.
@@ -17,15 +17,15 @@
     Region,
 }
 
-impl FromStr for Part {
+impl FromStr for SteeringPart {
     type Err = String;
 
-    fn from_str(name: &str) -> Result<Part, String> {
+    fn from_str(name: &str) -> Result<SteeringPart, String> {
         match name {
-            "latency" => Ok(Part::Latency),
-            "overload" => Ok(Part::Overload),
-            "drains" => Ok(Part::Drains),
-            "region" => Ok(Part::Region),
+            "latency" => Ok(SteeringPart::Latency),
+            "overload" => Ok(SteeringPart::Overload),
+            "drains" => Ok(SteeringPart::Drains),
+            "region" => Ok(SteeringPart::Region),
             _ => Err("the parts are latency, overload, drains and region".into()),
         }
     }
@@ -66,7 +66,7 @@
         user: String,
         /// latency, overload, drains or region; all of them without it
         #[bpaf(positional("PART"))]
-        part: Option<Part>,
+        part: Option<SteeringPart>,
     },
     /// Print a user's configuration: leobental or kloofsig
     #[bpaf(command)]
--- a/elmstream_bench/src/experiment.rs
+++ b/elmstream_bench/src/experiment.rs
@@ -41,7 +41,7 @@
 const REST: Duration = Duration::from_secs(10);
 
 /// Runs a measurement with a fleet in a folder of its own.
-pub fn with_runtime<T>(run: impl AsyncFnOnce(Fleet) -> Result<T, String>) -> Result<T, String> {
+pub fn with_fleet<T>(run: impl AsyncFnOnce(Fleet) -> Result<T, String>) -> Result<T, String> {
     let folder = env::temp_dir().join(format!("elmstream-experiment-{}", process::id()));
     let fleet = Fleet::new(&folder).map_err(|e| e.to_string())?;
     let runtime = Runtime::new().map_err(|e| e.to_string())?;
@@ -52,13 +52,13 @@
 
 /// Added latency of an entry host, and what one thread of it carries.
 pub fn latency() -> Result<(), String> {
-    with_runtime(async |mut fleet| {
+    with_fleet(async |mut fleet| {
         let mut configuration = small::configuration(&mut fleet);
         configuration.backend_servers.retain(|b| b.name == "status-1");
         configuration.backend_servers[0].slots = 64;
         fleet.add_host("host-1", "north-a");
         fleet.add_host("host-2", "north-b");
-        fleet.behave(0, &Behaviour::default()).await.map_err(|e| e.to_string())?;
+        fleet.set_behaviour(0, &Behaviour::default()).await.map_err(|e| e.to_string())?;
         let operator = small::make_ready(&fleet, &configuration).await?;
         drop(operator);
         let backend = fleet.backends[0].address;
@@ -146,16 +146,16 @@
 
 /// Control at rest and the spread of changes, with so many daemons.
 pub fn spread(hosts: usize) -> Result<(), String> {
-    with_runtime(async |mut fleet| {
+    with_fleet(async |mut fleet| {
         let configuration = LEOBENTAL.configuration(|_| SocketAddr::from(([127, 0, 0, 1], 9)));
         let domains = LEOBENTAL.domains();
         for index in 0..hosts {
             fleet.add_host(&format!("host-{index:03}"), &domains[index % domains.len()]);
         }
-        fleet.list(&fleet.host_list(&[])).await.map_err(|e| e.to_string())?;
+        fleet.publish_host_list(&fleet.host_list(&[])).await.map_err(|e| e.to_string())?;
         let mut operator = Operator::connect(&fleet, 0).await?;
         operator.apply(0, &configuration).await?;
-        operator.wait(WAIT, "revision 1 everywhere", |s| in_force(s, 1, hosts)).await?;
+        operator.wait_until(WAIT, "revision 1 everywhere", |s| in_force(s, 1, hosts)).await?;
         compio::time::sleep(REST).await;
         measure_rest(&mut operator, hosts).await?;
         measure_changes(&mut operator, configuration, hosts).await?;
@@ -194,7 +194,7 @@
         if reply.code != 0 {
             return Err(reply.message);
         }
-        operator.wait(WAIT, "the change", |s| in_force(s, number + 1, hosts)).await?;
+        operator.wait_until(WAIT, "the change", |s| in_force(s, number + 1, hosts)).await?;
         times.push(begin.elapsed());
     }
     times.sort();
--- a/elmstream_bench/src/fleet.rs
+++ b/elmstream_bench/src/fleet.rs
@@ -34,14 +34,14 @@
 const REACH: Duration = Duration::from_secs(2);
 
 /// Something that runs on a thread until it is stopped.
-pub struct Running {
+pub struct RunningThread {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<Result<(), String>>>,
 }
 
-impl Running {
+impl RunningThread {
     /// Runs `make(stop)` on a thread with a runtime of its own.
-    pub fn start<F, M>(name: &str, make: M) -> Running
+    pub fn start<F, M>(name: &str, make: M) -> RunningThread
     where
         M: FnOnce(Stop) -> F + Send + 'static,
         F: Future<Output = Result<(), String>>,
@@ -60,11 +60,11 @@
             })
         };
         let thread = thread::Builder::new().name(name.into()).spawn(body);
-        Running { stop: Some(stop), thread: thread.ok() }
+        RunningThread { stop: Some(stop), thread: thread.ok() }
     }
 
     /// Asks it to stop, without waiting.
-    pub fn ask_stop(&mut self) {
+    pub fn request_stop(&mut self) {
         self.stop.take();
     }
 
@@ -75,7 +75,7 @@
 
     /// Asks it to stop and waits for its end.
     pub fn stop(mut self) -> Result<(), String> {
-        self.ask_stop();
+        self.request_stop();
         match self.thread.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
             _ => Err("the thread panicked".into()),
@@ -88,7 +88,7 @@
     /// Its settings.
     pub settings: Settings,
     /// The running daemon.
-    pub running: Option<Running>,
+    pub running: Option<RunningThread>,
 }
 
 /// A stand-in for a backend server.
@@ -98,7 +98,7 @@
     /// Where it takes requests.
     pub address: SocketAddr,
     /// The running stand-in.
-    pub running: Running,
+    pub running: RunningThread,
 }
 
 /// Stand-ins and daemons.
@@ -114,7 +114,7 @@
     /// File with the operator's token.
     pub token_file: PathBuf,
     key: PathBuf,
-    platform_running: Running,
+    platform_running: RunningThread,
 }
 
 /// The first port that is given out; all lie below the ports that the system
@@ -148,7 +148,7 @@
         fs::write(&authority, authority_pem)?;
         fs::write(&token_file, TOKEN)?;
         let address = free_address();
-        let platform_running = Running::start("platform", move |stop| async move {
+        let platform_running = RunningThread::start("platform", move |stop| async move {
             let listener = TcpListener::bind(address).await.map_err(|e| e.to_string())?;
             platform::serve(listener, stop).await.map_err(|e| e.to_string())
         });
@@ -168,7 +168,7 @@
     pub fn add_backend(&mut self, name: &str, behaviour: Behaviour) -> SocketAddr {
         let address = free_address();
         let told = name.to_owned();
-        let running = Running::start(name, move |stop| async move {
+        let running = RunningThread::start(name, move |stop| async move {
             let listener = TcpListener::bind(address).await.map_err(|e| e.to_string())?;
             backend::serve(listener, told, behaviour, stop).await.map_err(|e| e.to_string())
         });
@@ -247,18 +247,18 @@
     }
 
     /// Tells the platform's host list.
-    pub async fn list(&self, list: &HostList) -> io::Result<()> {
+    pub async fn publish_host_list(&self, list: &HostList) -> io::Result<()> {
         let text = serde_json::to_vec(list)?;
         put(self.platform, "/hosts", text).await
     }
 
     /// Switches faults of a part of the platform: `rows`, `objects` or `hosts`.
-    pub async fn fault(&self, part: &str, faults: &Faults) -> io::Result<()> {
+    pub async fn set_faults(&self, part: &str, faults: &Faults) -> io::Result<()> {
         put(self.platform, &format!("/faults/{part}"), serde_json::to_vec(faults)?).await
     }
 
     /// Changes how a backend server behaves.
-    pub async fn behave(&self, index: usize, behaviour: &Behaviour) -> io::Result<()> {
+    pub async fn set_behaviour(&self, index: usize, behaviour: &Behaviour) -> io::Result<()> {
         let text = serde_json::to_vec(behaviour)?;
         put(self.backends[index].address, "/_standin/behaviour", text).await
     }
@@ -270,7 +270,7 @@
     }
 
     /// Callers' addresses of the running hosts.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let running = self.hosts.iter().filter(|h| h.running.is_some());
         running.map(|h| h.settings.listen.callers).collect()
     }
@@ -279,7 +279,7 @@
     pub fn stop(mut self) -> Result<(), String> {
         for host in &mut self.hosts {
             if let Some(running) = &mut host.running {
-                running.ask_stop();
+                running.request_stop();
             }
         }
         for host in self.hosts {
@@ -294,9 +294,9 @@
     }
 }
 
-fn start_host(settings: Settings) -> Running {
+fn start_host(settings: Settings) -> RunningThread {
     let name = settings.name.clone();
-    Running::start(&name, move |stop| async move {
+    RunningThread::start(&name, move |stop| async move {
         lifecycle::run_until(settings, stop).await.map_err(|e| e.to_string())
     })
 }
--- a/elmstream_bench/src/ideal.rs
+++ b/elmstream_bench/src/ideal.rs
@@ -15,7 +15,7 @@
 
 /// Latencies with `slots` slots, evenly spaced arrivals and exponential run
 /// times of a given mean; in microseconds.
-pub fn latencies(slots: usize, per_second: f64, mean: Duration) -> Histogram<u64> {
+pub fn queue_latencies(slots: usize, per_second: f64, mean: Duration) -> Histogram<u64> {
     let mut rng = StdRng::seed_from_u64(SEED);
     let mut histogram = Histogram::new_with_max(TIME_MAX, 3).expect("the bounds are valid");
     let gap = 1e6 / per_second;
--- a/elmstream_bench/src/main.rs
+++ b/elmstream_bench/src/main.rs
@@ -13,7 +13,7 @@
 fn main() -> ExitCode {
     let result = match cli::command().run() {
         Command::Trial => trial::run(),
-        Command::Analyze { files } => analyze::files(&files)
+        Command::Analyze { files } => analyze::read_files(&files)
             .map(|report| print!("{}", report.text()))
             .map_err(|error| error.to_string()),
         Command::Slope => {
--- a/elmstream_bench/src/operator.rs
+++ b/elmstream_bench/src/operator.rs
@@ -87,7 +87,7 @@
     }
 
     /// Waits until the state is as wanted, and tells how long that took.
-    pub async fn wait(
+    pub async fn wait_until(
         &mut self,
         at_most: Duration,
         what: &str,
@@ -114,6 +114,6 @@
 }
 
 /// Slots that the live hosts report, over all services.
-pub fn slots(status: &StatusReply) -> u32 {
+pub fn reported_slots(status: &StatusReply) -> u32 {
     status.services.iter().map(|s| s.slots).sum()
 }
--- a/elmstream_bench/src/process.rs
+++ b/elmstream_bench/src/process.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether a host's daemon has ended, and how.
-    pub fn ended(&mut self, host: usize) -> io::Result<Option<ExitStatus>> {
+    pub fn exit_status(&mut self, host: usize) -> io::Result<Option<ExitStatus>> {
         self.children[host].try_wait()
     }
 }
--- a/elmstream_bench/src/sizes.rs
+++ b/elmstream_bench/src/sizes.rs
@@ -19,7 +19,7 @@
 }
 
 /// Slots of each instance.
-pub const SLOTS: u32 = 4;
+pub const SLOTS_PER_INSTANCE: u32 = 4;
 
 /// The Stadtwerke Leobental.
 pub const LEOBENTAL: User = User {
@@ -63,7 +63,7 @@
                 let name = format!("{name}-{:02}", number + 1);
                 let address = address(&name);
                 let service = self.services[index].0.into();
-                let slots = SLOTS;
+                let slots = SLOTS_PER_INSTANCE;
                 c.backend_servers.push(BackendServer {
                     name,
                     service,
--- a/elmstream_bench/src/small.rs
+++ b/elmstream_bench/src/small.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     fleet::Fleet,
-    operator::{Operator, in_force, slots},
+    operator::{Operator, in_force, reported_slots},
 };
 
 /// Time for a state to come about.
@@ -19,7 +19,7 @@
 /// Time that a stand-in runs a request, in milliseconds.
 pub const RUN_MS: u64 = 2;
 /// Slots of each backend server.
-pub const SLOTS: u32 = 4;
+pub const SLOTS_PER_SERVER: u32 = 4;
 /// The hosts and their failure domains.
 pub const HOSTS: [(&str, &str); 3] =
     [("host-1", "north-a"), ("host-2", "north-b"), ("host-3", "south-a")];
@@ -34,7 +34,7 @@
 ];
 
 /// Starts backend servers and hosts, and makes the configuration.
-pub fn start(fleet: &mut Fleet) -> Configuration {
+pub fn start_fleet(fleet: &mut Fleet) -> Configuration {
     let configuration = configuration(fleet);
     for (name, domain) in HOSTS {
         fleet.add_host(name, domain);
@@ -68,7 +68,7 @@
             service,
             failure_domain,
             address,
-            slots: SLOTS,
+            slots: SLOTS_PER_SERVER,
         });
     }
     c
@@ -77,7 +77,7 @@
 /// Tells the host list, applies the configuration, and waits until every
 /// backend server has an owner. Gives the operator's session.
 pub async fn make_ready(fleet: &Fleet, configuration: &Configuration) -> Result<Operator, String> {
-    fleet.list(&fleet.host_list(&[])).await.map_err(|e| e.to_string())?;
+    fleet.publish_host_list(&fleet.host_list(&[])).await.map_err(|e| e.to_string())?;
     let mut operator = Operator::connect(fleet, 0).await?;
     let begin = Instant::now();
     let reply = operator.apply(0, configuration).await?;
@@ -85,10 +85,10 @@
         return Err(format!("the configuration was not accepted: {}", reply.message));
     }
     let all = fleet.hosts.len();
-    operator.wait(WAIT, "revision 1 in force", |s| in_force(s, 1, all)).await?;
+    operator.wait_until(WAIT, "revision 1 in force", |s| in_force(s, 1, all)).await?;
     println!("revision 1 in force on {all} hosts after {:?}", begin.elapsed());
     let wanted: u32 = configuration.backend_servers.iter().map(|b| b.slots).sum();
-    operator.wait(WAIT, "owners for all", |s| slots(s) == wanted).await?;
+    operator.wait_until(WAIT, "owners for all", |s| reported_slots(s) == wanted).await?;
     println!("every backend server has an owner after {:?}", begin.elapsed());
     Ok(operator)
 }
--- a/elmstream_bench/src/steering.rs
+++ b/elmstream_bench/src/steering.rs
@@ -6,12 +6,12 @@
 use elmstream_standin::{report::Report, target::Pick};
 
 use crate::{
-    cli::Part,
-    experiment::with_runtime,
+    cli::SteeringPart,
+    experiment::with_fleet,
     fleet::Fleet,
     ideal,
     sizes::User,
-    users::{Served, UserFleet, run_time},
+    users::{LoadResult, UserFleet, mean_run_time},
 };
 
 /// Shares of the capacity at which latency is measured, in percent.
@@ -32,26 +32,26 @@
 const DRAIN_GAP: Duration = Duration::from_secs(6);
 
 /// Runs one part for a user, or all.
-pub fn run(user: User, part: Option<Part>) -> Result<(), String> {
-    with_runtime(async |fleet| measure(user, part, fleet).await)
+pub fn run(user: User, part: Option<SteeringPart>) -> Result<(), String> {
+    with_fleet(async |fleet| measure(user, part, fleet).await)
 }
 
-async fn measure(user: User, part: Option<Part>, fleet: Fleet) -> Result<(), String> {
+async fn measure(user: User, part: Option<SteeringPart>, fleet: Fleet) -> Result<(), String> {
     let mut users = UserFleet::start(user, fleet).await?;
     let wants = |wanted| part.is_none_or(|part| part == wanted);
-    if wants(Part::Latency) {
+    if wants(SteeringPart::Latency) {
         for percent in LEVELS {
             latency(&users, percent).await?;
         }
     }
-    if wants(Part::Overload) {
+    if wants(SteeringPart::Overload) {
         overload(&users).await?;
     }
-    if wants(Part::Drains) {
+    if wants(SteeringPart::Drains) {
         drains(&mut users).await?;
         users.undrain(3).await?;
     }
-    if wants(Part::Region) {
+    if wants(SteeringPart::Region) {
         region_fails(&mut users).await?;
     }
     let UserFleet { fleet, daemons, operator, .. } = users;
@@ -63,19 +63,19 @@
 async fn latency(users: &UserFleet, percent: u32) -> Result<(), String> {
     println!("\nat {percent}% of capacity, {LOAD:?} each");
     let demands = users.demands(percent);
-    users.reset().await?;
+    users.reset_backends().await?;
     for (what, pick) in [("random", Pick::Random), ("least loaded", Pick::LeastLoaded)] {
-        let served = users.baseline(&demands, LOAD, pick).end().await?;
+        let served = users.start_baseline_load(&demands, LOAD, pick).finish().await?;
         print_latency(what, &by_service(&served, 0));
     }
-    users.reset().await?;
-    let served = users.load(&demands, LOAD, &format!("at{percent}")).end().await?;
+    users.reset_backends().await?;
+    let served = users.start_load(&demands, LOAD, &format!("at{percent}")).finish().await?;
     let report = by_service(&served, 0);
     print_latency("elmstream", &report);
-    let (waiting, twice) = users.exceeded().await?;
+    let (waiting, twice) = users.limit_violations().await?;
     let slots: u32 = (0..users.user.regions.len()).map(|r| users.slots(r, 0)).sum();
     let rate: u32 = demands.iter().filter(|d| d.service == 0).map(|d| d.per_second).sum();
-    let ideal = ideal::latencies(slots as usize, f64::from(rate), run_time());
+    let ideal = ideal::queue_latencies(slots as usize, f64::from(rate), mean_run_time());
     println!(
         "  ideal queue: p50 {} us, p99 {} us, p99.9 {} us; elmstream's p99 is {:.2} of it",
         ideal.value_at_quantile(0.5),
@@ -88,7 +88,7 @@
 }
 
 /// The reports of one service, added.
-fn by_service(served: &[Served], service: usize) -> Report {
+fn by_service(served: &[LoadResult], service: usize) -> Report {
     let mut sum = Report::default();
     for served in served.iter().filter(|s| s.demand.service == service) {
         sum.add(&served.report);
@@ -97,7 +97,7 @@
 }
 
 /// Counts over all services.
-fn all(served: &[Served]) -> String {
+fn all(served: &[LoadResult]) -> String {
     let mut sum = Report::default();
     for served in served {
         sum.add(&served.report);
@@ -125,8 +125,8 @@
 /// refused.
 async fn overload(users: &UserFleet) -> Result<(), String> {
     println!("\nat {OVERLOAD}% of capacity, {LOAD:?}");
-    users.reset().await?;
-    let served = users.load(&users.demands(OVERLOAD), LOAD, "over").end().await?;
+    users.reset_backends().await?;
+    let served = users.start_load(&users.demands(OVERLOAD), LOAD, "over").finish().await?;
     for service in 0..users.user.services.len() {
         let report = by_service(&served, service);
         let capacity: u32 = (0..users.user.regions.len()).map(|r| users.capacity(r, service)).sum();
@@ -144,7 +144,7 @@
             report.refused
         );
     }
-    let (waiting, twice) = users.exceeded().await?;
+    let (waiting, twice) = users.limit_violations().await?;
     println!("  slots exceeded by {waiting}, run twice {twice}, {}", all(&served));
     Ok(())
 }
@@ -152,7 +152,7 @@
 /// Drains an instance, a failure domain and an entry host, in turn, under load.
 async fn drains(users: &mut UserFleet) -> Result<(), String> {
     println!("\ndrains at {USUAL}% of capacity");
-    let load = users.load(&users.demands(USUAL), 3 * DRAIN_GAP, "drain");
+    let load = users.start_load(&users.demands(USUAL), 3 * DRAIN_GAP, "drain");
     compio::time::sleep(Duration::from_secs(1)).await;
     let instance = users.instances(0, 0)[0];
     let name = users.configuration.backend_servers[instance].name.clone();
@@ -164,11 +164,11 @@
     let begin = Instant::now();
     let host = 1;
     users.daemons.signal(host, "-TERM").map_err(|e| e.to_string())?;
-    while users.daemons.ended(host).map_err(|e| e.to_string())?.is_none() {
+    while users.daemons.exit_status(host).map_err(|e| e.to_string())?.is_none() {
         compio::time::sleep(Duration::from_millis(10)).await;
     }
     println!("  an entry host stopped after {:?}", begin.elapsed());
-    let served = load.end().await?;
+    let served = load.finish().await?;
     println!("  {}", all(&served));
     Ok(())
 }
@@ -206,21 +206,22 @@
 /// Kills all entry hosts of the first region under load.
 async fn region_fails(users: &mut UserFleet) -> Result<(), String> {
     println!("\nthe first region's hosts are killed at {USUAL}% of capacity, after {FAIL_AT:?}");
-    users.reset().await?;
+    users.reset_backends().await?;
     let demands = users.demands(USUAL);
-    let load = users.load(&demands, FAILURE_LOAD, "fail");
+    let load = users.start_load(&demands, FAILURE_LOAD, "fail");
     compio::time::sleep(FAIL_AT).await;
     for host in 0..HOSTS_EACH_REGION {
         // One of them has left as planned before.
         let _ = users.daemons.signal(host, "-KILL");
     }
-    let served = load.end().await?;
+    let served = load.finish().await?;
     for service in 0..users.user.services.len() {
         let allowed = allowed_shift(users, service);
-        let of_region =
-            |region| move |s: &&Served| s.demand.region == region && s.demand.service == service;
+        let of_region = |region| {
+            move |s: &&LoadResult| s.demand.region == region && s.demand.service == service
+        };
         let Some(failed) = served.iter().find(of_region(0)) else { continue };
-        let others: Vec<&Served> =
+        let others: Vec<&LoadResult> =
             served.iter().filter(|s| s.demand.region != 0 && s.demand.service == service).collect();
         let whole: Vec<u64> = failed.report.seconds.iter().map(|s| s.whole).collect();
         let kept: u64 = others.iter().map(|s| s.report.whole).sum();
@@ -230,7 +231,7 @@
             users.user.services[service].0, failed.demand.per_second
         );
     }
-    let (waiting, twice) = users.exceeded().await?;
+    let (waiting, twice) = users.limit_violations().await?;
     println!("  slots exceeded by {waiting}, run twice {twice}, {}", all(&served));
     Ok(())
 }
--- a/elmstream_bench/src/trial.rs
+++ b/elmstream_bench/src/trial.rs
@@ -19,7 +19,7 @@
 use crate::{
     fleet::Fleet,
     operator::Operator,
-    small::{self, BACKENDS, HOSTS, SLOTS},
+    small::{self, BACKENDS, HOSTS, SLOTS_PER_SERVER},
 };
 
 /// How long each load runs.
@@ -62,7 +62,7 @@
 }
 
 async fn guided(mut fleet: Fleet) -> Result<Vec<Check>, String> {
-    let configuration = small::start(&mut fleet);
+    let configuration = small::start_fleet(&mut fleet);
     let mut operator = small::make_ready(&fleet, &configuration).await?;
     let loads = start_loads(&fleet);
     let mut checks = Vec::new();
@@ -82,7 +82,7 @@
 /// Reads, requests that may not be repeated, and uploads, each on a thread.
 fn start_loads(fleet: &Fleet) -> Vec<(&'static str, Loading)> {
     let load = |service: &str, per_second, method, body_bytes| Load {
-        ask: fleet.callers(),
+        ask: fleet.caller_addresses(),
         service: service.into(),
         per_second,
         duration: LOAD,
@@ -120,7 +120,7 @@
     let Some(mut running) = fleet.hosts[STOPPED].running.take() else {
         return Check { what: format!("{name} runs"), holds: false };
     };
-    running.ask_stop();
+    running.request_stop();
     while !running.has_ended() && begin.elapsed() < WAIT {
         compio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -176,8 +176,10 @@
     }
     let twice = ids.values().filter(|runs| **runs > 1).count() as u64 + repeated;
     checks.push(Check { what: format!("requests run twice: {twice}"), holds: twice == 0 });
-    let what = format!("most requests at one backend server at a time: {most} of {SLOTS} slots");
-    checks.push(Check { what, holds: most <= SLOTS });
+    let what = format!(
+        "most requests at one backend server at a time: {most} of {SLOTS_PER_SERVER} slots"
+    );
+    checks.push(Check { what, holds: most <= SLOTS_PER_SERVER });
     Ok(())
 }
 
--- a/elmstream_bench/src/users.rs
+++ b/elmstream_bench/src/users.rs
@@ -22,9 +22,9 @@
 
 use crate::{
     fleet::Fleet,
-    operator::{Operator, in_force, slots},
+    operator::{Operator, in_force, reported_slots},
     process::Daemons,
-    sizes::{SLOTS, User},
+    sizes::{SLOTS_PER_INSTANCE, User},
 };
 
 /// Entry hosts in each failure domain.
@@ -63,7 +63,7 @@
 }
 
 /// A demand and what became of it.
-pub struct Served {
+pub struct LoadResult {
     /// The demand.
     pub demand: Demand,
     /// The callers' report.
@@ -71,7 +71,7 @@
 }
 
 /// The mean run time.
-pub fn run_time() -> Duration {
+pub fn mean_run_time() -> Duration {
     Duration::from_millis(RUN_MS)
 }
 
@@ -96,16 +96,16 @@
                 started.map_err(|e| e.to_string())?;
             }
         }
-        fleet.list(&fleet.host_list(&[])).await.map_err(|e| e.to_string())?;
+        fleet.publish_host_list(&fleet.host_list(&[])).await.map_err(|e| e.to_string())?;
         let hosts = fleet.hosts.len();
         let mut operator = Operator::connect(&fleet, hosts - 1).await?;
         let reply = operator.apply(0, &configuration).await?;
         if reply.code != 0 {
             return Err(reply.message);
         }
-        operator.wait(WAIT, "revision 1 in force", |s| in_force(s, 1, hosts)).await?;
+        operator.wait_until(WAIT, "revision 1 in force", |s| in_force(s, 1, hosts)).await?;
         let all: u32 = configuration.backend_servers.iter().map(|b| b.slots).sum();
-        operator.wait(WAIT, "owners for all", |s| slots(s) == all).await?;
+        operator.wait_until(WAIT, "owners for all", |s| reported_slots(s) == all).await?;
         Ok(UserFleet { user, fleet, daemons, operator, configuration })
     }
 
@@ -121,7 +121,7 @@
 
     /// Slots of a service in a region.
     pub fn slots(&self, region: usize, service: usize) -> u32 {
-        self.instances(region, service).len() as u32 * SLOTS
+        self.instances(region, service).len() as u32 * SLOTS_PER_INSTANCE
     }
 
     /// Requests in a second that all slots of a service in a region carry.
@@ -142,15 +142,20 @@
     }
 
     /// Begins a load by look-ups through the entry hosts.
-    pub fn load(&self, demands: &[Demand], duration: Duration, prefix: &str) -> Loading {
+    pub fn start_load(&self, demands: &[Demand], duration: Duration, prefix: &str) -> RunningLoads {
         let ask: Vec<_> = self.fleet.hosts.iter().map(|h| h.settings.listen.callers).collect();
         let load =
             |demand: &Demand| Load { ask: ask.clone(), ..self.plan(demand, duration, prefix) };
-        Loading::start(demands.iter().map(|d| (d.clone(), vec![load(d)])).collect())
+        RunningLoads::start(demands.iter().map(|d| (d.clone(), vec![load(d)])).collect())
     }
 
     /// Begins a load straight to the region's instances, without elmstream.
-    pub fn baseline(&self, demands: &[Demand], duration: Duration, pick: Pick) -> Loading {
+    pub fn start_baseline_load(
+        &self,
+        demands: &[Demand],
+        duration: Duration,
+        pick: Pick,
+    ) -> RunningLoads {
         let loads = |demand: &Demand| {
             let instances = self.instances(demand.region, demand.service);
             let targets = instances.iter().map(|&i| self.fleet.backends[i].address).collect();
@@ -161,7 +166,7 @@
                 |n| Load { per_second, prefix: format!("{n}-{}", load.prefix), ..load.clone() };
             (demand.clone(), (0..BASELINE_CALLERS).map(part).collect())
         };
-        Loading::start(demands.iter().map(loads).collect())
+        RunningLoads::start(demands.iter().map(loads).collect())
     }
 
     fn plan(&self, demand: &Demand, duration: Duration, prefix: &str) -> Load {
@@ -187,16 +192,16 @@
     }
 
     /// Forgets the most that each instance saw waiting.
-    pub async fn reset(&self) -> Result<(), String> {
+    pub async fn reset_backends(&self) -> Result<(), String> {
         for index in 0..self.fleet.backends.len() {
-            self.fleet.behave(index, &instance()).await.map_err(|e| e.to_string())?;
+            self.fleet.set_behaviour(index, &instance()).await.map_err(|e| e.to_string())?;
         }
         Ok(())
     }
 
     /// Requests that came when all slots of their instance were in use, at
     /// most at a time; and requests that ran twice.
-    pub async fn exceeded(&self) -> Result<(u32, u64), String> {
+    pub async fn limit_violations(&self) -> Result<(u32, u64), String> {
         let (mut waiting, mut ids) = (0, std::collections::HashMap::new());
         for index in 0..self.fleet.backends.len() {
             let seen = self.fleet.seen(index).await.map_err(|e| e.to_string())?;
@@ -211,20 +216,20 @@
 }
 
 /// Loads under way, a thread for each region.
-pub struct Loading(Vec<thread::JoinHandle<Result<Vec<Served>, String>>>);
+pub struct RunningLoads(Vec<thread::JoinHandle<Result<Vec<LoadResult>, String>>>);
 
-impl Loading {
-    fn start(loads: Vec<(Demand, Vec<Load>)>) -> Loading {
+impl RunningLoads {
+    fn start(loads: Vec<(Demand, Vec<Load>)>) -> RunningLoads {
         let regions = loads.iter().map(|(d, _)| d.region).max().map_or(0, |r| r + 1);
         let of_region = |region| {
             let here = loads.iter().filter(|(d, _)| d.region == region).cloned().collect();
             thread::spawn(move || run_loads(here))
         };
-        Loading((0..regions).map(of_region).collect())
+        RunningLoads((0..regions).map(of_region).collect())
     }
 
     /// Waits for the end of all, without holding up this thread's tasks.
-    pub async fn end(self) -> Result<Vec<Served>, String> {
+    pub async fn finish(self) -> Result<Vec<LoadResult>, String> {
         while !self.0.iter().all(thread::JoinHandle::is_finished) {
             compio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -236,21 +241,26 @@
     }
 }
 
-fn run_loads(loads: Vec<(Demand, Vec<Load>)>) -> Result<Vec<Served>, String> {
+fn run_loads(loads: Vec<(Demand, Vec<Load>)>) -> Result<Vec<LoadResult>, String> {
     let runtime = Runtime::new().map_err(|e| e.to_string())?;
     let one = async |(demand, loads): (Demand, Vec<Load>)| {
         let mut report = Report::default();
         for part in join_all(loads.into_iter().map(caller::run)).await {
             report.add(&part);
         }
-        Served { demand, report }
+        LoadResult { demand, report }
     };
     Ok(runtime.block_on(join_all(loads.into_iter().map(one))))
 }
 
 /// How an instance behaves.
 fn instance() -> Behaviour {
-    Behaviour { run_ms: RUN_MS, exponential: true, slots: SLOTS, ..Behaviour::default() }
+    Behaviour {
+        run_ms: RUN_MS,
+        exponential: true,
+        slots: SLOTS_PER_INSTANCE,
+        ..Behaviour::default()
+    }
 }
 
 /// One site for the callers of each region.
--- a/elmstream_bench/tests/analyze.rs
+++ b/elmstream_bench/tests/analyze.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn windows_refusals_and_silences_are_told() {
-    let text = Report::of(LINES).expect("there are lines").text();
+    let text = Report::from_text(LINES).expect("there are lines").text();
     for told in [
         "service shop",
         "refused, Full: 2, of them 1 with a slot free, 1 came back; by tenth of the load [0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 1]",
@@ -35,11 +35,11 @@
 
 #[test]
 fn a_missing_file_and_one_without_lines_are_told_apart() {
-    let missing = analyze::files(&["/nowhere/lines".to_owned()]).expect_err("it is missing");
+    let missing = analyze::read_files(&["/nowhere/lines".to_owned()]).expect_err("it is missing");
     assert!(missing.to_string().starts_with("/nowhere/lines: "), "{missing}");
     let path = std::env::temp_dir().join(format!("elmstream-analyze-{}", std::process::id()));
     std::fs::write(&path, "nothing\n").expect("it can be written");
-    let empty = analyze::files(&[path.display().to_string()]).expect_err("it has no line");
+    let empty = analyze::read_files(&[path.display().to_string()]).expect_err("it has no line");
     std::fs::remove_file(&path).expect("it was written");
     assert_eq!(empty.to_string(), "no line of a host in the files");
 }
--- a/elmstreamd/tests/faults.rs
+++ b/elmstreamd/tests/faults.rs
@@ -7,7 +7,7 @@
 
 use elmstream_bench::{
     fleet::{free_address, get, send},
-    operator::{Operator, in_force, slots},
+    operator::{Operator, in_force, reported_slots},
 };
 use elmstream_config::document::{Link, Once, Site};
 use elmstream_http::{BoxError, body};
@@ -31,7 +31,7 @@
 /// Behaviour of both servers of the release service.
 async fn behave(running: &support::Running, behaviour: &Behaviour) {
     for index in RELEASE {
-        running.fleet.behave(index, behaviour).await.unwrap();
+        running.fleet.set_behaviour(index, behaviour).await.unwrap();
     }
 }
 
@@ -60,7 +60,7 @@
         |_| {},
         async |running| {
             let faults = Faults { lose_answers: 1, ..Faults::default() };
-            running.fleet.fault("rows", &faults).await.unwrap();
+            running.fleet.set_faults("rows", &faults).await.unwrap();
             let reply = running.operator.apply(1, &running.configuration).await.unwrap();
             assert_eq!((reply.code, reply.revision), (0, 2), "{}", reply.message);
         },
@@ -73,7 +73,7 @@
         |_| {},
         async |running| {
             for part in ["rows", "objects", "hosts"] {
-                running.fleet.fault(part, &down()).await.unwrap();
+                running.fleet.set_faults(part, &down()).await.unwrap();
             }
             let reply = running.operator.apply(1, &running.configuration).await.unwrap();
             assert_eq!(reply.code, 2006);
@@ -93,12 +93,12 @@
         |_| {},
         async |running| {
             running.fleet.hosts[2].running.take().unwrap().stop().unwrap();
-            running.fleet.fault("rows", &down()).await.unwrap();
-            running.fleet.fault("objects", &down()).await.unwrap();
+            running.fleet.set_faults("rows", &down()).await.unwrap();
+            running.fleet.set_faults("objects", &down()).await.unwrap();
             running.fleet.restart_host(2);
             let mut operator = Operator::connect(&running.fleet, 2).await.unwrap();
             let wait = Duration::from_secs(8);
-            let taken = operator.wait(wait, "the peers' revision", |s| s.revision == 1).await;
+            let taken = operator.wait_until(wait, "the peers' revision", |s| s.revision == 1).await;
             assert!(taken.is_ok(), "{taken:?}");
             let answer = running.ask(2, request(Method::GET, "status", "r")).await;
             assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
@@ -116,10 +116,10 @@
         async |running| {
             let scarce = Faults { calls_per_second: SCARCE, ..Faults::default() };
             for part in ["rows", "objects", "hosts"] {
-                running.fleet.fault(part, &scarce).await.unwrap();
+                running.fleet.set_faults(part, &scarce).await.unwrap();
             }
             for host in &mut running.fleet.hosts {
-                host.running.as_mut().unwrap().ask_stop();
+                host.running.as_mut().unwrap().request_stop();
             }
             for index in 0..running.fleet.hosts.len() {
                 running.fleet.hosts[index].running.take().unwrap().stop().unwrap();
@@ -130,8 +130,8 @@
             let mut operator = Operator::connect(&running.fleet, 1).await.unwrap();
             let all: u32 = running.configuration.backend_servers.iter().map(|b| b.slots).sum();
             let wait = Duration::from_secs(20);
-            let recovered = |s: &_| in_force(s, 1, 3) && slots(s) == all;
-            let took = operator.wait(wait, "all is owned again", recovered).await.unwrap();
+            let recovered = |s: &_| in_force(s, 1, 3) && reported_slots(s) == all;
+            let took = operator.wait_until(wait, "all is owned again", recovered).await.unwrap();
             println!("recovered after {took:?} with {SCARCE} calls a second");
             let answer = running.ask(2, request(Method::GET, "status", "r")).await;
             assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
@@ -263,14 +263,14 @@
         behave(running, &Behaviour::default()).await;
 
         let faults = Faults { lose_answers: 1, ..Faults::default() };
-        running.fleet.fault("rows", &faults).await.unwrap();
+        running.fleet.set_faults("rows", &faults).await.unwrap();
         let ran = running.ask(1, request(Method::POST, "release", "o-1")).await;
         assert_eq!(ran.header("elmstream-outcome"), Some("ran"), "{ran:?}");
         let again = running.ask(0, request(Method::POST, "release", "o-1")).await;
         assert_eq!(again.code(), Some(1306));
         assert_eq!(release_runs(running).await, 1);
 
-        running.fleet.fault("rows", &down()).await.unwrap();
+        running.fleet.set_faults("rows", &down()).await.unwrap();
         let unknown = running.ask(0, request(Method::POST, "release", "o-2")).await;
         assert_eq!(unknown.code(), Some(1307));
         assert_eq!(release_runs(running).await, 1, "nothing runs without its claim");
--- a/elmstreamd/tests/processes.rs
+++ b/elmstreamd/tests/processes.rs
@@ -69,7 +69,7 @@
             let owns = |host: &str| s.ownership.iter().any(|o| o.owner.starts_with(host));
             s.settled && HOSTS.iter().all(|(host, _)| owns(&format!("{host}#")))
         };
-        processes.operator.wait(TAKEOVER_MAX, "each host owns one", each_owns).await.unwrap();
+        processes.operator.wait_until(TAKEOVER_MAX, "each host owns one", each_owns).await.unwrap();
         processes
     }
 
@@ -105,13 +105,13 @@
     /// Waits until none of a host's servers is named as its own any more.
     async fn wait_taken_over(&mut self, host: usize) -> Duration {
         let name = format!("{}#", HOSTS[host].0);
-        let wanted = small::SLOTS * 4;
+        let wanted = small::SLOTS_PER_SERVER * 4;
         let taken = |s: &StatusReply| {
             let named = s.ownership.iter().any(|o| o.owner.starts_with(&name));
             let slots: u32 = s.services.iter().map(|s| s.slots).sum();
             !named && s.settled && slots == wanted
         };
-        self.operator.wait(TAKEOVER_MAX, "takeover", taken).await.unwrap()
+        self.operator.wait_until(TAKEOVER_MAX, "takeover", taken).await.unwrap()
     }
 
     /// A host besides the operator's, and the index of the server it owns.
@@ -188,7 +188,7 @@
     async fn of(processes: &mut Processes, victim: usize, service: &str, running: u32) -> Woken {
         for index in 0..small::BACKENDS.len() {
             let slow = Behaviour { run_ms: LATE_RUN_MS, ..Behaviour::default() };
-            processes.fleet().behave(index, &slow).await.unwrap();
+            processes.fleet().set_behaviour(index, &slow).await.unwrap();
         }
         let begin = Instant::now();
         let callers = processes.fleet().hosts[victim].settings.listen.callers;
@@ -204,7 +204,7 @@
             let is_there = |s: &ServiceStatus| s.in_flight == running && s.queued == LATE - running;
             s.services.iter().any(|s| s.service == service && is_there(s))
         };
-        processes.operator.wait(TAKEOVER_MAX, "all there", all_there).await.unwrap();
+        processes.operator.wait_until(TAKEOVER_MAX, "all there", all_there).await.unwrap();
         processes.signal(victim, "-STOP");
         let frozen_after = begin.elapsed();
         processes.wait_taken_over(victim).await;
@@ -223,7 +223,7 @@
         assert_eq!(after, before, "the late holder of {service} ran nothing after it woke");
         let mut runs_of = HashMap::<&String, u32>::new();
         for seen in &self.after {
-            assert!(seen.in_flight_max <= small::SLOTS, "{seen:?}");
+            assert!(seen.in_flight_max <= small::SLOTS_PER_SERVER, "{seen:?}");
             assert_eq!(seen.repeated, 0);
             for (id, runs) in &seen.ids {
                 *runs_of.entry(id).or_default() += runs;
@@ -260,10 +260,10 @@
         let mut processes = Processes::start_changed(alone).await;
         let (victim, server) = processes.owner().await;
         let service = small::BACKENDS[server].1;
-        let woken = Woken::of(&mut processes, victim, service, small::SLOTS).await;
+        let woken = Woken::of(&mut processes, victim, service, small::SLOTS_PER_SERVER).await;
         woken.check(service);
         let mut only_running = vec![0; small::BACKENDS.len()];
-        only_running[server] = u64::from(small::SLOTS);
+        only_running[server] = u64::from(small::SLOTS_PER_SERVER);
         let before: Vec<u64> = woken.before.iter().map(|s| s.runs).collect();
         let after = woken.frozen_after;
         assert_eq!(before, only_running, "what ran when it froze, {after:?} after the first");
@@ -284,13 +284,15 @@
         // A host that has not heard of the other owner keeps all for itself.
         let mut at_victim = Operator::connect(processes.fleet(), victim).await.unwrap();
         let both_known = |s: &StatusReply| {
-            s.services.iter().any(|s| s.service == "status" && s.slots == 2 * small::SLOTS)
+            s.services
+                .iter()
+                .any(|s| s.service == "status" && s.slots == 2 * small::SLOTS_PER_SERVER)
         };
-        at_victim.wait(TAKEOVER_MAX, "both owners known", both_known).await.unwrap();
-        let woken = Woken::of(&mut processes, victim, "status", 2 * small::SLOTS).await;
+        at_victim.wait_until(TAKEOVER_MAX, "both owners known", both_known).await.unwrap();
+        let woken = Woken::of(&mut processes, victim, "status", 2 * small::SLOTS_PER_SERVER).await;
         woken.check("status");
         let (own, after) = (woken.before[server].runs, woken.frozen_after);
-        let running = u64::from(small::SLOTS);
+        let running = u64::from(small::SLOTS_PER_SERVER);
         assert_eq!(own, running, "what ran there when it froze, {after:?} after the first");
     });
 }
@@ -354,7 +356,7 @@
         let processes = Processes::start_with(&TWO_REGIONS, two_regions).await;
         for index in 0..3 {
             let slow = Behaviour { run_ms: 20, ..Behaviour::default() };
-            processes.fleet().behave(index, &slow).await.unwrap();
+            processes.fleet().set_behaviour(index, &slow).await.unwrap();
         }
         let ask = |hosts: &[usize]| {
             let address = |&h: &usize| processes.fleet().hosts[h].settings.listen.callers;
@@ -386,7 +388,7 @@
         assert!(rate >= 0.9 * f64::from(SHIFT_CAP), "{rate}");
         assert_eq!((after.wrong, after.cut, after.failed), (0, 0, 0), "{after:?}");
         assert_eq!(seen.repeated, 0);
-        assert!(seen.in_flight_max <= 2 * small::SLOTS, "{seen:?}");
+        assert!(seen.in_flight_max <= 2 * small::SLOTS_PER_SERVER, "{seen:?}");
         let known = [1101, 1102, 1103, 1104].map(|code| after.refused.get(&code).copied());
         let known: u64 = known.into_iter().flatten().sum();
         assert_eq!(after.whole + known, after.sent, "the rest is refused as not run: {after:?}");
--- a/elmstreamd/tests/support/mod.rs
+++ b/elmstreamd/tests/support/mod.rs
@@ -47,13 +47,13 @@
     let folder = env::temp_dir().join(format!("elmstream-test-{}-{number}", process::id()));
     let mut fleet = Fleet::new(&folder).unwrap();
     Runtime::new().unwrap().block_on(async {
-        let mut configuration = small::start(&mut fleet);
+        let mut configuration = small::start_fleet(&mut fleet);
         change(&mut configuration);
         let operator = small::make_ready(&fleet, &configuration).await.unwrap();
         let mut running = Running { fleet, operator, configuration };
         test(&mut running).await;
         for part in ["rows", "objects", "hosts"] {
-            running.fleet.fault(part, &Faults::default()).await.unwrap();
+            running.fleet.set_faults(part, &Faults::default()).await.unwrap();
         }
         running.fleet.stop().unwrap();
     });
