--- a/elmstream_soak/src/lib.rs
+++ b/elmstream_soak/src/lib.rs
@@ -1,6 +1,6 @@
-//! A fault soak: entry hosts as real processes, a stand-in store, backend servers
-//! and callers, faults drawn from a seed, and checks of what callers and backend
-//! servers see.
+//! A fault soak: entry hosts run as real processes against a simulated store, simulated
+//! backend servers and simulated callers. Faults are drawn from a seed, and the guarantees
+//! are checked by what callers and backend servers observe.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstream_soak/src/main.rs
+++ b/elmstream_soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the fault soak, or one of its hosts.
+//! Command line of the fault soak: runs a soak, or one of the hosts that a soak starts.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -6,7 +6,7 @@
 use compio::runtime::Runtime;
 use elmstream_soak::{host, soak};
 
-/// What to run.
+/// What the program was asked to run.
 enum Command {
     Soak(soak::Options),
     Host(PathBuf, SocketAddr),
@@ -16,13 +16,14 @@
     let settings = positional("SETTINGS");
     let store = positional("STORE");
     let host = construct!(Command::Host(settings, store)).to_options();
-    let host = host.command("host").help("Runs one host; the soak starts these");
-    let seed = long("seed").help("Draws the faults").argument("N").fallback(1);
-    let seconds = long("seconds").help("How long faults go on").argument("N").fallback(20);
-    let processes = long("processes").help("Number of hosts").argument("N").fallback(5);
+    let host = host.command("host").help("Runs one entry host; a soak starts these itself");
+    let seed = long("seed").help("Seed of the random faults").argument("N").fallback(1);
+    let seconds =
+        long("seconds").help("Seconds during which faults are injected").argument("N").fallback(20);
+    let processes = long("processes").help("Number of entry hosts").argument("N").fallback(5);
     let broken = long("break")
         .help(
-            "Leaves a rule out, to see that the checks notice: once, back, mixed, lost, name, \
+            "Breaks a rule on purpose, to test that the checks detect it: once, back, mixed, lost, name, \
              key, limit, harm, exposure, rolled_back or completed",
         )
         .argument("RULE")
@@ -34,7 +35,10 @@
 }
 
 fn main() -> ExitCode {
-    let command = command().to_options().descr("Soaks real hosts in faults").run();
+    let command = command()
+        .to_options()
+        .descr("Runs real entry hosts under random faults and checks their guarantees")
+        .run();
     let runtime = match Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
