--- a/elmstream_soak/src/outages.rs
+++ b/elmstream_soak/src/outages.rs
@@ -1,40 +1,40 @@
-//! When the store was in trouble, and when a configuration is due in spite of it.
+//! Outages of the store, and when a configuration has to be in force in spite of them.
 
-/// Time in which a configuration must be in force on undisturbed hosts, in
-/// milliseconds after its acknowledgement: the hosts' own bound of 2,000 and what a
+/// Time after its acknowledgement within which a configuration has to be in force on
+/// undisturbed hosts, in milliseconds: the hosts' own bound of 2,000 and the time that a
 /// request needs to show it.
 pub const CONFIGURATION_DEADLINE_MS: u64 = 2_500;
-/// Time that hosts have to catch up once the store serves again, in milliseconds. It
+/// Time within which hosts have to catch up once the store serves again, in milliseconds. It
 /// does not depend on the number of hosts.
 pub const RECOVERY_DEADLINE_MS: u64 = 3_000;
 
-/// Spans in which the store did not serve as it should, in order of their begin.
+/// Outages of the store, in order of their beginning.
 #[derive(Debug, Default)]
 pub struct Outages {
-    /// Begin, and end unless it goes on.
+    /// Beginning and end, in milliseconds; `None` while the outage lasts.
     spans: Vec<(u64, Option<u64>)>,
 }
 
 impl Outages {
-    /// A trouble begins; the number by which it ends.
-    pub fn begin(&mut self, now: u64) -> usize {
-        self.spans.push((now, None));
+    /// Begins an outage at a time; returns the number to pass to [`end`](Outages::end).
+    pub fn begin(&mut self, now_ms: u64) -> usize {
+        self.spans.push((now_ms, None));
         self.spans.len() - 1
     }
 
-    /// A trouble ends.
-    pub fn end(&mut self, number: usize, now: u64) {
+    /// Ends an outage at a time.
+    pub fn end(&mut self, number: usize, now_ms: u64) {
         if let Some(span) = self.spans.get_mut(number) {
-            span.1 = Some(now);
+            span.1 = Some(now_ms);
         }
     }
 
-    /// When a configuration must be in force that was acknowledged at a time; none if
-    /// a trouble that began before then still goes on.
+    /// When a configuration that was acknowledged at a time has to be in force, in
+    /// milliseconds; `None` if an outage that began before then still lasts.
     ///
-    /// A trouble that begins after the configuration was due excuses nothing.
-    pub fn due(&self, acknowledged: u64) -> Option<u64> {
-        let mut due = acknowledged + CONFIGURATION_DEADLINE_MS;
+    /// An outage that begins after the configuration was due is no excuse.
+    pub fn due(&self, acknowledged_ms: u64) -> Option<u64> {
+        let mut due = acknowledged_ms + CONFIGURATION_DEADLINE_MS;
         for (begin, end) in &self.spans {
             if *begin < due {
                 due = due.max((*end)? + RECOVERY_DEADLINE_MS);
--- a/elmstream_soak/src/world.rs
+++ b/elmstream_soak/src/world.rs
@@ -1,4 +1,5 @@
-//! What the parts of a soak share.
+//! State shared by the parts of a soak: the store's contents and behaviour, the backend
+//! servers' behaviour and the ledger.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,114 +23,116 @@
     ledger::Ledger, outages::Outages, poison, server_signals::Arrivals, versions, workspaces,
 };
 
-/// Services with which a configuration shows its version. A host that lags by as many
-/// versions would seem to be ahead; at one change each 350 ms that takes 22 s.
+/// Number of services that show the version of a configuration. A host that lags behind by
+/// this many versions would seem to be ahead; at one configuration each 350 ms that takes 22
+/// s.
 pub const PIN_SERVICES: u64 = 64;
-/// The service of all other requests.
+/// The service of all requests that do not show a version.
 pub const SHOP: &str = "shop";
-/// Port on which hosts of the first soak of this process take callers.
-const CALLERS: u16 = 7_301;
-/// Port on which they talk to each other.
-const PEERS: u16 = 7_302;
-/// Soaks of one process that do not share any address.
-const SOAKS: u16 = 16;
-
-/// How the store behaves.
+/// Port on which hosts of the first soak of this process accept callers.
+const FIRST_CALLER_PORT: u16 = 7_301;
+/// Port on which hosts of the first soak accept other hosts.
+const FIRST_PEER_PORT: u16 = 7_302;
+/// Number of soaks of one process that use different ports.
+const PORT_SETS: u16 = 16;
+
+/// Behaviour of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreMode {
-    /// It answers.
+    /// Answers.
     #[default]
     Healthy,
-    /// It refuses.
+    /// Refuses all requests.
     Refusing,
-    /// It does not answer.
+    /// Does not answer.
     Silent,
-    /// It answers late.
+    /// Answers late.
     Slow,
-    /// It closes all connections.
+    /// Closes all connections.
     Closing,
 }
 
-/// How a backend server behaves.
+/// Behaviour of a backend server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum ServerMode {
-    /// It answers.
+    /// Answers.
     #[default]
     Healthy,
-    /// It runs requests and never answers.
+    /// Runs requests and does not answer.
     Unresponsive,
-    /// It runs requests and closes without an answer.
+    /// Runs requests and closes the connection without an answer.
     Closing,
-    /// It answers with the id of another request.
+    /// Answers with the id of another request.
     MixingIds,
-    /// It refuses.
+    /// Refuses all requests.
     Full,
-    /// It refuses, and asks for rest.
+    /// Refuses all requests and asks for back-off.
     BackingOff,
-    /// It answers, and says that it is about to leave.
+    /// Answers and announces that it is leaving.
     Leaving,
-    /// It answers, and names a limit.
+    /// Answers and announces a limit.
     Limited,
-    /// It answers, and is of a version that is rolled out.
+    /// Answers, as a server of a version that is rolled out.
     NextVersion,
-    /// The same, and each second answer is a failure.
+    /// Like [`NextVersion`](ServerMode::NextVersion), but every second answer is a failure.
     FailingVersion,
 }
 
-/// For how long copies of the store are kept, in milliseconds.
-const COPIES_MS: u64 = 12_000;
+/// Time for which backups of the store are retained, in milliseconds.
+const BACKUP_RETENTION_MS: u64 = 12_000;
 
-/// What the store held at some time.
+/// Contents of the store at some time.
 #[derive(Clone, Debug)]
 pub struct Backup {
     rows: BTreeMap<RowKey, Row>,
     version: u64,
     hosts: BTreeMap<String, SocketAddr>,
-    harmful: BTreeMap<RequestDigest, Vec<ServerCrash>>,
+    refused_requests: BTreeMap<RequestDigest, Vec<ServerCrash>>,
 }
 
-/// What a soak consists of.
+/// State of a soak. Times are in milliseconds since its start.
 #[derive(Debug)]
 pub struct World {
-    /// When it began.
+    /// Start of the soak.
     pub started: Instant,
     /// Rows of the store.
     pub rows: RefCell<BTreeMap<RowKey, Row>>,
-    /// The store's counter.
+    /// The store's version counter.
     pub version: Cell<u64>,
-    /// How often the store has come back from a copy.
+    /// The store's era, which increases with each restore from a backup.
     pub era: Cell<u64>,
-    /// Hosts that are written down.
+    /// Registered hosts: name and address for other hosts.
     pub registered_hosts: RefCell<BTreeMap<String, SocketAddr>>,
-    /// Requests that are refused, with the ends of servers that decided it.
+    /// Requests listed as refused, with the crashes that were the reason.
     pub refused_requests: RefCell<BTreeMap<RequestDigest, Vec<ServerCrash>>>,
-    /// What the store held, by the time since the beginning, in milliseconds.
+    /// Backups of the store, by the time at which they were taken.
     pub backups: RefCell<BTreeMap<u64, Backup>>,
-    /// What the operator and the servers have written, whatever the store has lost of it.
+    /// Last content that the operator and the servers have written for each row, whatever
+    /// the store has lost of it.
     pub written: RefCell<BTreeMap<RowKey, Option<RowContent>>>,
-    /// When the store was in trouble.
+    /// Outages of the store.
     pub outages: RefCell<Outages>,
-    /// The troubles that the store is in; it behaves as the latest one says.
+    /// Current outages of the store, by number; the last one determines its behaviour.
     pub store_modes: RefCell<Vec<(usize, StoreMode)>>,
-    /// Connections to the store that were opened up to this time are mute for good.
+    /// Connections to the store that were opened until this time never answer again.
     pub muted_until_ms: Cell<Option<u64>>,
-    /// Name of a host that the store turns away.
+    /// Name of a host whose requests the store refuses.
     pub refused_host: RefCell<Option<String>>,
-    /// How each backend server behaves.
+    /// Behaviour of each backend server, by id.
     pub servers: RefCell<BTreeMap<String, ServerMode>>,
-    /// When requests came to servers that say something of themselves.
+    /// When requests arrived at servers whose arrivals are checked.
     pub arrivals: Arrivals,
-    /// What was seen.
+    /// What callers and backend servers observed.
     pub ledger: RefCell<Ledger>,
-    /// When the soak itself was late, and for how long, in milliseconds.
+    /// Stalls of the soak itself: their end and their length.
     pub stalls: RefCell<Vec<(u64, u64)>>,
-    /// A rule that the soak itself breaks, to see that it notices.
+    /// A rule that the soak breaks itself, to test that the checks detect it.
     pub broken_rule: Option<String>,
 }
 
 impl World {
-    /// An empty world.
-    pub fn new(broken: Option<String>) -> Rc<World> {
+    /// A world without hosts, servers or rows.
+    pub fn new(broken_rule: Option<String>) -> Rc<World> {
         Rc::new(World {
             started: Instant::now(),
             rows: RefCell::default(),
@@ -147,143 +150,145 @@
             arrivals: Arrivals::default(),
             ledger: RefCell::default(),
             stalls: RefCell::default(),
-            broken_rule: broken,
+            broken_rule,
         })
     }
 
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the start of the soak.
     pub fn now(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// How the store behaves.
+    /// Current behaviour of the store.
     pub fn store_mode(&self) -> StoreMode {
         self.store_modes.borrow().last().map(|(_, mode)| *mode).unwrap_or_default()
     }
 
-    /// The store behaves badly from now on; the number by which that ends.
+    /// Begins an outage in which the store behaves in the given way; returns the number to
+    /// pass to [`end_outage`](World::end_outage).
     pub fn begin_outage(&self, mode: StoreMode) -> usize {
         let number = self.outages.borrow_mut().begin(self.now());
         self.store_modes.borrow_mut().push((number, mode));
         number
     }
 
-    /// The store does not behave badly in this way any more.
+    /// Ends an outage.
     pub fn end_outage(&self, number: usize) {
         self.outages.borrow_mut().end(number, self.now());
-        self.store_modes.borrow_mut().retain(|(known, _)| *known != number);
+        self.store_modes.borrow_mut().retain(|(open, _)| *open != number);
     }
 
-    /// The store's open connections go mute for good; new ones work.
+    /// Silences the store's open connections for good; new ones work.
     pub fn mute_connections(&self) {
         let now = self.now();
         self.muted_until_ms.set(Some(now));
-        let mut troubles = self.outages.borrow_mut();
-        let number = troubles.begin(now);
-        troubles.end(number, now);
+        let mut outages = self.outages.borrow_mut();
+        let number = outages.begin(now);
+        outages.end(number, now);
     }
 
-    /// For how long the soak itself was late after a time, in milliseconds.
+    /// Total length of the soak's own stalls since a time, in milliseconds.
     pub fn stall_ms_since(&self, since: u64) -> u64 {
         let stalls = self.stalls.borrow();
         let last = stalls.iter().rev().take_while(|(end, _)| *end >= since);
         last.map(|(_, millis)| *millis).sum()
     }
 
-    /// Whether a rule is left out on purpose.
+    /// Whether a rule is broken on purpose.
     pub fn breaks(&self, rule: &str) -> bool {
         self.broken_rule.as_deref() == Some(rule)
     }
 
-    /// The store's version.
+    /// Current version of the store.
     pub fn store_version(&self) -> StoreVersion {
         StoreVersion::new(self.era.get(), self.version.get())
     }
 
-    /// Keeps what the store holds.
+    /// Takes a backup of the store.
     pub fn take_backup(&self) {
-        let copied = Backup {
+        let backup = Backup {
             rows: self.rows.borrow().clone(),
             version: self.version.get(),
             hosts: self.registered_hosts.borrow().clone(),
-            harmful: self.refused_requests.borrow().clone(),
+            refused_requests: self.refused_requests.borrow().clone(),
         };
         let now = self.now();
-        let mut copies = self.backups.borrow_mut();
-        copies.insert(now, copied);
-        copies.retain(|made, _| made + COPIES_MS >= now);
+        let mut backups = self.backups.borrow_mut();
+        backups.insert(now, backup);
+        backups.retain(|made_ms, _| made_ms + BACKUP_RETENTION_MS >= now);
     }
 
-    /// The store comes back from what it held at a time; what was written since is gone.
-    pub fn restore_backup(&self, made: u64) {
-        let mut copies = self.backups.borrow_mut();
-        // What was copied later is of a history that is gone.
-        copies.retain(|at, _| *at <= made);
-        let Some((_, copied)) = copies.last_key_value() else { return };
-        self.rows.replace(copied.rows.clone());
-        self.version.set(copied.version);
-        self.registered_hosts.replace(copied.hosts.clone());
-        self.refused_requests.replace(copied.harmful.clone());
+    /// Restores the store from its last backup at or before a time, and begins a new era.
+    /// Later writes are lost.
+    pub fn restore_backup(&self, made_ms: u64) {
+        let mut backups = self.backups.borrow_mut();
+        // Later backups belong to the discarded history.
+        backups.retain(|at, _| *at <= made_ms);
+        let Some((_, backup)) = backups.last_key_value() else { return };
+        self.rows.replace(backup.rows.clone());
+        self.version.set(backup.version);
+        self.registered_hosts.replace(backup.hosts.clone());
+        self.refused_requests.replace(backup.refused_requests.clone());
         if !self.breaks("era") {
             self.era.set(self.era.get() + 1);
         }
         self.ledger.borrow_mut().count("store came back from a copy");
     }
 
-    /// Keys of what was written and is not in the store as it was.
+    /// Keys of rows whose content in the store is not the last one written.
     pub fn lost_rows(&self) -> Vec<RowKey> {
         let rows = self.rows.borrow();
-        let held = |key: &RowKey| rows.get(key).and_then(|row| row.content.clone());
+        let stored = |key: &RowKey| rows.get(key).and_then(|row| row.content.clone());
         let written = self.written.borrow();
         written
             .iter()
-            .filter(|(key, item)| held(key) != **item)
+            .filter(|(key, content)| stored(key) != **content)
             .map(|(key, _)| key.clone())
             .collect()
     }
 
-    /// The operator or a server writes a row again as it meant it.
+    /// Writes a row again as the operator or the server last wrote it.
     pub fn rewrite(&self, key: &RowKey) {
-        let item = self.written.borrow().get(key).cloned().flatten();
-        let there = self.rows.borrow().get(key).is_some_and(|row| row.content.is_some());
-        if item.is_some() || there {
-            self.put(key.clone(), item);
+        let content = self.written.borrow().get(key).cloned().flatten();
+        let present = self.rows.borrow().get(key).is_some_and(|row| row.content.is_some());
+        if content.is_some() || present {
+            self.put(key.clone(), content);
         }
     }
 
-    /// Writes a row, or removes it.
-    pub fn put(&self, key: RowKey, item: Option<RowContent>) {
-        self.written.borrow_mut().insert(key.clone(), item.clone());
+    /// Writes a row, or a tombstone if `content` is `None`.
+    pub fn put(&self, key: RowKey, content: Option<RowContent>) {
+        self.written.borrow_mut().insert(key.clone(), content.clone());
         if self.store_mode() == StoreMode::Closing {
-            // It is written again once the store is back.
+            // The writer repeats it once the store is back.
             return;
         }
         let version = self.version.get() + 1;
         self.version.set(version);
         let version = self.store_version();
-        self.rows.borrow_mut().insert(key.clone(), Row::new(key, version, item));
+        self.rows.borrow_mut().insert(key.clone(), Row::new(key, version, content));
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration version.
     pub fn configure(&self, version: u64) {
         self.put(RowKey::Configuration, Some(RowContent::Configuration(configuration(version))));
         self.ledger.borrow_mut().record_configuration(version, self.now());
     }
 
-    /// The store's counter for a row; 0 if it is not there.
+    /// Version counter of a row; 0 if the row does not exist.
     pub fn row_count(&self, key: &RowKey) -> u64 {
         let rows = self.rows.borrow();
         let row = rows.get(key).filter(|row| row.content.is_some());
         row.map_or(0, |row| row.version.count)
     }
 
-    /// A host wrote how far a roll-out has come.
+    /// Writes the progress of a roll-out, as reported by a host.
     pub fn record_progress(&self, write: &RolloutWrite) {
         let key = RowKey::Progress(write.service.clone());
         self.put(key, Some(RowContent::Progress(write.progress.clone())));
     }
 
-    /// Writes down a server.
+    /// Registers a backend server, or registers it again with a changed `draining`.
     pub fn register_server(&self, id: &str, service: &str, address: SocketAddr, draining: bool) {
         let written = self.written.borrow().get(&RowKey::Server(id.into())).cloned();
         let entries = match written {
@@ -305,23 +310,24 @@
     }
 }
 
-/// Hosts of one soak at most, as a few hundred processes are what a machine is to bear.
+/// Maximum number of hosts in a soak; a machine cannot run more than a few hundred
+/// processes.
 pub const MAX_HOSTS: usize = 200;
 
-/// The IP number of a host; soaks of other processes do not share it.
+/// IP address of a host; soaks of other processes use other addresses.
 fn ip(number: usize) -> IpAddr {
     let pid = process::id();
     IpAddr::V4(Ipv4Addr::new(127, 128 | (pid >> 8) as u8 & 63, pid as u8, number as u8 + 1))
 }
 
-/// Where callers reach a host of a soak.
+/// Address on which a host of a soak accepts callers.
 pub fn caller_address(soak: u8, number: usize) -> SocketAddr {
-    SocketAddr::new(ip(number), CALLERS + 2 * (u16::from(soak) % SOAKS))
+    SocketAddr::new(ip(number), FIRST_CALLER_PORT + 2 * (u16::from(soak) % PORT_SETS))
 }
 
-/// Where hosts reach a host of a soak.
+/// Address on which a host of a soak accepts other hosts.
 pub fn peer_address(soak: u8, number: usize) -> SocketAddr {
-    SocketAddr::new(ip(number), PEERS + 2 * (u16::from(soak) % SOAKS))
+    SocketAddr::new(ip(number), FIRST_PEER_PORT + 2 * (u16::from(soak) % PORT_SETS))
 }
 
 fn configuration(version: u64) -> Configuration {
