--- a/elmstream_soak/src/ledger.rs
+++ b/elmstream_soak/src/ledger.rs
@@ -1,124 +1,127 @@
-//! What callers and backend servers saw, and which promises that breaks.
+//! Records what callers and backend servers observe, and the guarantees that are violated by
+//! it.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 use crate::{outages::Outages, poison, workspaces};
 
-/// A connection that ends this soon after a request's last byte may have been closed
-/// before the request came.
-const CROSSING_MS: u64 = 200;
+/// A connection that closes within this time after a request's last byte may have been
+/// closed before the request arrived.
+const CLOSE_RACE_MS: u64 = 200;
 
-/// What became of a request for its caller.
+/// Outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// A success.
+    /// The request succeeded.
     Success,
-    /// It was refused: it has not run and will not.
+    /// The request was refused: it has not run and will not run.
     Refused,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// A request.
+/// What is known of a request.
 #[derive(Clone, Copy, Debug, Default)]
-struct Entry {
+struct RequestRecord {
     runs: u32,
     refused: bool,
 }
 
-/// A request that was sent whole to a host under planned work only, and got no answer.
+/// A request that was sent completely to a host under planned work only, and got no answer.
 #[derive(Clone, Debug)]
 pub struct LostRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
     /// Time from its last byte to the end of its connection, in milliseconds.
     pub ended_after_ms: u64,
-    /// For how long of that the soak itself may have looked late, in milliseconds.
+    /// Part of that time which may be due to stalls of the soak itself, in milliseconds.
     pub stall_ms: u64,
-    /// Where and when.
+    /// Connection, host and time, for the report.
     pub context: String,
 }
 
-/// A success that shows a configuration.
+/// A success that shows which configuration the host used.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionObservation {
-    /// Host, and number of its start.
+    /// Index of the host, and number of its start.
     pub host: (usize, u64),
-    /// The service that shows the version.
+    /// Index of the pin service that answered, which shows the version.
     pub pin: u64,
-    /// Number of such services.
+    /// Number of pin services.
     pub pin_count: u64,
-    /// When the request was sent, in milliseconds since the beginning.
+    /// When the request was sent, in milliseconds since the start of the soak.
     pub sent_ms: u64,
-    /// When its answer was there.
+    /// When its answer was received, in milliseconds since the start of the soak.
     pub received_ms: u64,
-    /// Whether the host was undisturbed for long enough before.
+    /// Whether the host had been undisturbed for long enough.
     pub undisturbed: bool,
 }
 
-/// A success that shows that a key was taken.
+/// A success that shows that a host accepted a workspace key.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyAcceptance {
-    /// Host, and number of its start.
+    /// Index of the host, and number of its start.
     pub host: (usize, u64),
-    /// Newest version that holds the key.
+    /// Newest configuration version that contains the key.
     pub last_valid_version: u64,
-    /// When the request was sent, in milliseconds since the beginning.
+    /// When the request was sent, in milliseconds since the start of the soak.
     pub sent_ms: u64,
-    /// Whether the host was undisturbed for long enough before.
+    /// Whether the host had been undisturbed for long enough.
     pub undisturbed: bool,
 }
 
-/// Requests under which servers end.
+/// Observations of poison requests, under which servers crash.
 #[derive(Debug, Default)]
 struct PoisonRecord {
-    /// When servers ended under them.
-    ended: Vec<u64>,
-    /// Those that were sent to hosts that must know of them.
-    known: HashSet<String>,
-    /// Those of them that reached servers.
-    late: usize,
+    /// When servers crashed, in milliseconds since the start of the soak.
+    crash_times_ms: Vec<u64>,
+    /// Ids of poison requests sent to hosts that have to refuse them.
+    must_refuse: HashSet<String>,
+    /// Number of those that reached a server nevertheless.
+    late_runs: usize,
 }
 
-/// Harmful requests that may still reach servers by hosts that must know of them.
-const STILL: usize = 3;
+/// Number of poison requests that may still reach servers through hosts that have to refuse
+/// them.
+const MAX_LATE_POISON_RUNS: usize = 3;
 
-/// All that was seen.
+/// Everything observed in a soak.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    harm: PoisonRecord,
-    /// When requests of the limited workspace ran.
-    limited: VecDeque<u64>,
-    requests: HashMap<String, Entry>,
+    poison: PoisonRecord,
+    /// When requests of the limited workspace ran, within the last window.
+    limited_runs_ms: VecDeque<u64>,
+    requests: HashMap<String, RequestRecord>,
     versions: BTreeMap<u64, u64>,
-    last: HashMap<(usize, u64), (u64, u64)>,
+    last_versions: HashMap<(usize, u64), (u64, u64)>,
     counts: BTreeMap<&'static str, u64>,
-    cuts: Vec<LostRequest>,
+    lost_requests: Vec<LostRequest>,
     violations: Vec<String>,
 }
 
 impl Ledger {
-    /// Broken promises.
+    /// Violated guarantees, in order of their detection.
     pub fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    /// Numbers of things seen.
+    /// Number of occurrences by kind.
     pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
 
-    /// Something is counted.
+    /// Counts one occurrence of a kind.
     pub fn count(&mut self, what: &'static str) {
         *self.counts.entry(what).or_default() += 1;
     }
 
-    /// A promise is broken.
+    /// Records a violated guarantee.
     pub fn add_violation(&mut self, text: String) {
         self.violations.push(text);
     }
 
-    /// A backend server begins to run a request.
+    /// Records that a backend server begins to run a request. A request that may run only
+    /// once is checked for a second run and for a run after its refusal.
     pub fn record_run(&mut self, id: &str) {
         self.count("run");
         let entry = self.requests.entry(id.to_owned()).or_default();
@@ -133,157 +136,155 @@
         }
     }
 
-    /// A caller has its final answer.
-    pub fn record_outcome(&mut self, id: &str, seen: Outcome) {
+    /// Records a request's final outcome and checks it against the request's runs.
+    pub fn record_outcome(&mut self, id: &str, outcome: Outcome) {
         let entry = self.requests.entry(id.to_owned()).or_default();
         let ran = entry.runs > 0;
-        entry.refused |= seen == Outcome::Refused;
-        match seen {
+        entry.refused |= outcome == Outcome::Refused;
+        match outcome {
             Outcome::Success => self.count("success"),
             Outcome::Refused => self.count("refused"),
             Outcome::Unknown => self.count("unknown"),
         }
-        if seen == Outcome::Refused && ran && id.starts_with("once") {
+        if outcome == Outcome::Refused && ran && id.starts_with("once") {
             self.add_violation(format!("{id} was refused and has run"));
         }
-        if seen == Outcome::Success && !ran {
+        if outcome == Outcome::Success && !ran {
             self.add_violation(format!("{id} succeeded and has not run"));
         }
     }
 
-    /// A server has ended under a harmful request.
-    pub fn record_crash(&mut self, now: u64) {
+    /// Records that a server crashed under a poison request.
+    pub fn record_crash(&mut self, now_ms: u64) {
         self.count("server ended");
-        self.harm.ended.push(now);
+        self.poison.crash_times_ms.push(now_ms);
     }
 
-    /// When the third server ended; never, as long as it has not.
+    /// When the third server crashed; a time that is never reached if fewer have crashed.
     pub fn third_crash_ms(&self) -> u64 {
-        self.harm.ended.get(2).copied().unwrap_or(u64::MAX / 2)
+        self.poison.crash_times_ms.get(2).copied().unwrap_or(u64::MAX / 2)
     }
 
-    /// A harmful request is sent to a host, that must know of it or not.
-    pub fn record_poison_sent(&mut self, id: &str, known: bool) {
-        if known {
-            self.harm.known.insert(id.to_owned());
+    /// Records that a poison request is sent; `must_refuse` if its host has to refuse it by
+    /// now.
+    pub fn record_poison_sent(&mut self, id: &str, must_refuse: bool) {
+        if must_refuse {
+            self.poison.must_refuse.insert(id.to_owned());
         }
     }
 
-    /// A harmful request begins to run.
+    /// Records that a poison request runs, and checks that it did not pass a host that had
+    /// to refuse it.
     pub fn record_poison_run(&mut self, id: &str) {
-        self.harm.late += usize::from(self.harm.known.contains(id));
-        let late = self.harm.late;
-        if late > STILL {
-            let ended = self.harm.ended.len();
+        self.poison.late_runs += usize::from(self.poison.must_refuse.contains(id));
+        let late_runs = self.poison.late_runs;
+        if late_runs > MAX_LATE_POISON_RUNS {
+            let crashes = self.poison.crash_times_ms.len();
             self.add_violation(format!(
-                "{id} ran, {late} after hosts had to know; {ended} servers ended"
+                "{id} ran, {late_runs} after hosts had to know; {crashes} servers crashed"
             ));
         }
     }
 
-    /// A request was refused for the servers that end under it.
+    /// Records that a request was refused as poison, and checks that it is one.
     pub fn record_poison_refusal(&mut self, id: &str) {
         self.count("refused for harm");
         if !id.starts_with(poison::POISON_ID_PREFIX) {
-            self.add_violation(format!("{id} was refused for harm, and does none"));
+            self.add_violation(format!("{id} was refused as poison and crashes no server"));
         }
     }
 
-    /// A request of the limited workspace runs.
-    pub fn record_limited_run(&mut self, now: u64) {
-        let (most, window) = workspaces::limited_window_bound();
-        self.limited.push_back(now);
-        while self.limited.front().is_some_and(|at| at + window <= now) {
-            self.limited.pop_front();
+    /// Records that a request of the limited workspace runs, and checks the workspace's
+    /// limit.
+    pub fn record_limited_run(&mut self, now_ms: u64) {
+        let (limit, window) = workspaces::limited_window_bound();
+        self.limited_runs_ms.push_back(now_ms);
+        while self.limited_runs_ms.front().is_some_and(|at| at + window <= now_ms) {
+            self.limited_runs_ms.pop_front();
         }
-        let ran = self.limited.len();
-        if ran > most {
-            self.add_violation(format!("{ran} requests over a limit of {most} up to {now} ms"));
+        let ran = self.limited_runs_ms.len();
+        if ran > limit {
+            self.add_violation(format!("{ran} requests over a limit of {limit} up to {now_ms} ms"));
         }
     }
 
-    /// A host took a key.
-    pub fn check_key_acceptance(&mut self, taken: &KeyAcceptance, troubles: &Outages) {
-        let KeyAcceptance {
-            host,
-            last_valid_version: held_until,
-            sent_ms: sent,
-            undisturbed: calm,
-        } = *taken;
-        let due = |at: u64| troubles.due(at).is_some_and(|due| due < sent);
-        let newer = self.versions.range(held_until + 1..).next().filter(|(_, at)| due(**at));
-        if calm && let Some((version, at)) = newer {
-            let since = sent - at;
+    /// Checks that a host did not accept a key that was revoked.
+    pub fn check_key_acceptance(&mut self, acceptance: &KeyAcceptance, outages: &Outages) {
+        let KeyAcceptance { host, last_valid_version, sent_ms, undisturbed } = *acceptance;
+        let due = |at: u64| outages.due(at).is_some_and(|due| due < sent_ms);
+        let newer =
+            self.versions.range(last_valid_version + 1..).next().filter(|(_, at)| due(**at));
+        if undisturbed && let Some((version, at)) = newer {
+            let since = sent_ms - at;
             self.add_violation(format!(
-                "host {host:?} took a key at {sent} ms that version {version} took away, \
+                "host {host:?} accepted a key at {sent_ms} ms that version {version} revoked, \
                  acknowledged {since} ms before"
             ));
         }
     }
 
-    /// A configuration is accepted.
-    pub fn record_configuration(&mut self, version: u64, now: u64) {
-        self.versions.insert(version, now);
+    /// Records that the store accepted a configuration.
+    pub fn record_configuration(&mut self, version: u64, now_ms: u64) {
+        self.versions.insert(version, now_ms);
     }
 
-    /// The newest configuration.
+    /// Version of the newest configuration; 0 if there is none.
     pub fn newest_version(&self) -> u64 {
         self.versions.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// A request got no answer, from a host under planned work only.
-    pub fn record_lost_request(&mut self, cut: LostRequest) {
+    /// Records a request without an answer, from a host under planned work only.
+    pub fn record_lost_request(&mut self, lost: LostRequest) {
         self.count("cut");
-        self.cuts.push(cut);
+        self.lost_requests.push(lost);
     }
 
-    /// Judges what got no answer, once no backend server can run any of it any more.
+    /// Checks the requests without an answer. Call it once no backend server can run any of
+    /// them any more.
     pub fn check_lost_requests(&mut self) {
-        for cut in std::mem::take(&mut self.cuts) {
-            let ran = self.requests.get(&cut.id).is_some_and(|entry| entry.runs > 0);
-            let LostRequest { id, ended_after_ms: after, stall_ms: late, context: how } = cut;
-            if ran || after > CROSSING_MS + late {
+        for lost in std::mem::take(&mut self.lost_requests) {
+            let ran = self.requests.get(&lost.id).is_some_and(|entry| entry.runs > 0);
+            let LostRequest { id, ended_after_ms, stall_ms, context } = lost;
+            if ran || ended_after_ms > CLOSE_RACE_MS + stall_ms {
                 let ran = if ran { "which a backend server ran" } else { "which ran nowhere" };
                 self.add_violation(format!(
-                    "{id}, {ran}, got no answer: ended {after} ms after {how}"
+                    "{id}, {ran}, got no answer: ended {ended_after_ms} ms after {context}"
                 ));
             }
         }
     }
 
-    /// A start of a host served a request by a configuration.
-    pub fn check_served_version(&mut self, served: &VersionObservation, troubles: &Outages) {
-        let VersionObservation {
-            host,
-            pin,
-            pin_count: pins,
-            sent_ms: sent,
-            received_ms: now,
-            undisturbed: calm,
-        } = *served;
+    /// Checks that a host served a request by a configuration that is recent enough, and not
+    /// by one older than it used before.
+    pub fn check_served_version(&mut self, observation: &VersionObservation, outages: &Outages) {
+        let VersionObservation { host, pin, pin_count, sent_ms, received_ms, undisturbed } =
+            *observation;
         let newest = self.newest_version();
-        let back = (newest + pins - pin % pins) % pins;
-        let version = newest - back.min(newest);
-        let due = |at: u64| troubles.due(at).is_some_and(|due| due < sent);
-        if calm
-            && let Some((wanted, at)) = self.versions.iter().rev().find(|(_, at)| due(**at))
-            && version < *wanted
+        let versions_back = (newest + pin_count - pin % pin_count) % pin_count;
+        let version = newest - versions_back.min(newest);
+        let due = |at: u64| outages.due(at).is_some_and(|due| due < sent_ms);
+        if undisturbed
+            && let Some((required_version, at)) =
+                self.versions.iter().rev().find(|(_, at)| due(**at))
+            && version < *required_version
         {
-            let since = sent - at;
+            let since = sent_ms - at;
             self.add_violation(format!(
-                "host {host:?} served by version {version} at {sent} ms, {wanted} is in force, \
-                 acknowledged {since} ms before"
+                "host {host:?} served by version {version} at {sent_ms} ms, {required_version} is \
+                 in force, acknowledged {since} ms before"
             ));
         }
-        if let Some((seen, at)) = self.last.get(&host)
-            && *at < sent
-            && version < *seen
+        if let Some((previous, at)) = self.last_versions.get(&host)
+            && *at < sent_ms
+            && version < *previous
         {
-            self.add_violation(format!("host {host:?} went back from version {seen} to {version}"));
+            self.add_violation(format!(
+                "host {host:?} went back from version {previous} to {version}"
+            ));
         }
-        let last = self.last.entry(host).or_default();
-        if version >= last.0 {
-            *last = (version, now);
+        let newest_seen = self.last_versions.entry(host).or_default();
+        if version >= newest_seen.0 {
+            *newest_seen = (version, received_ms);
         }
     }
 }
