--- a/elmstream_soak/src/faults.rs
+++ b/elmstream_soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed, alone and on top of each other.
+//! Faults drawn from a seed; their durations may overlap.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -7,100 +7,105 @@
     world::{ServerMode, StoreMode},
 };
 
-/// A fault.
+/// A fault. Hosts and servers are given by index; host faults affect one host unless stated
+/// otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A host is killed, and starts again.
+    /// The host is killed, and started again after the fault's duration.
     Kill(usize),
-    /// A host stands still for a while.
+    /// The host is frozen by a signal for the fault's duration.
     Freeze(usize),
-    /// A host is asked to stop, and starts again; asked once more if it is stopping.
+    /// The host is asked to stop as planned, and started again. A host that is already
+    /// stopping gets a second stop signal.
     Terminate(usize),
-    /// A host gets little processor time for a while.
+    /// The host gets little processor time for the fault's duration.
     Starve(usize),
-    /// A host is told that its settings have changed.
+    /// The host is signalled to reload its settings.
     Reload(usize),
-    /// The same many times in a row.
+    /// The host gets many reload signals in a row.
     ReloadBurst(usize),
-    /// All hosts are killed, and start again.
+    /// All hosts are killed, and started again after the fault's duration.
     KillAll,
-    /// The store behaves badly.
+    /// The store behaves in the given way for the fault's duration.
     Store(StoreMode),
-    /// The store closes all connections, and comes back from a copy that is so old, in
-    /// milliseconds; the operator writes again after the other time.
+    /// The store closes all connections for the fault's duration and is then restored from a
+    /// backup. The first value is the backup's age, the second the time from the restore
+    /// until the operator writes again, both in milliseconds.
     Restore(u64, u64),
-    /// The store's connections that are open go mute for good; new ones work.
+    /// Open connections to the store never answer again; new ones work.
     MuteConnections,
-    /// The store turns a host away.
+    /// The store refuses the host's requests for the fault's duration.
     RefuseHost(usize),
-    /// A backend server behaves badly.
+    /// The backend server behaves in the given way for the fault's duration.
     Server(usize, ServerMode),
-    /// A backend server leaves, and another one comes.
+    /// The backend server is drained and removed, and another one takes its address.
     Replace(usize),
-    /// The same, but the server says so in its answers only.
+    /// The backend server leaves and announces this only in its answers; another one takes
+    /// over.
     Leave(usize),
-    /// A backend server turns requests away and asks for rest.
+    /// The backend server refuses requests for the fault's duration and asks for back-off.
     BackOff(usize),
-    /// A backend server names a limit.
+    /// The backend server announces a limit in its answers.
     NameLimit(usize),
-    /// The configuration changes.
+    /// A new configuration is applied.
     Configure,
-    /// The shop is rolled out, to a version that is bad or not.
+    /// The shop is rolled out; `true` for a bad version.
     RollOut(bool),
 }
 
-/// A fault at a time.
+/// A fault at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Event {
-    /// When, in milliseconds after the beginning.
+    /// Time of the fault, in milliseconds since faults began.
     pub at_ms: u64,
-    /// How long, in milliseconds.
+    /// Duration, in milliseconds; ignored by faults that have none.
     pub duration_ms: u64,
-    /// What.
+    /// What happens.
     pub fault: Fault,
 }
 
-/// In one of so many steps the store comes back from a copy as well.
-const RESTORE_OF: u32 = 5;
+/// One in this many draws also restores the store from a backup.
+const RESTORE_ODDS: u32 = 5;
 
-/// Time before the first fault, and after the last one.
+/// Time without faults at the beginning and at the end, in milliseconds.
 pub const CALM_MARGIN_MS: u64 = 2_500;
 
-/// The events of a seed, in order.
-pub fn draw(seed: u64, millis: u64, hosts: usize, servers: usize) -> Vec<Event> {
+/// Draws the faults of a seed for a soak of `total_ms` milliseconds, in order of time. Equal
+/// arguments give equal faults.
+pub fn draw(seed: u64, total_ms: u64, hosts: usize, servers: usize) -> Vec<Event> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut events = Vec::new();
-    let mut at = CALM_MARGIN_MS;
-    while at + CALM_MARGIN_MS < millis {
-        let lasts = random.random_range(300..2_500);
-        let mut one = |fault| events.push(Event { at_ms: at, duration_ms: lasts, fault });
+    let mut at_ms = CALM_MARGIN_MS;
+    while at_ms + CALM_MARGIN_MS < total_ms {
+        let duration_ms = random.random_range(300..2_500);
+        let mut add = |fault| events.push(Event { at_ms, duration_ms, fault });
         match random.random_range(0..18) {
-            0 => one(Fault::Kill(random.random_range(0..hosts))),
-            1 => one(Fault::Freeze(random.random_range(0..hosts))),
-            2 => one(Fault::Terminate(random.random_range(0..hosts))),
-            3 if random.random_bool(0.3) => one(Fault::KillAll),
-            3 => one(Fault::Store(StoreMode::Refusing)),
-            4 => one(Fault::Store(StoreMode::Slow)),
-            5 => one(Fault::MuteConnections),
-            6 => one(Fault::RefuseHost(random.random_range(0..hosts))),
-            7 => one(Fault::Server(random.random_range(0..servers), ServerMode::Unresponsive)),
-            8 => one(Fault::Server(random.random_range(0..servers), ServerMode::Closing)),
-            9 => one(Fault::Server(random.random_range(0..servers), ServerMode::MixingIds)),
-            10 => one(Fault::Replace(random.random_range(0..servers))),
-            11 => one(Fault::Configure),
-            12 | 13 => series::rolling_stops(&mut random, at, hosts, &mut events),
-            14 => series::reloads(&mut random, at, hosts, &mut events),
-            15 => series::configurations(at, 2 * lasts, &mut events),
-            _ => series::silence(&mut random, at, &mut events),
+            0 => add(Fault::Kill(random.random_range(0..hosts))),
+            1 => add(Fault::Freeze(random.random_range(0..hosts))),
+            2 => add(Fault::Terminate(random.random_range(0..hosts))),
+            3 if random.random_bool(0.3) => add(Fault::KillAll),
+            3 => add(Fault::Store(StoreMode::Refusing)),
+            4 => add(Fault::Store(StoreMode::Slow)),
+            5 => add(Fault::MuteConnections),
+            6 => add(Fault::RefuseHost(random.random_range(0..hosts))),
+            7 => add(Fault::Server(random.random_range(0..servers), ServerMode::Unresponsive)),
+            8 => add(Fault::Server(random.random_range(0..servers), ServerMode::Closing)),
+            9 => add(Fault::Server(random.random_range(0..servers), ServerMode::MixingIds)),
+            10 => add(Fault::Replace(random.random_range(0..servers))),
+            11 => add(Fault::Configure),
+            12 | 13 => series::rolling_stops(&mut random, at_ms, hosts, &mut events),
+            14 => series::reloads(&mut random, at_ms, hosts, &mut events),
+            15 => series::configurations(at_ms, 2 * duration_ms, &mut events),
+            _ => series::silence(&mut random, at_ms, &mut events),
         }
-        if random.random_range(0..RESTORE_OF) == 0 {
-            series::restore(&mut random, at, &mut events);
+        if random.random_range(0..RESTORE_ODDS) == 0 {
+            series::restore(&mut random, at_ms, &mut events);
         }
-        at += random.random_range(100..1_500);
+        at_ms += random.random_range(100..1_500);
     }
-    series::server_signals(seed, millis, servers, &mut events);
-    series::roll_outs(seed, millis, &mut events);
-    events.retain(|event| event.at_ms + CALM_MARGIN_MS < millis);
+    series::server_signals(seed, total_ms, servers, &mut events);
+    series::roll_outs(seed, total_ms, &mut events);
+    events.retain(|event| event.at_ms + CALM_MARGIN_MS < total_ms);
     events.sort_by_key(|event| event.at_ms);
     events
 }
--- a/elmstream_soak/src/injection.rs
+++ b/elmstream_soak/src/injection.rs
@@ -1,4 +1,4 @@
-//! Brings faults about, and ends them.
+//! Injects faults and ends them.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -12,82 +12,85 @@
     world::{SHOP, ServerMode, StoreMode, World},
 };
 
-/// Time that a drained server still serves.
-const DRAIN: Duration = Duration::from_millis(2_500);
-/// Time after the store's return in which servers write themselves down again, and after
-/// which it drops those that have left, in milliseconds.
-const WRITE_AGAIN: u64 = 1_500;
-const LAPSES: u64 = 4_500;
-/// Time between two looks at whether a host has ended.
-const STEP: Duration = Duration::from_millis(20);
-/// Looks that a host may take to end: 4 s.
-const LOOKS: u32 = 200;
-/// A host that gets little processor time stands still and runs by turns, so that it
-/// is behind by more than what a closing connection may cross.
-const STARVED: Duration = Duration::from_millis(330);
-const RUNS: Duration = Duration::from_millis(40);
-/// A host is told of changed settings only when it has run for this long, in
-/// milliseconds: before it listens to signals, any of them ends it.
-const LISTENS_MS: u64 = 1_000;
-/// Signals in a row: together they take longer than a host needs to read its settings,
-/// so that some come while it does.
-const OFTEN: u32 = 400;
+/// Time for which a drained server still serves.
+const DRAIN_TIME: Duration = Duration::from_millis(2_500);
+/// Time after a restore within which servers register again, and time after which the store
+/// drops servers that have left, in milliseconds.
+const REWRITE_WINDOW_MS: u64 = 1_500;
+const REMOVAL_DELAY_MS: u64 = 4_500;
+/// Time between two checks whether a host has ended.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of checks within which a host has to end: 4 s in all.
+const MAX_EXIT_POLLS: u32 = 200;
+/// A host with little processor time alternates between being frozen and running. Each
+/// freeze exceeds the time within which a closing connection may race with a request.
+const FROZEN_TIME: Duration = Duration::from_millis(330);
+const RUNNING_TIME: Duration = Duration::from_millis(40);
+/// Time that a host has to run before it is signalled to reload, in milliseconds: until it
+/// listens for signals, any signal ends it.
+const SIGNAL_READY_MS: u64 = 1_000;
+/// Signals in a burst. Together they take longer than a host needs to read its settings, so
+/// that some arrive while it does.
+const BURST_SIGNALS: u32 = 400;
 
-/// Brings a fault about, and ends it.
+/// Injects a fault, waits for its duration and ends it. `address` is where backend servers
+/// listen.
 pub async fn inject(world: &Rc<World>, hosts: &Hosts, event: Event, address: SocketAddr) {
-    let lasts = Duration::from_millis(event.duration_ms);
+    let duration = Duration::from_millis(event.duration_ms);
     let disturb = |n: usize| hosts.borrow_mut()[n].record_unplanned(world.now());
     match event.fault {
         Fault::Kill(n) => {
             disturb(n);
             hosts.borrow_mut()[n].kill();
-            compio::time::sleep(lasts).await;
+            compio::time::sleep(duration).await;
             restart(world, hosts, n);
         }
         Fault::Freeze(n) => {
             disturb(n);
             hosts.borrow_mut()[n].signal("STOP");
-            compio::time::sleep(lasts).await;
+            compio::time::sleep(duration).await;
             hosts.borrow_mut()[n].signal("CONT");
             disturb(n);
         }
         Fault::Terminate(n) => terminate(world, hosts, n).await,
         Fault::Starve(n) => starve(world, hosts, n, event.duration_ms).await,
         Fault::Reload(n) => reload(world, hosts, n, 1),
-        Fault::ReloadBurst(n) => reload(world, hosts, n, OFTEN),
+        Fault::ReloadBurst(n) => reload(world, hosts, n, BURST_SIGNALS),
         Fault::KillAll => {
-            let all = hosts.borrow().len();
-            (0..all).for_each(disturb);
+            let host_count = hosts.borrow().len();
+            (0..host_count).for_each(disturb);
             hosts.borrow_mut().iter_mut().for_each(Process::kill);
-            compio::time::sleep(lasts).await;
-            (0..all).for_each(|n| restart(world, hosts, n));
+            compio::time::sleep(duration).await;
+            (0..host_count).for_each(|n| restart(world, hosts, n));
         }
         Fault::Store(mode) => {
-            let trouble = world.begin_outage(mode);
-            compio::time::sleep(lasts).await;
-            world.end_outage(trouble);
+            let outage_id = world.begin_outage(mode);
+            compio::time::sleep(duration).await;
+            world.end_outage(outage_id);
+        }
+        Fault::Restore(backup_age_ms, rewrite_delay_ms) => {
+            restore(world, duration, backup_age_ms, rewrite_delay_ms).await
         }
-        Fault::Restore(age, again) => restore(world, lasts, age, again).await,
         Fault::MuteConnections => world.mute_connections(),
         Fault::RefuseHost(n) => {
             let name = hosts.borrow()[n].name();
             world.refused_host.replace(Some(name));
-            compio::time::sleep(lasts).await;
+            compio::time::sleep(duration).await;
             world.refused_host.replace(None);
         }
         Fault::Server(n, mode) => {
-            set(world, n, mode);
-            compio::time::sleep(lasts).await;
-            set(world, n, ServerMode::Healthy);
+            set_server_mode(world, n, mode);
+            compio::time::sleep(duration).await;
+            set_server_mode(world, n, ServerMode::Healthy);
         }
         Fault::Replace(n) => replace(world, n, address).await,
         Fault::Leave(n) => server_signals::leave(world, hosts, n, address).await,
-        Fault::BackOff(n) => server_signals::back_off(world, hosts, n, lasts).await,
+        Fault::BackOff(n) => server_signals::back_off(world, hosts, n, duration).await,
         Fault::NameLimit(n) => server_signals::name_limit(world, hosts, n).await,
         Fault::RollOut(bad) => versions::roll_out(world, hosts, bad, address).await,
         Fault::Configure => {
             let next = world.ledger.borrow().newest_version() + 1;
-            // A store that is away acknowledges nothing.
+            // A store that closes all connections acknowledges nothing.
             if world.store_mode() != StoreMode::Closing {
                 world.configure(next);
             }
@@ -95,21 +98,22 @@
     }
 }
 
-/// The store is away and comes back from a copy; the servers write again within some time,
-/// and the operator after another one. What nobody writes again lapses.
-async fn restore(world: &Rc<World>, away: Duration, age: u64, again: u64) {
-    let gone = world.now();
-    let number = world.outages.borrow_mut().begin(gone);
-    world.store_modes.borrow_mut().push((number, StoreMode::Closing));
-    compio::time::sleep(away).await;
-    world.restore_backup(gone.saturating_sub(age));
-    world.store_modes.borrow_mut().retain(|(known, _)| *known != number);
-    let back = world.now();
+/// Closes the store's connections for a while and then restores it from a backup. Servers
+/// register again within a fixed time, the operator writes again after `rewrite_delay_ms`,
+/// and rows that nobody writes again are removed.
+async fn restore(world: &Rc<World>, outage: Duration, backup_age_ms: u64, rewrite_delay_ms: u64) {
+    let outage_ms = world.now();
+    let outage_id = world.outages.borrow_mut().begin(outage_ms);
+    world.store_modes.borrow_mut().push((outage_id, StoreMode::Closing));
+    compio::time::sleep(outage).await;
+    world.restore_backup(outage_ms.saturating_sub(backup_age_ms));
+    world.store_modes.borrow_mut().retain(|(current, _)| *current != outage_id);
+    let restored_ms = world.now();
     let servers: Vec<RowKey> = world.lost_rows();
-    for (place, key) in servers.iter().enumerate().filter(|(_, key)| **key != RowKey::Configuration)
+    for (index, key) in servers.iter().enumerate().filter(|(_, key)| **key != RowKey::Configuration)
     {
-        let gone = world.written.borrow().get(key).is_none_or(Option::is_none);
-        let after = if gone { LAPSES } else { place as u64 * 97 % WRITE_AGAIN };
+        let removed = world.written.borrow().get(key).is_none_or(Option::is_none);
+        let after = if removed { REMOVAL_DELAY_MS } else { index as u64 * 97 % REWRITE_WINDOW_MS };
         let (world, key) = (world.clone(), key.clone());
         compio::runtime::spawn(async move {
             compio::time::sleep(Duration::from_millis(after)).await;
@@ -117,21 +121,22 @@
         })
         .detach();
     }
-    compio::time::sleep(Duration::from_millis(again)).await;
+    compio::time::sleep(Duration::from_millis(rewrite_delay_ms)).await;
     world.rewrite(&RowKey::Configuration);
-    // Until then a host that starts cannot know what the store has lost, if all restarted.
-    let now = world.now().max(back);
-    world.outages.borrow_mut().end(number, now);
+    // A host that starts before this time cannot know what the store has lost, if all other
+    // hosts were restarted as well.
+    let now = world.now().max(restored_ms);
+    world.outages.borrow_mut().end(outage_id, now);
 }
 
-/// A backend server behaves in another way, if it is still there.
-fn set(world: &World, n: usize, mode: ServerMode) {
-    if let Some(known) = world.servers.borrow_mut().get_mut(&format!("shop-{n}")) {
-        *known = mode;
+/// Sets how a backend server behaves, if it is still registered.
+fn set_server_mode(world: &World, n: usize, mode: ServerMode) {
+    if let Some(current) = world.servers.borrow_mut().get_mut(&format!("shop-{n}")) {
+        *current = mode;
     }
 }
 
-/// Ends a host if it runs, and starts it; what is not planned.
+/// Kills a host if it runs, and starts it, as an unplanned restart.
 pub fn restart(world: &World, hosts: &Hosts, n: usize) {
     hosts.borrow_mut()[n].record_unplanned(world.now());
     start(world, hosts, n);
@@ -146,7 +151,8 @@
     }
 }
 
-/// Asks a host to stop, waits for its end, and starts it again.
+/// Asks a host to stop, waits until it has ended, and starts it again. Records a violation
+/// if the stop was not interrupted by a fault and failed.
 async fn terminate(world: &Rc<World>, hosts: &Hosts, n: usize) {
     if hosts.borrow()[n].killed() {
         return;
@@ -154,81 +160,81 @@
     hosts.borrow_mut()[n].signal("TERM");
     hosts.borrow_mut()[n].stop_requests += 1;
     if hosts.borrow()[n].stop_requested_ms.is_some() {
-        // It was asked before, and whoever did that waits for its end.
+        // The task that requested the first stop waits for the host's end.
         return;
     }
-    let asked = world.now();
-    hosts.borrow_mut()[n].stop_requested_ms = Some(asked);
+    let requested_ms = world.now();
+    hosts.borrow_mut()[n].stop_requested_ms = Some(requested_ms);
     compio::runtime::spawn(stop_load::send_around_notice_end(
         world.clone(),
         hosts.clone(),
         n,
-        asked,
+        requested_ms,
     ))
     .detach();
-    let mut looks = LOOKS;
-    let ended = loop {
-        let ended = hosts.borrow_mut()[n].exit_status();
-        if ended.is_some() || hosts.borrow()[n].killed() || looks == 0 {
-            break ended;
+    let mut polls_left = MAX_EXIT_POLLS;
+    let exit = loop {
+        let exit = hosts.borrow_mut()[n].exit_status();
+        if exit.is_some() || hosts.borrow()[n].killed() || polls_left == 0 {
+            break exit;
         }
-        compio::time::sleep(STEP).await;
-        looks -= 1;
+        compio::time::sleep(EXIT_POLL_INTERVAL).await;
+        polls_left -= 1;
     };
-    let undisturbed = hosts.borrow()[n].unplanned_ms.is_none_or(|at| at < asked);
-    if let Some(problem) = problem(ended, looks)
+    let undisturbed = hosts.borrow()[n].unplanned_ms.is_none_or(|at| at < requested_ms);
+    if let Some(stop_problem) = stop_problem(exit, polls_left)
         && undisturbed
     {
-        let since = world.now() - asked;
-        let Process { stop_requests: asks, started_ms: started, .. } = hosts.borrow()[n];
+        let since = world.now() - requested_ms;
+        let Process { stop_requests, started_ms, .. } = hosts.borrow()[n];
         let text = format!(
-            "host {n} {problem}, {since} ms after it was asked at {asked} ms, {} ms after its \
-             start; asked {asks} times",
-            asked - started
+            "host {n} {stop_problem}, {since} ms after its stop was requested at {requested_ms} ms, \
+             {} ms after its start; requested {stop_requests} times",
+            requested_ms - started_ms
         );
         world.ledger.borrow_mut().add_violation(text);
     }
-    match ended {
+    match exit {
         Some(_) => start(world, hosts, n),
         None => restart(world, hosts, n),
     }
 }
 
-/// What is wrong with the end of a planned stop.
-fn problem(ended: Option<std::process::ExitStatus>, looks: u32) -> Option<String> {
-    match ended {
-        None if looks == 0 => Some("did not end in 4 s".into()),
-        Some(status) if !status.success() => Some(format!("did not stop but broke off: {status}")),
+/// Describes what was wrong with a planned stop; `None` if nothing was.
+fn stop_problem(exit: Option<std::process::ExitStatus>, polls_left: u32) -> Option<String> {
+    match exit {
+        None if polls_left == 0 => Some("did not end in 4 s".into()),
+        Some(status) if !status.success() => Some(format!("failed while stopping: {status}")),
         _ => None,
     }
 }
 
-/// A start of a host gets a ninth of the time.
-async fn starve(world: &Rc<World>, hosts: &Hosts, n: usize, lasts: u64) {
-    let until = world.now() + lasts;
+/// Lets one start of a host run for about a ninth of the time.
+async fn starve(world: &Rc<World>, hosts: &Hosts, n: usize, duration_ms: u64) {
+    let until = world.now() + duration_ms;
     let start = hosts.borrow()[n].start_number;
     while world.now() < until && hosts.borrow()[n].start_number == start {
         hosts.borrow_mut()[n].disturbed_ms = world.now();
         stop_load::burst(world, hosts, n).await;
         hosts.borrow_mut()[n].signal("STOP");
-        compio::time::sleep(STARVED).await;
+        compio::time::sleep(FROZEN_TIME).await;
         hosts.borrow_mut()[n].signal("CONT");
-        compio::time::sleep(RUNS).await;
+        compio::time::sleep(RUNNING_TIME).await;
     }
     hosts.borrow_mut()[n].disturbed_ms = world.now();
 }
 
-/// Tells a host that its settings have changed.
+/// Signals a host to reload its settings.
 fn reload(world: &World, hosts: &Hosts, n: usize, times: u32) {
     let now = world.now();
     let mut hosts = hosts.borrow_mut();
-    if now > hosts[n].started_ms + LISTENS_MS && !hosts[n].killed() {
+    if now > hosts[n].started_ms + SIGNAL_READY_MS && !hosts[n].killed() {
         hosts[n].reloaded_ms = Some(now);
         hosts[n].repeat_signal("HUP", times);
     }
 }
 
-/// A server drains and is gone; its address is another server's from then on.
+/// Drains a server and removes it. Its address belongs to another server from then on.
 async fn replace(world: &World, n: usize, address: SocketAddr) {
     let old = format!("shop-{n}");
     if !world.servers.borrow().contains_key(&old) {
@@ -238,8 +244,8 @@
     world.servers.borrow_mut().insert(new.clone(), ServerMode::Healthy);
     world.register_server(&new, SHOP, address, false);
     world.register_server(&old, SHOP, address, true);
-    compio::time::sleep(DRAIN).await;
+    compio::time::sleep(DRAIN_TIME).await;
     world.put(RowKey::Server(old.clone()), None);
-    compio::time::sleep(DRAIN).await;
+    compio::time::sleep(DRAIN_TIME).await;
     world.servers.borrow_mut().remove(&old);
 }
--- a/elmstream_soak/src/stop_load.rs
+++ b/elmstream_soak/src/stop_load.rs
@@ -1,7 +1,7 @@
-//! Requests that are aimed at the end of the notice of a planned stop.
+//! Requests sent around the end of a planned stop's notice.
 //!
-//! Then a host closes its listener and its connections; a request that lies unread in
-//! its socket, or a connection that nobody has accepted yet, is the first to be lost.
+//! At that moment a host closes its listener and its idle connections. Requests still unread
+//! in a socket buffer, and connections not yet accepted, are the first to be lost.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,59 +11,68 @@
     world::World,
 };
 
-/// Requests of either kind, on connections that rest and on new ones.
-const EACH: u64 = 16;
-/// The first ones leave this long before the end of the notice.
-const BEFORE_MS: u64 = 150;
-/// Time between two. The last ones leave 0.6 s after the end of the notice, as a host
-/// with little processor time hears of its stop late, and acts late.
-const GAP_MS: u64 = 50;
+/// Requests of each kind: on reused connections and on new ones.
+const REQUESTS_PER_KIND: u64 = 16;
+/// Time before the end of the notice at which the first requests are sent.
+const FIRST_REQUEST_LEAD_MS: u64 = 150;
+/// Time between two requests of a kind. The last ones are sent 0.6 s after the end of the
+/// notice, because a host with little processor time receives its stop late and acts late.
+const REQUEST_GAP_MS: u64 = 50;
 
-/// Requests that give a host work.
-const BURST: u64 = 64;
-/// Time after which it has some of them in hand and others not.
-const BURST_BEGUN: Duration = Duration::from_millis(4);
+/// Requests in a burst.
+const BURST_REQUESTS: u64 = 64;
+/// Time after which a host has read some requests of a burst and not others.
+const BURST_HEAD_START: Duration = Duration::from_millis(4);
 
-/// Sends them around the end of a host's notice; the stop must be asked for now.
-pub async fn send_around_notice_end(world: Rc<World>, hosts: Hosts, host: usize, asked: u64) {
-    let mut running = Vec::new();
-    for number in 0..2 * EACH {
+/// Sends requests around the end of a host's stop notice. `stop_requested_ms` is when the
+/// stop was requested, in milliseconds since the start of the soak; the call has to be made
+/// at that time.
+pub async fn send_around_notice_end(
+    world: Rc<World>,
+    hosts: Hosts,
+    host: usize,
+    stop_requested_ms: u64,
+) {
+    let mut tasks = Vec::new();
+    for number in 0..2 * REQUESTS_PER_KIND {
         let (world, hosts) = (world.clone(), hosts.clone());
-        running.push(compio::runtime::spawn(async move {
-            let id = format!("stop-{host}-{asked}-{number}");
-            let at = asked + STOP_NOTICE_MS - BEFORE_MS + number / 2 * GAP_MS;
-            one(&world, &hosts, host, number % 2 == 0, &id, at).await;
+        tasks.push(compio::runtime::spawn(async move {
+            let id = format!("stop-{host}-{stop_requested_ms}-{number}");
+            let send_ms = stop_requested_ms + STOP_NOTICE_MS - FIRST_REQUEST_LEAD_MS
+                + number / 2 * REQUEST_GAP_MS;
+            send_at(&world, &hosts, host, number % 2 == 0, &id, send_ms).await;
         }));
     }
-    for task in running {
+    for task in tasks {
         let _ = task.await;
     }
 }
 
-/// Gives a host work for the next moment: requests on connections of their own.
+/// Sends a host a burst of requests, each on a new connection, so that it is busy when it is
+/// frozen next.
 ///
-/// A host that stands still while it waits reads all that has come before it looks at
-/// its clock; one that stands still in the midst of its work looks at its clock first.
+/// A host frozen while it waits reads everything that has arrived before it checks its
+/// clock; one frozen in the middle of its work checks its clock first.
 pub async fn burst(world: &Rc<World>, hosts: &Hosts, host: usize) {
     let now = world.now();
-    for number in 0..BURST {
+    for number in 0..BURST_REQUESTS {
         let (world, hosts) = (world.clone(), hosts.clone());
         compio::runtime::spawn(async move {
-            if let Some(line) = HostConnection::open(&world, &hosts, host).await {
+            if let Some(connection) = HostConnection::open(&world, &hosts, host).await {
                 let id = format!("once-burst-{host}-{now}-{number}");
-                let shows = RequestParams::with_newest_key(&world);
-                line.request(&world, &hosts, "once", &id, shows).await;
+                let params = RequestParams::with_newest_key(&world);
+                connection.request(&world, &hosts, "once", &id, params).await;
             }
         })
         .detach();
     }
-    compio::time::sleep(BURST_BEGUN).await;
+    compio::time::sleep(BURST_HEAD_START).await;
 }
 
-async fn one(world: &World, hosts: &Hosts, host: usize, kept: bool, id: &str, at: u64) {
-    let mut line = None;
-    if kept && let Some(new) = HostConnection::open(world, hosts, host).await {
-        line = new
+async fn send_at(world: &World, hosts: &Hosts, host: usize, reuse: bool, id: &str, send_ms: u64) {
+    let mut connection = None;
+    if reuse && let Some(new) = HostConnection::open(world, hosts, host).await {
+        connection = new
             .request(
                 world,
                 hosts,
@@ -73,18 +82,19 @@
             )
             .await;
     }
-    compio::time::sleep(Duration::from_millis(at.saturating_sub(world.now()))).await;
-    if line.is_none() {
-        line = HostConnection::open(world, hosts, host).await;
+    compio::time::sleep(Duration::from_millis(send_ms.saturating_sub(world.now()))).await;
+    if connection.is_none() {
+        connection = HostConnection::open(world, hosts, host).await;
     }
-    if let Some(line) = line {
-        line.request(
-            world,
-            hosts,
-            "once",
-            &format!("once-{id}"),
-            RequestParams::with_newest_key(world),
-        )
-        .await;
+    if let Some(connection) = connection {
+        connection
+            .request(
+                world,
+                hosts,
+                "once",
+                &format!("once-{id}"),
+                RequestParams::with_newest_key(world),
+            )
+            .await;
     }
 }
