--- a/elmstream_soak/src/backend.rs
+++ b/elmstream_soak/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers of a soak.
+//! Simulated backend servers.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -11,12 +11,13 @@
     world::{SHOP, ServerMode, World},
 };
 
-/// Time that a request takes.
-const WORK: Duration = Duration::from_millis(8);
-/// Time that a dark server holds a request.
-const DARK: Duration = Duration::from_secs(5);
+/// Time that a request runs.
+const RUN_TIME: Duration = Duration::from_millis(8);
+/// Time for which an unresponsive server holds a request before it closes the connection.
+const UNRESPONSIVE_HOLD: Duration = Duration::from_secs(5);
 
-/// Starts a listener that stands for any number of servers; its address.
+/// Starts one listener that serves as any number of backend servers, and returns its
+/// address.
 pub async fn start(world: &Rc<World>) -> io::Result<SocketAddr> {
     listen::serve(world, answer).await
 }
@@ -26,21 +27,21 @@
     _opened: u64,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Aborted> {
-    let field = |name: &str| {
+    let header_value = |name: &str| {
         let value = request.headers().get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    let (id, server) = (field("elmstream-request"), field("elmstream-server"));
-    let known = world.servers.borrow().get(&server).copied();
-    let of_version = server.starts_with(versions::NEXT_VERSION_PREFIX);
-    if of_version || server.starts_with(SHOP) {
+    let (id, server) = (header_value("elmstream-request"), header_value("elmstream-server"));
+    let registered_mode = world.servers.borrow().get(&server).copied();
+    let is_next_version = server.starts_with(versions::NEXT_VERSION_PREFIX);
+    if is_next_version || server.starts_with(SHOP) {
         world.arrivals.record(versions::ALL_SERVERS, world.now());
-        // A server that has ended gets nothing, however its requests are answered.
-        if of_version || known.is_none() {
+        // A stopped server must get no requests, whatever it would answer.
+        if is_next_version || registered_mode.is_none() {
             world.arrivals.record(&server, world.now());
         }
     }
-    let Some(mode) = known else {
+    let Some(mode) = registered_mode else {
         return Ok(status(StatusCode::MISDIRECTED_REQUEST));
     };
     if matches!(mode, ServerMode::BackingOff | ServerMode::Leaving | ServerMode::Limited) {
@@ -54,15 +55,15 @@
         refusal.headers_mut().insert("elmstream-not-run", http::HeaderValue::from_static("1"));
         return Ok(refusal);
     }
-    check(&world, &request, &id);
+    check_headers(&world, &request, &id);
     world.ledger.borrow_mut().record_run(&id);
     if world.breaks("once") && id.ends_with("7") {
         world.ledger.borrow_mut().record_run(&id);
     }
-    compio::time::sleep(WORK).await;
+    compio::time::sleep(RUN_TIME).await;
     match mode {
         ServerMode::Unresponsive => {
-            compio::time::sleep(DARK).await;
+            compio::time::sleep(UNRESPONSIVE_HOLD).await;
             Err(Aborted)
         }
         ServerMode::Closing => Err(Aborted),
@@ -74,10 +75,10 @@
             Ok(failure)
         }
         _ => {
-            let echoed = if mode == ServerMode::MixingIds { "another" } else { &id };
-            let told = if world.breaks("mixed") && id.ends_with("7") { "x" } else { &id };
-            let mut response = Response::new(body::full(format!("{told} {server}")));
-            if let Ok(value) = echoed.parse() {
+            let header_id = if mode == ServerMode::MixingIds { "another" } else { &id };
+            let body_id = if world.breaks("mixed") && id.ends_with("7") { "x" } else { &id };
+            let mut response = Response::new(body::full(format!("{body_id} {server}")));
+            if let Ok(value) = header_id.parse() {
                 response.headers_mut().insert("elmstream-request", value);
             }
             response
@@ -89,8 +90,8 @@
     }
 }
 
-/// Checks what a request shows of its workspace: the name alone, and never a key.
-fn check(world: &World, request: &Request<Incoming>, id: &str) {
+/// Checks a request's headers: they must carry the right workspace name, and no key.
+fn check_headers(world: &World, request: &Request<Incoming>, id: &str) {
     let mut ledger = world.ledger.borrow_mut();
     let names: Vec<&[u8]> = request
         .headers()
@@ -98,24 +99,25 @@
         .iter()
         .map(|name| name.as_bytes())
         .collect();
-    let wanted = request.uri().path().split('/').nth(2).unwrap_or_default();
-    let named = if world.breaks("name") { "other" } else { wanted };
-    if names != [named.as_bytes()] {
-        ledger
-            .add_violation(format!("{id} of workspace {wanted} ran under another name: {names:?}"));
+    let workspace = request.uri().path().split('/').nth(2).unwrap_or_default();
+    let expected = if world.breaks("name") { "other" } else { workspace };
+    if names != [expected.as_bytes()] {
+        ledger.add_violation(format!(
+            "{id} of workspace {workspace} ran under another name: {names:?}"
+        ));
     }
-    if wanted == workspaces::UNSERVED_WORKSPACE {
+    if workspace == workspaces::UNSERVED_WORKSPACE {
         ledger.add_violation(format!("{id} ran outside the homes of its workspace"));
     }
-    let shows = |value: &http::HeaderValue| {
+    let contains_key = |value: &http::HeaderValue| {
         value.to_str().is_ok_and(|text| text.contains(workspaces::KEY_PREFIX))
     };
-    if request.headers().values().any(shows) || world.breaks("key") {
-        ledger.add_violation(format!("{id} was passed on with its key"));
+    if request.headers().values().any(contains_key) || world.breaks("key") {
+        ledger.add_violation(format!("{id} was forwarded with its key"));
     }
-    if wanted == workspaces::LIMITED_WORKSPACE {
-        let copies = if world.breaks("limit") { 20 } else { 1 };
-        (0..copies).for_each(|_| ledger.record_limited_run(world.now()));
+    if workspace == workspaces::LIMITED_WORKSPACE {
+        let run_count = if world.breaks("limit") { 20 } else { 1 };
+        (0..run_count).for_each(|_| ledger.record_limited_run(world.now()));
     }
 }
 
--- a/elmstream_soak/src/callers.rs
+++ b/elmstream_soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak: they keep connections open, and use them until they end.
+//! Simulated callers, which reuse connections until these are closed.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -14,43 +14,44 @@
 };
 
 /// Time between two requests of a caller.
-const PAUSE: Duration = Duration::from_millis(12);
-/// Time in which a connection must come up.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Time in which an answer must come; the routes' time is 600 ms.
-const ANSWER: Duration = Duration::from_millis(1_500);
-/// A host counts as calm after this long without a fault, in milliseconds.
-const CALM_MS: u64 = 4_000;
-/// Part of the requests that open a connection of their own though one is kept.
-const NEW_PART: f64 = 0.2;
-/// Keys that keep a caller's requests together.
-const KEYS: u32 = 40;
-/// Versions whose keys callers still show; some of them have been taken away.
-const OLD_KEYS: u64 = 4;
+const REQUEST_PAUSE: Duration = Duration::from_millis(12);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time limit for an answer; the routes' timeout is 600 ms.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time without a fault after which a host counts as undisturbed, in milliseconds.
+const RECOVERY_MS: u64 = 4_000;
+/// Fraction of requests sent on a new connection although an idle one exists.
+const NEW_CONNECTION_FRACTION: f64 = 0.2;
+/// Number of affinity keys.
+const AFFINITY_KEYS: u32 = 40;
+/// Number of recent configurations whose workspace keys callers present; some of these keys
+/// have been revoked.
+const RECENT_KEY_VERSIONS: u64 = 4;
 
-/// The hosts that callers use.
+/// The entry hosts that callers use, shared by all tasks of a soak.
 pub type Hosts = Rc<RefCell<Vec<Process>>>;
 
-/// What a request shows of itself.
+/// Parameters of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParams {
-    /// Keeps requests together.
+    /// Affinity key, which routes related requests to one server.
     pub key: u32,
-    /// Its workspace.
+    /// Name of the caller's workspace.
     pub workspace: &'static str,
-    /// The version that brought its workspace's key.
+    /// The configuration that introduced the presented workspace key.
     pub key_version: u64,
 }
 
 impl RequestParams {
-    /// A request of the first workspace with its newest key.
+    /// Parameters of a request of the first workspace, with its newest key.
     pub fn with_newest_key(world: &World) -> RequestParams {
-        let version = world.ledger.borrow().newest_version();
-        RequestParams { key: 0, workspace: NAMES[0], key_version: version }
+        let key_version = world.ledger.borrow().newest_version();
+        RequestParams { key: 0, workspace: NAMES[0], key_version }
     }
 }
 
-/// A connection to one start of a host.
+/// A connection to one start of an entry host.
 #[derive(Debug)]
 pub struct HostConnection {
     connection: Connection,
@@ -59,45 +60,47 @@
 }
 
 impl HostConnection {
-    /// Opens one; none if the host does not take it.
+    /// Opens a connection; `None` if the host does not accept it in time, or if the host was
+    /// restarted meanwhile.
     pub async fn open(world: &World, hosts: &Hosts, host: usize) -> Option<HostConnection> {
-        let at = |hosts: &Hosts| {
+        let current = |hosts: &Hosts| {
             (hosts.borrow()[host].caller_address(), hosts.borrow()[host].start_number)
         };
-        let (address, start) = at(hosts);
-        let connection = Connection::open(address, CONNECT).await.ok();
-        // Which start took it is not known if the host was started again meanwhile.
-        let connection = connection.filter(|_| at(hosts).1 == start);
+        let (address, start) = current(hosts);
+        let connection = Connection::open(address, CONNECT_TIMEOUT).await.ok();
+        // After a restart it is unknown which start accepted the connection.
+        let connection = connection.filter(|_| current(hosts).1 == start);
         if connection.is_none() {
             world.ledger.borrow_mut().count("no connection");
         }
         connection.map(|connection| HostConnection { connection, host, start })
     }
 
-    /// Sends one request; the connection if it may be used again.
+    /// Sends one request and records its outcome. Returns the connection if it can be
+    /// reused.
     pub async fn request(
         mut self,
         world: &World,
         hosts: &Hosts,
         kind: &str,
         id: &str,
-        shows: RequestParams,
+        params: RequestParams,
     ) -> Option<HostConnection> {
-        let RequestParams { key, workspace, key_version: version } = shows;
-        let shown = workspaces::key(workspace, version);
-        // Whatever a caller says of its workspace must not count.
+        let RequestParams { key, workspace, key_version } = params;
+        let presented_key = workspaces::key(workspace, key_version);
+        // Hosts must ignore any workspace that a caller names itself.
         let text = format!(
             "GET /{kind}/{workspace}/{key} HTTP/1.1\r\nhost: soak.example\r\n\
              elmstream-request: {id}\r\nelmstream-affinity: {key}\r\n\
-             elmstream-deadline: 1000\r\nauthorization: Bearer {shown}\r\n\
+             elmstream-deadline: 1000\r\nauthorization: Bearer {presented_key}\r\n\
              elmstream-workspace: other\r\n\r\n"
         );
-        let asked = world.now();
-        let kept = self.connection.answered_count > 0;
-        match self.connection.exchange(world, text, ANSWER).await {
+        let requested_ms = world.now();
+        let reused = self.connection.answered_count > 0;
+        match self.connection.exchange(world, text, RESPONSE_TIMEOUT).await {
             ExchangeOutcome::Answer(answer) => {
-                world.ledger.borrow_mut().count(if kept { "on kept" } else { "on new" });
-                self.answered(world, hosts, id, (asked, version), &answer);
+                world.ledger.borrow_mut().count(if reused { "on kept" } else { "on new" });
+                self.record_answer(world, hosts, id, (requested_ms, key_version), &answer);
                 return (!answer.close).then_some(self);
             }
             ExchangeOutcome::Malformed(text) => {
@@ -106,22 +109,33 @@
             ExchangeOutcome::NotSent => {
                 world.ledger.borrow_mut().record_outcome(id, Outcome::Unknown)
             }
-            ExchangeOutcome::Closed(sent, ended) => self.cut(world, hosts, id, sent, ended, kept),
-            ExchangeOutcome::TimedOut(sent) => self.cut(world, hosts, id, sent, world.now(), kept),
+            ExchangeOutcome::Closed(sent_ms, ended_ms) => {
+                self.record_lost(world, hosts, id, sent_ms, ended_ms, reused)
+            }
+            ExchangeOutcome::TimedOut(sent_ms) => {
+                self.record_lost(world, hosts, id, sent_ms, world.now(), reused)
+            }
         }
         None
     }
 
-    fn answered(
+    fn record_answer(
         &self,
         world: &World,
         hosts: &Hosts,
         id: &str,
-        (asked, version): (u64, u64),
+        (requested_ms, key_version): (u64, u64),
         answer: &Answer,
     ) {
         if world.breaks("lost") && id.ends_with('7') {
-            self.cut(world, hosts, id, asked, asked + ANSWER.as_millis() as u64, true);
+            self.record_lost(
+                world,
+                hosts,
+                id,
+                requested_ms,
+                requested_ms + RESPONSE_TIMEOUT.as_millis() as u64,
+                true,
+            );
             return;
         }
         let mut ledger = world.ledger.borrow_mut();
@@ -137,66 +151,75 @@
             429 | 503 => return ledger.record_outcome(id, Outcome::Refused),
             _ => return ledger.record_outcome(id, Outcome::Unknown),
         }
-        let (told, server) = answer.body.split_once(' ').unwrap_or((&answer.body, ""));
-        if told != id {
-            ledger.add_violation(format!("{id} got the answer of {told}"));
+        let (answered_id, server) = answer.body.split_once(' ').unwrap_or((&answer.body, ""));
+        if answered_id != id {
+            ledger.add_violation(format!("{id} got the answer of {answered_id}"));
         }
         ledger.record_outcome(id, Outcome::Success);
         let now = world.now();
-        let calm = now > hosts.borrow()[self.host].disturbed_ms + CALM_MS;
+        let undisturbed = now > hosts.borrow()[self.host].disturbed_ms + RECOVERY_MS;
         let host = (self.host, self.start);
-        // Whoever takes a key goes by a version that holds it.
-        let taken = KeyAcceptance {
+        // A host that accepts a key uses a configuration that contains it.
+        let acceptance = KeyAcceptance {
             host,
-            last_valid_version: version + KEY_LIFETIME_VERSIONS - 1,
-            sent_ms: asked,
-            undisturbed: calm,
+            last_valid_version: key_version + KEY_LIFETIME_VERSIONS - 1,
+            sent_ms: requested_ms,
+            undisturbed,
         };
-        ledger.check_key_acceptance(&taken, &world.outages.borrow());
+        ledger.check_key_acceptance(&acceptance, &world.outages.borrow());
         let pin = server.strip_prefix("pin-").and_then(|pin| pin.parse::<u64>().ok());
         let Some(pin) = pin else { return };
         let pin = if world.breaks("back") { pin + PIN_SERVICES - 1 } else { pin };
-        let served = VersionObservation {
+        let observation = VersionObservation {
             host,
             pin,
             pin_count: PIN_SERVICES,
-            sent_ms: asked,
+            sent_ms: requested_ms,
             received_ms: now,
-            undisturbed: calm,
+            undisturbed,
         };
-        ledger.check_served_version(&served, &world.outages.borrow());
+        ledger.check_served_version(&observation, &world.outages.borrow());
     }
 
-    /// A request was sent whole, and no answer came.
-    fn cut(&self, world: &World, hosts: &Hosts, id: &str, sent: u64, ended: u64, kept: bool) {
+    /// Records a request that was sent completely and got no answer, unless its host had an
+    /// unplanned fault.
+    fn record_lost(
+        &self,
+        world: &World,
+        hosts: &Hosts,
+        id: &str,
+        sent_ms: u64,
+        ended_ms: u64,
+        reused: bool,
+    ) {
         let hosts = hosts.borrow();
         let host = &hosts[self.host];
         let mut ledger = world.ledger.borrow_mut();
         ledger.record_outcome(id, Outcome::Unknown);
-        if host.unplanned_ms.is_some_and(|at| at + CALM_MS >= sent) {
+        if host.unplanned_ms.is_some_and(|at| at + RECOVERY_MS >= sent_ms) {
             return;
         }
-        let since = |at: Option<u64>| at.map(|at| ended.saturating_sub(at));
+        let since = |at: Option<u64>| at.map(|at| ended_ms.saturating_sub(at));
         let (stop, reload) = (since(host.stop_requested_ms), since(host.reloaded_ms));
-        let of = if host.start_number == self.start { "this" } else { "an earlier" };
+        let start_label = if host.start_number == self.start { "this" } else { "an earlier" };
         ledger.record_lost_request(LostRequest {
             id: id.to_owned(),
-            ended_after_ms: ended.saturating_sub(sent),
-            stall_ms: world.stall_ms_since(sent),
+            ended_after_ms: ended_ms.saturating_sub(sent_ms),
+            stall_ms: world.stall_ms_since(sent_ms),
             context: format!(
-                "on a {} connection to {of} start of host {}, at {ended} ms; \
-                 {stop:?} ms after its stop was asked, {reload:?} ms after its reload",
-                if kept { "kept" } else { "new" },
+                "on a {} connection to {start_label} start of host {}, at {ended_ms} ms; \
+                 {stop:?} ms after its stop was requested, {reload:?} ms after its reload",
+                if reused { "kept" } else { "new" },
                 self.host,
             ),
         });
     }
 }
 
-/// Sends requests until the time is over.
+/// Sends requests until `until`, in milliseconds since the start of the soak.
 pub async fn run(world: Rc<World>, hosts: Hosts, number: u64, until: u64) {
     let mut random = StdRng::seed_from_u64(number);
-    let mut lines: BTreeMap<usize, HostConnection> = BTreeMap::new();
+    let mut connections: BTreeMap<usize, HostConnection> = BTreeMap::new();
     let mut count = 0u64;
     while world.now() < until {
         count += 1;
@@ -204,21 +227,25 @@
         let id = format!("{kind}-{number}-{count}");
         let host = random.random_range(0..hosts.borrow().len());
         let newest = world.ledger.borrow().newest_version();
-        let shows = RequestParams {
-            key: random.random_range(0..KEYS),
+        let params = RequestParams {
+            key: random.random_range(0..AFFINITY_KEYS),
             workspace: NAMES[random.random_range(0..NAMES.len())],
-            key_version: newest.saturating_sub(random.random_range(0..OLD_KEYS)),
+            key_version: newest.saturating_sub(random.random_range(0..RECENT_KEY_VERSIONS)),
+        };
+        let reused = if random.random_bool(NEW_CONNECTION_FRACTION) {
+            None
+        } else {
+            connections.remove(&host)
         };
-        let kept = if random.random_bool(NEW_PART) { None } else { lines.remove(&host) };
-        let line = match kept {
-            Some(line) => Some(line),
+        let connection = match reused {
+            Some(connection) => Some(connection),
             None => HostConnection::open(&world, &hosts, host).await,
         };
-        if let Some(line) = line
-            && let Some(line) = line.request(&world, &hosts, kind, &id, shows).await
+        if let Some(connection) = connection
+            && let Some(connection) = connection.request(&world, &hosts, kind, &id, params).await
         {
-            lines.insert(host, line);
+            connections.insert(host, connection);
         }
-        compio::time::sleep(PAUSE).await;
+        compio::time::sleep(REQUEST_PAUSE).await;
     }
 }
--- a/elmstream_soak/src/poison.rs
+++ b/elmstream_soak/src/poison.rs
@@ -1,4 +1,4 @@
-//! Servers that end under some requests, and callers who send these.
+//! Backend servers that crash under poison requests, and callers that send such requests.
 
 use std::{cell::Cell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -15,37 +15,40 @@
     world::World,
 };
 
-/// Their service.
+/// Name of the service whose servers crash.
 pub const POISON_SERVICE: &str = "fragile";
-/// First part of its requests' paths, and of their ids.
+/// First segment of the paths of this service's requests, and prefix of their ids.
 pub const POISON_REQUEST_KIND: &str = "harm";
-/// How the ids of harmful ones begin.
+/// Prefix of the ids of poison requests.
 pub const POISON_ID_PREFIX: &str = "harm-bad-";
-/// Key of the harmful ones; others end no server.
-const BAD_KEY: u32 = 0;
-/// Keys of its requests.
-const KEYS: u32 = 6;
-/// Servers at a time.
-const SERVERS: usize = 6;
-/// Time that a request works, and after which a harmful one ends its server.
-const WORK: Duration = Duration::from_millis(15);
-/// Time after which the store loses a server that ended, and until another start.
-const LAPSES: Duration = Duration::from_millis(400);
-const BACK: Duration = Duration::from_millis(500);
+/// Affinity key of poison requests; requests with other keys crash no server.
+const POISON_KEY: u32 = 0;
+/// Number of affinity keys of the service's requests.
+const AFFINITY_KEYS: u32 = 6;
+/// Number of servers running at a time.
+const SERVER_COUNT: usize = 6;
+/// Time that a request runs; a poison request crashes its server after it.
+const RUN_TIME: Duration = Duration::from_millis(15);
+/// Time after a crash until the store removes the server, and from then until its next
+/// start.
+const REMOVAL_DELAY: Duration = Duration::from_millis(400);
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 /// Time between two requests of a caller.
-const PAUSE: Duration = Duration::from_millis(70);
-/// Part of the requests that are harmful.
-const BAD_PART: f64 = 0.3;
-/// Time after a fault in which a host may not know yet, in milliseconds.
-const CALM_MS: u64 = 4_000;
+const REQUEST_PAUSE: Duration = Duration::from_millis(70);
+/// Fraction of requests that are poison.
+const POISON_FRACTION: f64 = 0.3;
+/// Time after a fault during which a host may not yet know which requests are poison, in
+/// milliseconds.
+const RECOVERY_MS: u64 = 4_000;
 
-/// Starts the servers; each that ends comes back as another start.
+/// Starts the servers. Each one that crashes is started again under a new id.
 pub fn start(world: &Rc<World>) {
-    for number in 0..SERVERS {
+    for number in 0..SERVER_COUNT {
         let world = world.clone();
         compio::runtime::spawn(async move {
             for start in 0u64.. {
-                if let Err(error) = one(&world, &format!("{POISON_SERVICE}-{number}-{start}")).await
+                if let Err(error) =
+                    run_server(&world, &format!("{POISON_SERVICE}-{number}-{start}")).await
                 {
                     world.ledger.borrow_mut().add_violation(format!("no server: {error}"));
                     return;
@@ -56,49 +59,51 @@
     }
 }
 
-/// One start of a server, to its end.
-async fn one(world: &Rc<World>, id: &str) -> io::Result<()> {
+/// Runs one start of a server until it crashes.
+async fn run_server(world: &Rc<World>, id: &str) -> io::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address: SocketAddr = listener.local_addr()?;
-    let ended = Rc::new(Cell::new(false));
+    let crashed = Rc::new(Cell::new(false));
     let (stopper, stop) = Stopper::new();
-    let (seen, server, at) = (ended.clone(), id.to_owned(), world.clone());
-    let handler = move |_, request| answer(at.clone(), seen.clone(), server.clone(), request);
+    let (crash_flag, server, handler_world) = (crashed.clone(), id.to_owned(), world.clone());
+    let handler = move |_, request| {
+        answer(handler_world.clone(), crash_flag.clone(), server.clone(), request)
+    };
     compio::runtime::spawn(server::serve(listener, None, stop, handler)).detach();
     world.register_server(id, POISON_SERVICE, address, false);
-    while !ended.get() {
-        compio::time::sleep(WORK / 3).await;
+    while !crashed.get() {
+        compio::time::sleep(RUN_TIME / 3).await;
     }
     stopper.stop();
     world.ledger.borrow_mut().record_crash(world.now());
-    compio::time::sleep(LAPSES).await;
+    compio::time::sleep(REMOVAL_DELAY).await;
     world.put(RowKey::Server(id.into()), None);
-    compio::time::sleep(BACK).await;
+    compio::time::sleep(RESTART_DELAY).await;
     Ok(())
 }
 
 async fn answer(
     world: Rc<World>,
-    ended: Rc<Cell<bool>>,
+    crashed: Rc<Cell<bool>>,
     server: String,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Aborted> {
     let id = request.headers().get("elmstream-request").and_then(|id| id.to_str().ok());
     let id = id.unwrap_or_default().to_owned();
-    if ended.get() {
+    if crashed.get() {
         return Err(Aborted);
     }
     world.ledger.borrow_mut().record_run(&id);
     if id.starts_with(POISON_ID_PREFIX) {
         world.ledger.borrow_mut().record_poison_run(&id);
     }
-    compio::time::sleep(WORK).await;
+    compio::time::sleep(RUN_TIME).await;
     if id.starts_with(POISON_ID_PREFIX) {
-        ended.set(true);
+        crashed.set(true);
     }
-    if ended.get() {
-        // The end of a process closes its listener before its connections.
-        compio::time::sleep(WORK).await;
+    if crashed.get() {
+        // When a process ends, its listener closes before its connections.
+        compio::time::sleep(RUN_TIME).await;
         return Err(Aborted);
     }
     let mut response = Response::new(body::full(format!("{id} {server}")));
@@ -109,35 +114,38 @@
     Ok(response)
 }
 
-/// Sends requests until the time is over, harmful ones among them.
+/// Sends requests, a fraction of them poison, until `until`, in milliseconds since the start
+/// of the soak.
 pub async fn run(world: Rc<World>, hosts: Hosts, number: u64, until: u64) {
     let mut random = StdRng::seed_from_u64(number);
     let mut count = 0u64;
     while world.now() < until {
         count += 1;
         let host = random.random_range(0..hosts.borrow().len());
-        let bad = random.random_bool(BAD_PART);
-        let id = match bad {
+        let is_poison = random.random_bool(POISON_FRACTION);
+        let id = match is_poison {
             true => format!("{POISON_ID_PREFIX}{number}-{count}"),
             false => format!("{POISON_REQUEST_KIND}-{number}-{count}"),
         };
         let version = world.ledger.borrow().newest_version();
-        let key = match bad {
-            // As if no host knew a harmful request when it comes again.
-            true if world.breaks("harm") => KEYS + count as u32,
-            true => BAD_KEY,
-            false => random.random_range(1..KEYS),
+        let key = match is_poison {
+            // Gives each poison request a different content, so that no host can recognize
+            // it.
+            true if world.breaks("harm") => AFFINITY_KEYS + count as u32,
+            true => POISON_KEY,
+            false => random.random_range(1..AFFINITY_KEYS),
         };
-        let shows = RequestParams { key, workspace: NAMES[0], key_version: version };
-        if let Some(line) = HostConnection::open(&world, &hosts, host).await {
-            let calm = world.now() > hosts.borrow()[host].disturbed_ms + CALM_MS;
-            if bad {
+        let params = RequestParams { key, workspace: NAMES[0], key_version: version };
+        if let Some(connection) = HostConnection::open(&world, &hosts, host).await {
+            let undisturbed = world.now() > hosts.borrow()[host].disturbed_ms + RECOVERY_MS;
+            if is_poison {
                 let due = world.outages.borrow().due(world.ledger.borrow().third_crash_ms());
-                let knows = calm && due.is_some_and(|due| due + CALM_MS < world.now());
-                world.ledger.borrow_mut().record_poison_sent(&id, knows);
+                let must_refuse =
+                    undisturbed && due.is_some_and(|due| due + RECOVERY_MS < world.now());
+                world.ledger.borrow_mut().record_poison_sent(&id, must_refuse);
             }
-            line.request(&world, &hosts, POISON_REQUEST_KIND, &id, shows).await;
+            connection.request(&world, &hosts, POISON_REQUEST_KIND, &id, params).await;
         }
-        compio::time::sleep(PAUSE).await;
+        compio::time::sleep(REQUEST_PAUSE).await;
     }
 }
--- a/elmstream_soak/src/process.rs
+++ b/elmstream_soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Hosts as processes, which only the soak that started them ends.
+//! Entry hosts as child processes of a soak.
 
 use std::{
     fs, io,
@@ -9,51 +9,52 @@
 
 use crate::world;
 
-/// Time between the notice of a planned stop and the end of new connections.
+/// Time between the stop signal and the end of new connections.
 pub const STOP_NOTICE_MS: u64 = 300;
-/// Time that a planned stop may take.
-const GRACE_MS: u64 = 3_000;
+/// Time limit for a planned stop.
+const STOP_GRACE_MS: u64 = 3_000;
 
-/// Which host of which soak.
+/// Identifies a host of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct HostId {
     /// Number of the soak in this process.
     pub soak: u8,
-    /// Number of the host.
+    /// Index of the host.
     pub number: usize,
-    /// Number of hosts.
+    /// Number of hosts in the soak.
     pub host_count: usize,
 }
 
-/// A host.
+/// An entry host that runs as a child process. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
-    place: HostId,
+    host_id: HostId,
     store: SocketAddr,
     folder: PathBuf,
     program: PathBuf,
     child: Option<Child>,
-    /// Number of its present start.
+    /// Number of its current start; 0 before the first one.
     pub start_number: u64,
-    /// When it was started, in milliseconds since the beginning.
+    /// When it was started, in milliseconds since the start of the soak.
     pub started_ms: u64,
-    /// When it was last disturbed by anything, in milliseconds since the beginning.
+    /// When it last had any fault or restart, in milliseconds since the start of the soak.
     pub disturbed_ms: u64,
-    /// When that was last not by planned work; a lack of processor time does not count.
+    /// When it last had an unplanned fault; a lack of processor time does not count as one.
     pub unplanned_ms: Option<u64>,
-    /// When this start was asked to stop.
+    /// When the current start was asked to stop.
     pub stop_requested_ms: Option<u64>,
-    /// How often this start was asked to stop.
+    /// How often the current start was asked to stop.
     pub stop_requests: u32,
-    /// When it was last told of changed settings.
+    /// When the current start was last signalled to reload its settings.
     pub reloaded_ms: Option<u64>,
 }
 
 impl Process {
-    /// A host that is not started yet.
-    pub fn new(place: HostId, store: SocketAddr, folder: PathBuf, program: PathBuf) -> Process {
+    /// A host that is not started yet. `store` is the address of its store; settings and
+    /// logs are written into `folder`.
+    pub fn new(host_id: HostId, store: SocketAddr, folder: PathBuf, program: PathBuf) -> Process {
         Process {
-            place,
+            host_id,
             store,
             folder,
             program,
@@ -68,33 +69,35 @@
         }
     }
 
-    /// Its name, as the store knows it.
+    /// Its name in the store.
     pub fn name(&self) -> String {
-        format!("host-{}", self.place.number)
+        format!("host-{}", self.host_id.number)
     }
 
-    /// Where callers reach it.
+    /// The address on which it accepts callers.
     pub fn caller_address(&self) -> SocketAddr {
-        world::caller_address(self.place.soak, self.place.number)
+        world::caller_address(self.host_id.soak, self.host_id.number)
     }
 
-    /// Something happened to it, now, that was not planned.
+    /// Records an unplanned fault.
     pub fn record_unplanned(&mut self, now: u64) {
         self.disturbed_ms = now;
         self.unplanned_ms = Some(now);
     }
 
-    /// Starts it.
+    /// Writes the host's settings and starts it.
+    ///
+    /// Fails if a file cannot be written or the process cannot be started.
     pub fn start(&mut self, now: u64) -> io::Result<()> {
-        let peers = |number| world::peer_address(self.place.soak, number);
-        let seeds: Vec<_> = (0..self.place.host_count.min(3)).map(peers).collect();
+        let peers = |number| world::peer_address(self.host_id.soak, number);
+        let seeds: Vec<_> = (0..self.host_id.host_count.min(3)).map(peers).collect();
         let settings = serde_json::json!({
             "host": {
                 "name": self.name(), "domain": "a1", "region": "a",
-                "callers": self.caller_address(), "peers": peers(self.place.number),
+                "callers": self.caller_address(), "peers": peers(self.host_id.number),
             },
             "domains": {"a1": "a"}, "seeds": seeds,
-            "stop": {"notice_ms": STOP_NOTICE_MS, "grace_ms": GRACE_MS},
+            "stop": {"notice_ms": STOP_NOTICE_MS, "grace_ms": STOP_GRACE_MS},
             "logging": {"sample": 0, "lines_per_s": 20},
         });
         let path = self.folder.join(format!("{}.json", self.name()));
@@ -116,22 +119,22 @@
         Ok(())
     }
 
-    /// Sends it a signal by name, unless it has ended: then its number may be another
-    /// process's.
+    /// Sends it a signal, by name without `SIG`. Does nothing if the host has ended, as its
+    /// process id may belong to another process then.
     pub fn signal(&mut self, name: &str) {
         self.repeat_signal(name, 1);
     }
 
-    /// Sends it a signal several times within a millisecond or so.
+    /// Sends it a signal several times within about a millisecond.
     pub fn repeat_signal(&mut self, name: &str, times: u32) {
         let Some(child) = &mut self.child else { return };
         if matches!(child.try_wait(), Ok(None)) {
-            let one = format!("kill -{name} {};", child.id());
-            let _ = Command::new("sh").arg("-c").arg(one.repeat(times as usize)).status();
+            let command = format!("kill -{name} {};", child.id());
+            let _ = Command::new("sh").arg("-c").arg(command.repeat(times as usize)).status();
         }
     }
 
-    /// How it ended, if it has ended and nobody killed it.
+    /// Its exit status, if it has ended without [`kill`](Process::kill).
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
     }
@@ -141,7 +144,7 @@
         self.child.is_none()
     }
 
-    /// Kills it and waits for its end.
+    /// Kills it and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
