--- a/elmstream_soak/src/listen.rs
+++ b/elmstream_soak/src/listen.rs
@@ -1,4 +1,4 @@
-//! Opens a listener of the soak and serves it for good.
+//! Listeners of the simulated store and backend servers.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Instant};
 
@@ -9,8 +9,9 @@
 
 use crate::world::World;
 
-/// Serves requests by a handler that gets the world, and when the request's connection
-/// was opened in milliseconds since the beginning; the address.
+/// Serves requests on a new loopback address until the process ends, and returns the
+/// address. The handler gets the world and the time at which the request's connection was
+/// opened, in milliseconds since the start of the soak.
 pub async fn serve<H, F>(world: &Rc<World>, handler: H) -> io::Result<SocketAddr>
 where
     H: Fn(Rc<World>, u64, Request<Incoming>) -> F + Clone + 'static,
@@ -20,28 +21,30 @@
     let address = listener.local_addr()?;
     let world = world.clone();
     compio::runtime::spawn(async move {
-        let (_until_the_end, never) = Stopper::new();
-        let opened = Opened(Instant::now());
-        let handler = move |_, request| handler(world.clone(), opened.millis(&world), request);
-        let _ = server::serve(listener, None, never, handler).await;
+        let (_stopper, never_stops) = Stopper::new();
+        let opened = ConnectionOpened(Instant::now());
+        let handler =
+            move |_, request| handler(world.clone(), opened.since_start_ms(&world), request);
+        let _ = server::serve(listener, None, never_stops, handler).await;
     })
     .detach();
     Ok(address)
 }
 
-/// When a connection was opened: the server clones its handler for each of them.
-struct Opened(Instant);
+/// When a connection was opened. The server clones its handler for each connection, and the
+/// clone takes the time.
+struct ConnectionOpened(Instant);
 
-impl Opened {
-    /// In milliseconds since the beginning. Used by reference, so that a handler holds
-    /// the whole value and its clones are clones of it.
-    fn millis(&self, world: &World) -> u64 {
+impl ConnectionOpened {
+    /// Time of opening, in milliseconds since the start of the soak. It takes a reference,
+    /// so that a handler captures the whole value and clones of the handler clone it.
+    fn since_start_ms(&self, world: &World) -> u64 {
         self.0.saturating_duration_since(world.started).as_millis() as u64
     }
 }
 
-impl Clone for Opened {
-    fn clone(&self) -> Opened {
-        Opened(Instant::now())
+impl Clone for ConnectionOpened {
+    fn clone(&self) -> ConnectionOpened {
+        ConnectionOpened(Instant::now())
     }
 }
--- a/elmstream_soak/src/store.rs
+++ b/elmstream_soak/src/store.rs
@@ -1,4 +1,4 @@
-//! The store of a soak, with faults.
+//! The simulated store, with faults.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,51 +16,51 @@
     world::{StoreMode, World},
 };
 
-/// Time that a slow store takes.
-const SLOW: Duration = Duration::from_millis(300);
-/// Time that a silent store keeps a call.
-const SILENT: Duration = Duration::from_secs(5);
-/// Time between two looks for changes.
-const LOOK: Duration = Duration::from_millis(10);
+/// Delay of a slow store's answers.
+const SLOW_DELAY: Duration = Duration::from_millis(300);
+/// Time for which a silent store holds a request before it closes the connection.
+const SILENT_HOLD: Duration = Duration::from_secs(5);
+/// Time between two checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Starts the store; its address.
+/// Starts the store and returns its address.
 pub async fn start(world: &Rc<World>) -> io::Result<SocketAddr> {
     listen::serve(world, answer).await
 }
 
 async fn answer(
     world: Rc<World>,
-    opened: u64,
+    opened_ms: u64,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Aborted> {
     let from = request.headers().get("from").and_then(|from| from.to_str().ok());
-    let turned_away = from.is_some() && world.refused_host.borrow().as_deref() == from;
+    let host_refused = from.is_some() && world.refused_host.borrow().as_deref() == from;
     match world.store_mode() {
         StoreMode::Closing => return Err(Aborted),
         StoreMode::Refusing => return Ok(refuse()),
-        _ if turned_away => return Ok(refuse()),
-        StoreMode::Slow => compio::time::sleep(SLOW).await,
+        _ if host_refused => return Ok(refuse()),
+        StoreMode::Slow => compio::time::sleep(SLOW_DELAY).await,
         StoreMode::Silent | StoreMode::Healthy => {}
     }
-    if !mute(&world, opened) {
+    if !is_muted(&world, opened_ms) {
         let era = world.era.get();
         let response = respond(&world, &request).await;
         if world.store_mode() == StoreMode::Closing || world.era.get() != era {
             return Err(Aborted);
         }
-        // What was asked before a silence is not answered in it either.
-        if !mute(&world, opened) {
+        // A request that came before a silence is not answered during it either.
+        if !is_muted(&world, opened_ms) {
             return Ok(response);
         }
     }
-    compio::time::sleep(SILENT).await;
+    compio::time::sleep(SILENT_HOLD).await;
     Err(Aborted)
 }
 
-/// Whether nothing comes back on a connection that was opened at a time.
-fn mute(world: &World, opened: u64) -> bool {
+/// Whether a connection opened at a time gets no answers.
+fn is_muted(world: &World, opened_ms: u64) -> bool {
     world.store_mode() == StoreMode::Silent
-        || world.muted_until_ms.get().is_some_and(|since| opened <= since)
+        || world.muted_until_ms.get().is_some_and(|since| opened_ms <= since)
 }
 
 async fn respond(world: &World, request: &Request<Incoming>) -> Response<LocalBody> {
@@ -72,44 +72,46 @@
     let number = |name: &str| text(name).parse::<u64>().unwrap_or(0);
     let host: Option<SocketAddr> = text("host").parse().ok();
     match request.uri().path() {
-        "/rows" => packed(&rows(world, number("table"), None)),
+        "/rows" => encoded(&rows(world, number("table"), None)),
         "/changes" => {
-            let mut waits = number("wait") / LOOK.as_millis() as u64;
+            let mut polls_left = number("wait") / POLL_INTERVAL.as_millis() as u64;
             let era = world.era.get();
-            while waits > 0
+            while polls_left > 0
                 && world.era.get() == era
                 && rows(world, number("table"), Some(number("after"))).rows.is_empty()
             {
-                compio::time::sleep(LOOK).await;
-                waits -= 1;
+                compio::time::sleep(POLL_INTERVAL).await;
+                polls_left -= 1;
             }
-            // A version that was not given out in this history is refused.
+            // A version that this era has not reached is refused.
             let after = number("after");
-            let there = after <= world.version.get();
-            packed(&there.then(|| rows(world, number("table"), Some(after))))
+            let known = after <= world.version.get();
+            encoded(&known.then(|| rows(world, number("table"), Some(after))))
         }
         "/announce" => {
             let listed = host.map(|host| (text("name").to_owned(), host));
             world.registered_hosts.borrow_mut().extend(listed);
-            packed(&())
+            encoded(&())
         }
         "/withdraw" => {
             world.registered_hosts.borrow_mut().remove(text("name"));
-            packed(&())
+            encoded(&())
         }
         "/harmful" => {
-            packed(&world.refused_requests.borrow().clone().into_iter().collect::<Vec<_>>())
+            encoded(&world.refused_requests.borrow().clone().into_iter().collect::<Vec<_>>())
         }
         "/list" => {
-            list(world, text("content"), text("endings"));
-            packed(&())
+            update_refused(world, text("content"), text("endings"));
+            encoded(&())
         }
-        "/progress" => packed(&progress(world, text("write"))),
-        _ => packed(&*world.registered_hosts.borrow()),
+        "/progress" => encoded(&progress(world, text("write"))),
+        _ => encoded(&*world.registered_hosts.borrow()),
     }
 }
 
-/// Writes how far a roll-out has come, if nothing has changed since; the version of it.
+/// Writes a roll-out's progress if neither it nor its order has changed since the expected
+/// versions. Returns the new version of the store; `None` if the write is malformed or was
+/// refused.
 fn progress(world: &World, hex: &str) -> Option<StoreVersion> {
     let write: RolloutWrite = postcard::from_bytes(&bytes(hex)?).ok()?;
     let progress = RowKey::Progress(write.service.clone());
@@ -121,34 +123,35 @@
     Some(world.store_version())
 }
 
-/// Bytes that are written as hexadecimal digits.
+/// Decodes hexadecimal digits; `None` if they are malformed.
 fn bytes(hex: &str) -> Option<Vec<u8>> {
     let digits = hex.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).ok());
     digits.map(|pair| u8::from_str_radix(pair?, 16).ok()).collect()
 }
 
-/// Lists a refused request, or takes it off if no endings come with it.
-fn list(world: &World, content: &str, endings: &str) {
-    let bytes = bytes(endings);
-    let endings: Option<Vec<ServerCrash>> =
+/// Adds a request to the list of refused ones, or removes it if `crashes` is empty.
+/// Malformed arguments are ignored.
+fn update_refused(world: &World, digest_hex: &str, crashes: &str) {
+    let bytes = bytes(crashes);
+    let crashes: Option<Vec<ServerCrash>> =
         bytes.and_then(|bytes| postcard::from_bytes(&bytes).ok());
-    let Some((digest, endings)) = RequestDigest::from_hex(content).zip(endings) else { return };
-    match endings.is_empty() {
+    let Some((digest, crashes)) = RequestDigest::from_hex(digest_hex).zip(crashes) else { return };
+    match crashes.is_empty() {
         true => drop(world.refused_requests.borrow_mut().remove(&digest)),
-        false => drop(world.refused_requests.borrow_mut().insert(digest, endings)),
+        false => drop(world.refused_requests.borrow_mut().insert(digest, crashes)),
     }
 }
 
 fn rows(world: &World, table: u64, after: Option<u64>) -> Page {
     let all = world.rows.borrow();
-    let wanted = all.values().filter(|row| {
-        let new = after.map_or(row.content.is_some(), |after| row.version.count > after);
-        row.key.table() as u64 == table && new
+    let selected = all.values().filter(|row| {
+        let changed = after.map_or(row.content.is_some(), |after| row.version.count > after);
+        row.key.table() as u64 == table && changed
     });
-    Page { version: world.store_version(), rows: wanted.cloned().collect() }
+    Page { version: world.store_version(), rows: selected.cloned().collect() }
 }
 
-fn packed<T: Serialize>(value: &T) -> Response<LocalBody> {
+fn encoded<T: Serialize>(value: &T) -> Response<LocalBody> {
     Response::new(body::full(postcard::to_allocvec(value).unwrap_or_default()))
 }
 
--- a/elmstream_soak/src/store_client.rs
+++ b/elmstream_soak/src/store_client.rs
@@ -1,4 +1,5 @@
-//! The soak's store, as a host sees it: kept connections, as adapters have them.
+//! Client of the soak's store, as a host uses it. It reuses connections, as the real store
+//! adapters do.
 
 use std::{cell::RefCell, net::SocketAddr, time::Duration};
 
@@ -20,15 +21,15 @@
 use hyper::client::conn::http1::SendRequest;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// Time in which the store must answer, beyond a wait that was asked for.
-const ANSWER: Duration = Duration::from_millis(500);
+/// Time limit for the store's answer, beyond a requested wait.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Rows as they travel between the soak's store and its hosts.
+/// Rows as the store sends them to hosts.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Page {
-    /// The store's version.
+    /// Version of the store.
     pub version: StoreVersion,
-    /// Rows.
+    /// Rows of the requested table.
     pub rows: Vec<elmstream_steer::view::Row>,
 }
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// The soak's store, as a host sees it.
+/// Client of the soak's store.
 #[derive(Debug)]
 pub struct StoreClient {
     address: SocketAddr,
@@ -47,7 +48,7 @@
 }
 
 impl StoreClient {
-    /// The store at an address, for a host of a name.
+    /// A client of the store at `address`, for the host `name`.
     pub fn new(address: SocketAddr, name: String) -> StoreClient {
         StoreClient { address, name, idle: RefCell::default() }
     }
@@ -57,13 +58,13 @@
         path: String,
         wait: Duration,
     ) -> Result<T, SourceError> {
-        match compio::time::timeout(ANSWER + wait, self.exchange(path)).await {
+        match compio::time::timeout(CALL_TIMEOUT + wait, self.exchange(path)).await {
             Ok(result) => result,
             Err(_) => {
-                // What rests may be as mute as the connection that was tried, and
-                // each would cost a whole time-out.
+                // Other idle connections may be as unresponsive as this one, and each would
+                // cost a whole timeout.
                 self.idle.borrow_mut().clear();
-                Err(lost("no answer in time"))
+                Err(unreached("no answer in time"))
             }
         }
     }
@@ -71,11 +72,11 @@
     async fn exchange<T: DeserializeOwned>(&self, path: String) -> Result<T, SourceError> {
         let mut sender = self.connection().await?;
         let request = Request::builder().uri(path).header("host", "store");
-        let request = request.header("from", &self.name).body(body::empty()).map_err(lost)?;
-        let response = sender.send_request(request).await.map_err(lost)?;
+        let request = request.header("from", &self.name).body(body::empty()).map_err(unreached)?;
+        let response = sender.send_request(request).await.map_err(unreached)?;
         let status = response.status();
-        let bytes = response.into_body().collect().await.map_err(lost)?;
-        // Only a connection whose answer came whole is used again.
+        let bytes = response.into_body().collect().await.map_err(unreached)?;
+        // A connection is reused only after a complete answer.
         self.idle.borrow_mut().push(sender);
         if !status.is_success() {
             return Err(SourceError::Refused { status: status.as_u16() });
@@ -90,13 +91,15 @@
             match idle {
                 Some(sender) if sender.is_ready() => return Ok(sender),
                 Some(_) => {}
-                None => return client::connect(self.address, ANSWER).await.map_err(lost),
+                None => {
+                    return client::connect(self.address, CALL_TIMEOUT).await.map_err(unreached);
+                }
             }
         }
     }
 }
 
-fn lost(cause: impl ToString) -> SourceError {
+fn unreached(cause: impl ToString) -> SourceError {
     SourceError::Unreachable { cause: cause.to_string(), kept: false }
 }
 
@@ -119,7 +122,7 @@
             after.count,
             wait.as_millis()
         );
-        // Versions of another era name other changes.
+        // Counts of another era refer to other changes.
         let page: Option<Page> = self.get(path, wait).await?;
         let page = page.filter(|page| page.version.era == after.era);
         Ok(page.map(Page::into))
@@ -152,9 +155,9 @@
     async fn add_refused_request(
         &self,
         digest: &RequestDigest,
-        endings: &[ServerCrash],
+        crashes: &[ServerCrash],
     ) -> Result<(), SourceError> {
-        let bytes = postcard::to_allocvec(endings).map_err(lost)?;
+        let bytes = postcard::to_allocvec(crashes).map_err(unreached)?;
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         let path = format!("/list?content={}&endings={hex}", digest.hex());
         self.get::<()>(path, Duration::ZERO).await
@@ -164,7 +167,7 @@
         &self,
         write: &RolloutWrite,
     ) -> Result<Option<StoreVersion>, SourceError> {
-        let bytes = postcard::to_allocvec(write).map_err(lost)?;
+        let bytes = postcard::to_allocvec(write).map_err(unreached)?;
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         self.get(format!("/progress?write={hex}"), Duration::ZERO).await
     }
