--- a/elmstream_soak/tests/planned.rs
+++ b/elmstream_soak/tests/planned.rs
@@ -1,4 +1,4 @@
-//! Planned work alone, brought about at its worst moments.
+//! Planned stops and reloads without any other fault, at their most difficult moments.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
     soak::{self, Options, Report},
 };
 
-/// Time of one soak: its work is done in the first 3 s, and a stop takes 3 s at most.
-const TIME: Duration = Duration::from_secs(6);
+/// Length of a soak: its work is done in the first 3 s, and a stop takes at most 3 s.
+const SOAK_DURATION: Duration = Duration::from_secs(6);
 
-/// Hosts of each soak.
+/// Number of hosts in a soak.
 const HOSTS: usize = 12;
 
 fn soak(faults: &[(u64, Fault)]) -> Report {
@@ -19,38 +19,37 @@
         faults.iter().map(|(at, fault)| Event { at_ms: *at, duration_ms: 1_000, fault: *fault });
     let options = Options {
         seed: 0,
-        seconds: TIME.as_secs(),
+        seconds: SOAK_DURATION.as_secs(),
         processes: HOSTS,
         broken: None,
         program: Some(env!("CARGO_BIN_EXE_elmstream_soak").into()),
     };
     let runtime = Runtime::new().expect("a runtime");
-    runtime.block_on(soak::run_events(&options, TIME, events.collect()))
+    runtime.block_on(soak::run_events(&options, SOAK_DURATION, events.collect()))
 }
 
-/// Callers saw whole requests without an answer when many hosts of a busy machine were
-/// stopped at once. A host that gets little processor time reads requests 0.3 s late;
-/// the end of its notice came while they lay in their sockets, and it closed those
-/// connections, and its listener with those that nobody had accepted, unread.
+/// Guards against requests that are lost when a host stops while it has little processor
+/// time. Such a host reads requests up to 0.3 s late; if its notice ends while they lie in
+/// its sockets and it closes these and its listener without reading, they get no answer.
 #[test]
-fn a_stop_with_little_processor_time_loses_no_request() {
-    // Whether a host is at work when it comes to a stand is up to the machine, so there
-    // are many of them, each at another moment before the end of its notice.
-    let stop = |n: usize| {
+fn stop_with_little_processor_time_loses_no_request() {
+    // Whether a host is at work when it is frozen depends on the machine, so there are many
+    // hosts, each frozen at another moment before the end of its notice.
+    let stop_starved = |n: usize| {
         let at = 1_000 + 120 * n as u64;
         [(at, Fault::Terminate(n)), (at + 190 + 8 * n as u64, Fault::Starve(n))]
     };
-    let mut faults: Vec<_> = (0..HOSTS).flat_map(stop).collect();
+    let mut faults: Vec<_> = (0..HOSTS).flat_map(stop_starved).collect();
     faults.sort_by_key(|(at, _)| *at);
     let report = soak(&faults);
     assert!(report.passed(), "{report}");
 }
 
-/// A host that was asked to stop a second time, 0.15 s after the first, ended at once
-/// and cut what its callers had sent: once a signal has been waited for, its default
-/// action is in force again.
+/// Guards against a second stop signal, here 0.15 s after the first, ending a host at once
+/// and aborting its requests. That happens if the signal's default action is in force again
+/// once the first signal has been received.
 #[test]
-fn a_second_request_to_stop_does_not_end_a_host_at_once() {
+fn second_stop_signal_does_not_end_host_at_once() {
     let report = soak(&[
         (1_000, Fault::Terminate(0)),
         (1_150, Fault::Terminate(0)),
@@ -60,12 +59,11 @@
     assert!(report.passed(), "{report}");
 }
 
-/// A host that was told of changed settings again while it read them ended by that
-/// signal and cut what its callers had sent: between two waits for a signal, its
-/// default action is in force.
+/// Guards against a reload signal ending a host that is just reading its settings. That
+/// happens if the signal's default action is in force between two waits for the signal.
 #[test]
-fn settings_that_change_again_and_again_do_not_end_a_host() {
-    let often = |n: usize| (1_500 + 100 * n as u64, Fault::ReloadBurst(n % 3));
-    let report = soak(&(0..15).map(often).collect::<Vec<_>>());
+fn repeated_reload_signals_do_not_end_host() {
+    let reload_burst = |n: usize| (1_500 + 100 * n as u64, Fault::ReloadBurst(n % 3));
+    let report = soak(&(0..15).map(reload_burst).collect::<Vec<_>>());
     assert!(report.passed(), "{report}");
 }
--- a/elmstream_soak/tests/soak.rs
+++ b/elmstream_soak/tests/soak.rs
@@ -1,4 +1,5 @@
-//! A short soak, and soaks that must notice a broken rule.
+//! A short soak, targeted soaks, and soaks with a rule broken on purpose, which the checks
+//! have to detect.
 
 use std::time::Duration;
 
@@ -26,49 +27,53 @@
 }
 
 #[test]
-fn promises_hold_under_faults() {
+fn guarantees_hold_under_random_faults() {
     let report = soak(1, 10, None);
     assert!(report.passed(), "{report}");
 }
 
 #[test]
-fn a_request_that_runs_twice_is_noticed() {
+fn second_run_is_detected() {
     let report = soak(2, 6, Some("once"));
     assert!(report.violations().iter().any(|text| text.contains("ran 2 times")), "{report}");
 }
 
 #[test]
-fn a_configuration_that_goes_back_is_noticed() {
+fn older_configuration_is_detected() {
     let report = soak(2, 6, Some("back"));
     assert!(report.violations().iter().any(|text| text.contains("is in force")), "{report}");
 }
 
 #[test]
-fn an_answer_of_another_request_is_noticed() {
+fn answer_to_another_request_is_detected() {
     let report = soak(2, 6, Some("mixed"));
     assert!(report.violations().iter().any(|text| text.contains("got the answer of")), "{report}");
 }
 
 #[test]
-fn a_request_without_an_answer_is_noticed() {
+fn unanswered_request_is_detected() {
     let report = soak(2, 6, Some("lost"));
     assert!(report.violations().iter().any(|text| text.contains("got no answer")), "{report}");
 }
 
 #[test]
-fn a_wrong_name_a_key_passed_on_and_a_limit_passed_are_noticed() {
-    for (broken, told) in
+fn wrong_workspace_name_forwarded_key_and_exceeded_limit_are_detected() {
+    for (broken, expected) in
         [("name", "under another name"), ("key", "with its key"), ("limit", "over a limit")]
     {
         let report = soak(2, 6, Some(broken));
-        assert!(report.violations().iter().any(|text| text.contains(told)), "{broken}: {report}");
+        assert!(
+            report.violations().iter().any(|text| text.contains(expected)),
+            "{broken}: {report}"
+        );
     }
 }
 
-/// Servers say of themselves what they want, in their answers alone; nothing else happens.
-fn saying(broken: Option<&str>) -> Report {
+/// Servers announce what they need in their answers only; the single other fault is an
+/// outage of the store.
+fn server_signals(broken: Option<&str>) -> Report {
     let options = options(3, 16, broken);
-    let event = |at, lasts, fault| Event { at_ms: at, duration_ms: lasts, fault };
+    let event = |at_ms, duration_ms, fault| Event { at_ms, duration_ms, fault };
     let events = vec![
         event(2_500, 0, Fault::NameLimit(0)),
         event(3_000, 3_500, Fault::BackOff(1)),
@@ -81,38 +86,42 @@
 }
 
 #[test]
-fn servers_get_what_they_ask_for() {
-    let report = saying(None);
+fn leaving_back_off_and_limit_of_servers_are_respected() {
+    let report = server_signals(None);
     assert!(report.passed(), "{report}");
-    for judged in ["rest judged", "limit judged", "leaving judged"] {
-        assert!(report.counts().contains_key(judged), "{judged}: {report}");
+    for check in ["rest judged", "limit judged", "leaving judged"] {
+        assert!(report.counts().contains_key(check), "{check}: {report}");
     }
 }
 
 #[test]
-fn a_server_that_does_not_get_what_it_asks_for_is_noticed() {
-    for (broken, told) in
-        [("rest", "in its rest"), ("need", "are allowed"), ("leave", "requests more")]
+fn ignored_server_signals_are_detected() {
+    for (broken, expected) in
+        [("rest", "during its back-off"), ("need", "are allowed"), ("leave", "requests more")]
     {
-        let report = saying(Some(broken));
-        assert!(report.violations().iter().any(|text| text.contains(told)), "{broken}: {report}");
+        let report = server_signals(Some(broken));
+        assert!(
+            report.violations().iter().any(|text| text.contains(expected)),
+            "{broken}: {report}"
+        );
     }
 }
 
-/// The third server ends in the first second; 6.5 s later all calm hosts must know.
+/// The third server crashes in the first second; 6.5 s later all undisturbed hosts have to
+/// refuse the request.
 #[test]
-fn a_request_that_goes_on_ending_servers_is_noticed() {
+fn unrefused_poison_request_is_detected() {
     let options = options(2, 10, Some("harm"));
     let runtime = Runtime::new().expect("a runtime");
-    let calm = Vec::new();
-    let report = runtime.block_on(soak::run_events(&options, Duration::from_secs(10), calm));
+    let no_faults = Vec::new();
+    let report = runtime.block_on(soak::run_events(&options, Duration::from_secs(10), no_faults));
     assert!(report.violations().iter().any(|text| text.contains("had to know")), "{report}");
 }
 
-/// The store comes back from a copy three seconds old.
+/// The store is restored from a backup that is three seconds old.
 fn restored(broken: Option<&str>) -> Report {
     let options = options(2, 12, broken);
-    let event = |at, lasts, fault| Event { at_ms: at, duration_ms: lasts, fault };
+    let event = |at_ms, duration_ms, fault| Event { at_ms, duration_ms, fault };
     let events = vec![
         event(2_600, 0, Fault::Configure),
         event(3_800, 0, Fault::Configure),
@@ -124,37 +133,41 @@
 }
 
 #[test]
-fn promises_hold_when_the_store_comes_back_from_a_copy() {
+fn guarantees_hold_when_store_is_restored_from_backup() {
     let report = restored(None);
     assert!(report.passed(), "{report}");
 }
 
-/// Hosts cannot see it, and pass over the next configuration.
+/// Without a new era hosts cannot detect the restore, and ignore the next configuration.
 #[test]
-fn a_return_of_the_store_that_hosts_do_not_see_is_noticed() {
+fn restore_that_hosts_cannot_detect_is_detected() {
     let report = restored(Some("era"));
     assert!(report.violations().iter().any(|text| text.contains("is in force")), "{report}");
 }
 
 #[test]
-fn a_seed_gives_the_same_faults_again() {
+fn equal_seeds_draw_equal_faults() {
     assert_eq!(faults::draw(7, 60_000, 5, 5), faults::draw(7, 60_000, 5, 5));
     assert_ne!(faults::draw(7, 60_000, 5, 5), faults::draw(8, 60_000, 5, 5));
 }
 
 #[test]
-fn series_fall_between_each_other_and_in_order() {
+fn drawn_faults_are_ordered_and_stops_are_grouped() {
     let events = faults::draw(7, 600_000, 5, 5);
-    let at: Vec<_> = events.iter().map(|event| event.at_ms).collect();
-    assert!(at.is_sorted());
-    assert!(at.iter().all(|at| (2_500..597_500).contains(at)));
-    let planned = events.iter().filter(|event| matches!(event.fault, Fault::Terminate(_)));
-    let times: Vec<_> = planned.map(|event| event.at_ms).collect();
-    let together = times.windows(2).filter(|pair| pair[1] - pair[0] <= 1_000).count();
-    assert!(together > times.len() / 2, "{together} of {} stops follow another", times.len());
-}
-
-/// The shop is rolled out; nothing else happens.
+    let at_ms: Vec<_> = events.iter().map(|event| event.at_ms).collect();
+    assert!(at_ms.is_sorted());
+    assert!(at_ms.iter().all(|at_ms| (2_500..597_500).contains(at_ms)));
+    let stops = events.iter().filter(|event| matches!(event.fault, Fault::Terminate(_)));
+    let stop_times: Vec<_> = stops.map(|event| event.at_ms).collect();
+    let grouped = stop_times.windows(2).filter(|pair| pair[1] - pair[0] <= 1_000).count();
+    assert!(
+        grouped > stop_times.len() / 2,
+        "{grouped} of {} stops are close to the one before",
+        stop_times.len()
+    );
+}
+
+/// The shop is rolled out, without any other fault.
 fn rolled_out(bad: bool, broken: Option<&str>) -> Report {
     let options = options(2, 14, broken);
     let event = Event { at_ms: 4_000, duration_ms: 0, fault: Fault::RollOut(bad) };
@@ -172,7 +185,7 @@
 }
 
 #[test]
-fn a_version_that_gets_too_much_or_is_not_decided_is_noticed() {
+fn excess_exposure_and_missing_decision_are_detected() {
     let faults = [(true, "exposure"), (true, "rolled_back"), (false, "completed")];
     for (bad, broken) in faults {
         let report = rolled_out(bad, Some(broken));
