--- a/elmstream_soak/src/store_client.rs
+++ b/elmstream_soak/src/store_client.rs
@@ -64,7 +64,7 @@
                 // Other idle connections may be as unresponsive as this one, and each would
                 // cost a whole timeout.
                 self.idle.borrow_mut().clear();
-                Err(unreached("no answer in time"))
+                Err(failure("no answer in time"))
             }
         }
     }
@@ -72,10 +72,10 @@
     async fn exchange<T: DeserializeOwned>(&self, path: String) -> Result<T, SourceError> {
         let mut sender = self.connection().await?;
         let request = Request::builder().uri(path).header("host", "store");
-        let request = request.header("from", &self.name).body(body::empty()).map_err(unreached)?;
-        let response = sender.send_request(request).await.map_err(unreached)?;
+        let request = request.header("from", &self.name).body(body::empty()).map_err(failure)?;
+        let response = sender.send_request(request).await.map_err(failure)?;
         let status = response.status();
-        let bytes = response.into_body().collect().await.map_err(unreached)?;
+        let bytes = response.into_body().collect().await.map_err(failure)?;
         // A connection is reused only after a complete answer.
         self.idle.borrow_mut().push(sender);
         if !status.is_success() {
@@ -91,15 +91,13 @@
             match idle {
                 Some(sender) if sender.is_ready() => return Ok(sender),
                 Some(_) => {}
-                None => {
-                    return client::connect(self.address, CALL_TIMEOUT).await.map_err(unreached);
-                }
+                None => return client::connect(self.address, CALL_TIMEOUT).await.map_err(failure),
             }
         }
     }
 }
 
-fn unreached(cause: impl ToString) -> SourceError {
+fn failure(cause: impl ToString) -> SourceError {
     SourceError::Unreachable { cause: cause.to_string(), kept: false }
 }
 
@@ -157,7 +155,7 @@
         digest: &RequestDigest,
         crashes: &[ServerCrash],
     ) -> Result<(), SourceError> {
-        let bytes = postcard::to_allocvec(crashes).map_err(unreached)?;
+        let bytes = postcard::to_allocvec(crashes).map_err(failure)?;
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         let path = format!("/list?content={}&endings={hex}", digest.hex());
         self.get::<()>(path, Duration::ZERO).await
@@ -167,7 +165,7 @@
         &self,
         write: &RolloutWrite,
     ) -> Result<Option<StoreVersion>, SourceError> {
-        let bytes = postcard::to_allocvec(write).map_err(unreached)?;
+        let bytes = postcard::to_allocvec(write).map_err(failure)?;
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         self.get(format!("/progress?write={hex}"), Duration::ZERO).await
     }
