--- a/elmstream_bench/src/analyze.rs
+++ b/elmstream_bench/src/analyze.rs
@@ -1,9 +1,9 @@
-//! What binds, from the JSON lines of hosts.
+//! Summarizes the event logs of entry hosts, to show what limits requests.
 //!
-//! Reads the lines of any number of hosts, in any order, and tells by window and service
-//! what became of requests and tries, what refusals rested on, and which servers were
-//! out of use. Served requests are sampled and lines are bounded, so figures compare
-//! with each other, not with all requests; `dropped` tells how many lines are missing.
+//! Reads the JSON lines of any number of hosts in any order. For each service and window it
+//! counts requests and tries; it also counts refusals by their reason and lists how long
+//! servers were silent. Served requests are sampled and the rate of lines is limited, so the
+//! figures compare with each other and are no totals; `dropped` counts the lines left out.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,30 +14,30 @@
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 
-/// Length of a window, in milliseconds; the users' bench judges by the same.
+/// Length of a window, in milliseconds; the users' own analysis uses the same length.
 const WINDOW_MS: u64 = 2_000;
-/// Spans of silence that are listed at most, the longest ones.
-const SPANS: usize = 12;
+/// Maximum number of silences listed; the longest ones are.
+const MAX_LISTED_SILENCES: usize = 12;
 
-/// Why lines cannot be analyzed.
+/// Why event logs cannot be analyzed.
 #[derive(Debug, Snafu)]
 pub enum AnalyzeError {
     /// A file cannot be read.
     #[snafu(display("{path}: {source}"))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The cause.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// The files hold no line of a host.
-    #[snafu(display("no line of a host in the files"))]
+    /// The files contain no line of an event log.
+    #[snafu(display("no line of an event log in the files"))]
     Empty,
 }
 
-/// A line, as far as it is looked at.
+/// The analyzed fields of a line.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogLine {
     unix_ms: u64,
     event: String,
     service: Option<String>,
@@ -49,77 +49,80 @@
     #[serde(default)]
     returning: bool,
     #[serde(default)]
-    tried: Vec<Tried>,
+    tried: Vec<Try>,
     server: Option<String>,
     state: Option<String>,
     #[serde(default)]
     dropped: u64,
-    /// What stands before the line: the host's name, if lines of several are put together.
+    /// Text before the JSON object: the host's name, if logs of several hosts were merged.
     #[serde(skip)]
     host: String,
 }
 
-impl Line {
-    /// A line of a host; none if it is something else.
-    fn parse(text: &str) -> Option<Line> {
+impl LogLine {
+    /// Parses a line; `None` if it is not part of an event log.
+    fn parse(text: &str) -> Option<LogLine> {
         let at = text.find('{')?;
-        let mut line: Line = serde_json::from_str(&text[at..]).ok()?;
+        let mut line: LogLine = serde_json::from_str(&text[at..]).ok()?;
         line.host = text[..at].split_whitespace().last().unwrap_or_default().to_owned();
         Some(line)
     }
 }
 
-/// A try at a server.
+/// One try of a request at a server.
 #[derive(Debug, Deserialize)]
-struct Tried {
+struct Try {
     server: String,
     outcome: String,
     ms: u64,
     knew: Option<bool>,
 }
 
-/// What became of a service's requests in one window.
+/// Requests of a service in one window.
 #[derive(Debug, Default)]
 struct Window {
-    /// Requests by what they came to.
+    /// Number of requests by final event.
     requests: BTreeMap<String, u32>,
-    /// Tries by outcome.
+    /// Number of tries by outcome.
     tries: BTreeMap<String, u32>,
-    /// Answers of servers that were taken to know the key, and their milliseconds.
-    knowing: (u32, u64),
-    /// The same of the others.
-    unknowing: (u32, u64),
-    /// Answers by server.
+    /// Answers by servers that were warm for the key: number and total milliseconds.
+    warm: (u32, u64),
+    /// Answers by other servers: number and total milliseconds.
+    cold: (u32, u64),
+    /// Number of answers by server.
     servers: BTreeMap<String, u32>,
 }
 
-/// Refusals of one service for one reason.
+/// Refusals of a service for one reason.
 #[derive(Debug, Default)]
 struct Refusals {
     count: u32,
-    /// Those with a slot free at some server.
+    /// Refusals while some server had a free slot.
     with_free: u32,
-    /// Those of callers who came back.
+    /// Refusals of returning callers.
     returning: u32,
-    /// By occupied tenth of the slots.
+    /// Refusals by load of the service, in tenths of its slots.
     tenths: [u32; 11],
 }
 
-/// Since when servers have been silent, by server and host.
-type Silent = BTreeMap<(String, String), u64>;
+/// When a server fell silent, in Unix milliseconds, by server and observing host.
+type SilentSince = BTreeMap<(String, String), u64>;
 
-/// What lines tell.
+/// Summary of event logs.
 #[derive(Debug, Default)]
 pub struct Report {
-    begin: u64,
+    begin_ms: u64,
     windows: BTreeMap<(String, u64), Window>,
     refusals: BTreeMap<(String, String), Refusals>,
-    /// Spans of silence: length in milliseconds, server, host that said so, when it began.
+    /// Silences: length in milliseconds, server, observing host, and begin in Unix
+    /// milliseconds.
     silences: Vec<(u64, String, String, u64)>,
     dropped: u64,
 }
 
-/// Reads files of lines.
+/// Reads and summarizes files of event logs.
+///
+/// Fails if a file cannot be read or no file contains a line of an event log.
 pub fn read_files(paths: &[String]) -> Result<Report, AnalyzeError> {
     let mut text = String::new();
     for path in paths {
@@ -130,19 +133,19 @@
 }
 
 impl Report {
-    /// What a text of lines tells; none if it holds none. What stands before the first
-    /// brace of a line, and lines that are not a host's, are passed over.
+    /// Summarizes the lines of a text; `None` if it contains none of an event log. Text
+    /// before a line's first brace and lines that cannot be parsed are ignored.
     pub fn from_text(text: &str) -> Option<Report> {
-        let mut lines: Vec<Line> = text.lines().filter_map(Line::parse).collect();
+        let mut lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
         lines.sort_by_key(|line| line.unix_ms);
-        let mut report = Report { begin: lines.first()?.unix_ms, ..Report::default() };
-        let mut silent = Silent::new();
+        let mut report = Report { begin_ms: lines.first()?.unix_ms, ..Report::default() };
+        let mut silent = SilentSince::new();
         for line in &lines {
             report.dropped += line.dropped;
             match &line.service {
-                Some(service) => report.request(service, line),
+                Some(service) => report.record_request(service, line),
                 None if line.event == "start" => silent.retain(|(_, host), _| *host != line.host),
-                None => report.belief(&mut silent, line),
+                None => report.record_state_change(&mut silent, line),
             }
         }
         let end = lines.last()?.unix_ms;
@@ -153,12 +156,12 @@
         Some(report)
     }
 
-    fn request(&mut self, service: &str, line: &Line) {
-        let window = (line.unix_ms - self.begin) / WINDOW_MS;
+    fn record_request(&mut self, service: &str, line: &LogLine) {
+        let window = (line.unix_ms - self.begin_ms) / WINDOW_MS;
         let window = self.windows.entry((service.to_owned(), window)).or_default();
         *window.requests.entry(line.event.clone()).or_default() += 1;
         for tried in &line.tried {
-            window.take(tried);
+            window.record_try(tried);
         }
         if let Some(reason) = line.reason.as_ref().filter(|_| line.event == "refused") {
             let key = (service.to_owned(), reason.clone());
@@ -170,7 +173,7 @@
         }
     }
 
-    fn belief(&mut self, silent: &mut Silent, line: &Line) {
+    fn record_state_change(&mut self, silent: &mut SilentSince, line: &LogLine) {
         let (Some(server), Some(state)) = (&line.server, &line.state) else { return };
         let key = (server.clone(), line.host.clone());
         if state == "silent" {
@@ -180,31 +183,32 @@
         }
     }
 
-    /// The report as text.
+    /// The summary as text for a terminal.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let services: BTreeSet<&String> = self.windows.keys().map(|(service, _)| service).collect();
         for service in services {
-            self.service(&mut text, service);
+            self.write_service(&mut text, service);
         }
-        self.silent(&mut text);
+        self.write_silences(&mut text);
         // Writing to a string does not fail.
-        let _ = writeln!(text, "lines that were left out by the hosts: {}", self.dropped);
+        let _ = writeln!(text, "lines left out by the hosts: {}", self.dropped);
         text
     }
 
-    fn service(&self, text: &mut String, service: &str) {
+    fn write_service(&self, text: &mut String, service: &str) {
         let _ = writeln!(text, "service {service}");
         for ((name, reason), refusals) in &self.refusals {
             if name == service {
                 let _ = writeln!(
                     text,
-                    "  refused, {reason}: {}, of them {} with a slot free, {} came back; by tenth of the load {:?}",
+                    "  refused, {reason}: {}, of them {} with a slot free, {} of returning callers; by tenth of the load {:?}",
                     refusals.count, refusals.with_free, refusals.returning, refusals.tenths,
                 );
             }
         }
-        let _ = writeln!(text, "  second: requests; tries; mean ms if the key was known, if not");
+        let _ =
+            writeln!(text, "  second: requests; tries; mean ms with a warm key, with a cold one");
         for ((name, number), window) in &self.windows {
             if name == service {
                 let second = number * WINDOW_MS / 1_000;
@@ -213,23 +217,25 @@
         }
     }
 
-    fn silent(&self, text: &mut String) {
-        let _ = writeln!(text, "longest silences, as each host saw them");
-        for (length, server, host, since) in self.silences.iter().take(SPANS) {
-            let at = (since - self.begin) as f64 / 1_000.0;
-            let _ =
-                writeln!(text, "  {server} for {length} ms from second {at:.1}, said by {host}");
+    fn write_silences(&self, text: &mut String) {
+        let _ = writeln!(text, "longest silences, as observed by each host");
+        for (length, server, host, since) in self.silences.iter().take(MAX_LISTED_SILENCES) {
+            let at = (since - self.begin_ms) as f64 / 1_000.0;
+            let _ = writeln!(
+                text,
+                "  {server} for {length} ms from second {at:.1}, reported by {host}"
+            );
         }
     }
 }
 
 impl Window {
-    fn take(&mut self, tried: &Tried) {
+    fn record_try(&mut self, tried: &Try) {
         *self.tries.entry(tried.outcome.clone()).or_default() += 1;
         let Some(knew) = tried.knew else { return };
-        let meetings = if knew { &mut self.knowing } else { &mut self.unknowing };
-        meetings.0 += 1;
-        meetings.1 += tried.ms;
+        let answers = if knew { &mut self.warm } else { &mut self.cold };
+        answers.0 += 1;
+        answers.1 += tried.ms;
         *self.servers.entry(tried.server.clone()).or_default() += 1;
     }
 
@@ -243,9 +249,9 @@
             0 => "-".to_owned(),
             _ => format!("{} ({count})", millis / u64::from(count)),
         };
-        let (knowing, unknowing) = (mean(self.knowing), mean(self.unknowing));
+        let (warm, cold) = (mean(self.warm), mean(self.cold));
         let (requests, tries) = (list(&self.requests), list(&self.tries));
         let servers = self.servers.len();
-        format!("{requests}; {tries}; {knowing}, {unknowing}; {servers} servers")
+        format!("{requests}; {tries}; {warm}, {cold}; {servers} servers")
     }
 }
--- a/elmstream_bench/tests/analyze.rs
+++ b/elmstream_bench/tests/analyze.rs
@@ -1,4 +1,4 @@
-//! What is read out of hosts' lines.
+//! Summaries of event logs.
 
 use elmstream_bench::analyze::{self, Report};
 
@@ -18,28 +18,28 @@
 "#;
 
 #[test]
-fn windows_refusals_and_silences_are_told() {
+fn report_lists_windows_refusals_and_silences() {
     let text = Report::from_text(LINES).expect("there are lines").text();
-    for told in [
+    for expected in [
         "service shop",
-        "refused, Full: 2, of them 1 with a slot free, 1 came back; by tenth of the load [0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 1]",
+        "refused, Full: 2, of them 1 with a slot free, 1 of returning callers; by tenth of the load [0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 1]",
         "   0: answered 2; answered 2, full 1; 80 (1), 300 (1); 1 servers",
         "   2: refused 2; ; -, -; 0 servers",
-        "s2 for 2500 ms from second 1.0, said by host-1",
+        "s2 for 2500 ms from second 1.0, reported by host-1",
         "left out by the hosts: 7",
     ] {
-        assert!(text.contains(told), "{told}\n{text}");
+        assert!(text.contains(expected), "{expected}\n{text}");
     }
-    assert!(!text.contains("s3 for"), "a host that started anew waits for nothing\n{text}");
+    assert!(!text.contains("s3 for"), "a restarted host ends its silences\n{text}");
 }
 
 #[test]
-fn a_missing_file_and_one_without_lines_are_told_apart() {
+fn missing_file_and_file_without_log_lines_are_distinct_errors() {
     let missing = analyze::read_files(&["/nowhere/lines".to_owned()]).expect_err("it is missing");
     assert!(missing.to_string().starts_with("/nowhere/lines: "), "{missing}");
     let path = std::env::temp_dir().join(format!("elmstream-analyze-{}", std::process::id()));
     std::fs::write(&path, "nothing\n").expect("it can be written");
     let empty = analyze::read_files(&[path.display().to_string()]).expect_err("it has no line");
     std::fs::remove_file(&path).expect("it was written");
-    assert_eq!(empty.to_string(), "no line of a host in the files");
+    assert_eq!(empty.to_string(), "no line of an event log in the files");
 }
