--- a/elmstream_bench/src/cli.rs
+++ b/elmstream_bench/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the measurements.
+//! Command line of the measurements.
 
 use std::str::FromStr;
 
@@ -7,13 +7,13 @@
 /// A part of the measurements of a user's fleet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SteeringPart {
-    /// Latency against an ideal queue and the baselines.
+    /// Latency compared with an ideal queue and with baselines.
     Latency,
-    /// Several times the capacity.
+    /// Load at several times the capacity.
     Overload,
-    /// Drains of an instance, a failure domain and an entry host.
+    /// Drains of an instance, of a failure domain and of an entry host.
     Drains,
-    /// A region that fails.
+    /// Failure of a region.
     Region,
 }
 
@@ -38,10 +38,10 @@
     /// Run the guided trial: the whole path in one process, with a report
     #[bpaf(command)]
     Trial,
-    /// Tell what binds, from the JSON lines that hosts wrote
+    /// Summarize event logs of hosts, to show what limits requests
     #[bpaf(command)]
     Analyze {
-        /// Files of lines, of any hosts
+        /// Files with event logs, of any hosts
         #[bpaf(positional("FILE"), some("name a file of lines"))]
         files: Vec<String>,
     },
@@ -51,27 +51,27 @@
     /// Measure added latency and throughput of one entry host
     #[bpaf(command)]
     Latency,
-    /// Measure control at rest and the spread of changes
+    /// Measure idle control traffic and the time until changes are in force
     #[bpaf(command)]
     Spread {
-        /// Daemons
+        /// Number of daemons
         #[bpaf(positional("HOSTS"))]
         hosts: usize,
     },
     /// Measure a user's fleet under load: leobental or kloofsig
     #[bpaf(command)]
     Steering {
-        /// The user
+        /// Name of the user
         #[bpaf(positional("USER"))]
         user: String,
-        /// latency, overload, drains or region; all of them without it
+        /// latency, overload, drains or region; all of them by default
         #[bpaf(positional("PART"))]
         part: Option<SteeringPart>,
     },
     /// Print a user's configuration: leobental or kloofsig
     #[bpaf(command)]
     Sample {
-        /// The user
+        /// Name of the user
         #[bpaf(positional("USER"))]
         user: String,
     },
--- a/elmstream_bench/src/experiment.rs
+++ b/elmstream_bench/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments on running daemons: added latency, throughput, spread of
-//! changes, and what control costs.
+//! Experiments on running daemons: added latency, throughput, the time until changes are in
+//! force everywhere, and the cost of idle control traffic.
 
 use std::{
     cell::Cell,
@@ -28,19 +28,22 @@
 };
 
 /// How long each load runs.
-const LOAD: Duration = Duration::from_secs(5);
-/// Connections that saturate.
-const CONNECTIONS: usize = 32;
+const LOAD_DURATION: Duration = Duration::from_secs(5);
+/// Number of connections that saturate a host.
+const SATURATING_CONNECTIONS: usize = 32;
 /// Requests a second at which added latency is measured.
-const LATENCY_RATE: u32 = 2_000;
-/// Changes whose spread is timed.
-const CHANGES: usize = 20;
-/// Time for a state to come about.
-const WAIT: Duration = Duration::from_secs(60);
-/// Time in which control is measured at rest.
-const REST: Duration = Duration::from_secs(10);
+const LATENCY_RATE_PER_S: u32 = 2_000;
+/// Number of changes that are timed.
+const CHANGE_COUNT: usize = 20;
+/// Time limit for reaching an awaited state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Length of the idle period before and during the measurement of control traffic.
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Runs a measurement with a fleet in a folder of its own.
+/// Runs a measurement with an empty fleet in a temporary folder, which is removed at the
+/// end.
+///
+/// Fails if the fleet or the runtime cannot be created, or if the measurement fails.
 pub fn with_fleet<T>(run: impl AsyncFnOnce(Fleet) -> Result<T, String>) -> Result<T, String> {
     let folder = env::temp_dir().join(format!("elmstream-experiment-{}", process::id()));
     let fleet = Fleet::new(&folder).map_err(|e| e.to_string())?;
@@ -50,7 +53,9 @@
     result
 }
 
-/// Added latency of an entry host, and what one thread of it carries.
+/// Prints the latency that an entry host adds, and the throughput of one of its threads.
+///
+/// Fails if the fleet does not become ready or a load cannot run.
 pub fn latency() -> Result<(), String> {
     with_fleet(async |mut fleet| {
         let mut configuration = small::configuration(&mut fleet);
@@ -64,7 +69,7 @@
         let backend = fleet.backends[0].address;
         let (owner, other) =
             (fleet.hosts[0].settings.listen.callers, fleet.hosts[1].settings.listen.callers);
-        // In turn, so that a drift of the machine's speed meets all three.
+        // The targets take turns, so that a drift of the machine's speed affects all three.
         for _ in 0..ROUNDS {
             for (what, target) in [("direct", backend), ("owner", owner), ("other", other)] {
                 let summary = timed_load(target).await?;
@@ -95,8 +100,8 @@
     let load = Load {
         targets: vec![target],
         service: "status".into(),
-        per_second: LATENCY_RATE,
-        duration: LOAD,
+        per_second: LATENCY_RATE_PER_S,
+        duration: LOAD_DURATION,
         prefix: "latency".into(),
         ..Load::default()
     };
@@ -107,14 +112,15 @@
     loading.join().map_err(|_| "the load panicked")?
 }
 
-/// Sends as fast as the answers come, over a few connections.
+/// Sends requests as fast as the answers come, over a fixed number of connections. Returns
+/// the successful requests a second.
 async fn saturate(target: SocketAddr, path: &'static str) -> Result<f64, String> {
     let running = thread::spawn(move || -> Result<f64, String> {
         let runtime = Runtime::new().map_err(|e| e.to_string())?;
         runtime.block_on(async {
             let count = Rc::new(Cell::new(0u64));
             let begin = Instant::now();
-            let loops = (0..CONNECTIONS)
+            let loops = (0..SATURATING_CONNECTIONS)
                 .map(|_| compio::runtime::spawn(send_on(target, path, count.clone())));
             for sending in loops.collect::<Vec<_>>() {
                 let _ = sending.await;
@@ -128,10 +134,10 @@
     running.join().map_err(|_| "the load panicked")?
 }
 
-/// One connection's requests, each after the answer to the one before.
+/// Sends the requests of one connection, each after the answer to the previous one.
 async fn send_on(target: SocketAddr, path: &'static str, count: Rc<Cell<u64>>) {
-    let Ok(mut sender) = client::connect(target, WAIT).await else { return };
-    let end = Instant::now() + LOAD;
+    let Ok(mut sender) = client::connect(target, STATE_TIMEOUT).await else { return };
+    let end = Instant::now() + LOAD_DURATION;
     while Instant::now() < end {
         let request = Request::get(path).header("host", "t").header("elmstream-service", "status");
         let Ok(request) = request.body(body::empty()) else { return };
@@ -144,7 +150,10 @@
     }
 }
 
-/// Control at rest and the spread of changes, with so many daemons.
+/// Prints the cost of idle control traffic and the time until changes are in force, with the
+/// given number of daemons.
+///
+/// Fails if the fleet does not reach an awaited state or a change is refused.
 pub fn spread(hosts: usize) -> Result<(), String> {
     with_fleet(async |mut fleet| {
         let configuration = LEOBENTAL.configuration(|_| SocketAddr::from(([127, 0, 0, 1], 9)));
@@ -155,18 +164,20 @@
         fleet.publish_host_list(&fleet.host_list(&[])).await.map_err(|e| e.to_string())?;
         let mut operator = Operator::connect(&fleet, 0).await?;
         operator.apply(0, &configuration).await?;
-        operator.wait_until(WAIT, "revision 1 everywhere", |s| in_force(s, 1, hosts)).await?;
-        compio::time::sleep(REST).await;
-        measure_rest(&mut operator, hosts).await?;
+        operator
+            .wait_until(STATE_TIMEOUT, "revision 1 everywhere", |s| in_force(s, 1, hosts))
+            .await?;
+        compio::time::sleep(IDLE_PERIOD).await;
+        measure_idle(&mut operator, hosts).await?;
         measure_changes(&mut operator, configuration, hosts).await?;
         drop(operator);
         fleet.stop()
     })
 }
 
-async fn measure_rest(operator: &mut Operator, hosts: usize) -> Result<(), String> {
+async fn measure_idle(operator: &mut Operator, hosts: usize) -> Result<(), String> {
     let before = operator.status().await?.control.unwrap_or_default();
-    compio::time::sleep(REST).await;
+    compio::time::sleep(IDLE_PERIOD).await;
     let after = operator.status().await?.control.unwrap_or_default();
     let seconds = (after.uptime_us - before.uptime_us) as f64 / 1e6;
     let nodes = hosts as f64;
@@ -179,29 +190,31 @@
     Ok(())
 }
 
-/// Times each change from the call to the moment when the asked host has heard
-/// it from all others; that hearing takes up to a heartbeat's interval more.
+/// Times each change from the call until the queried host knows that it is in force on all
+/// others. Their reports take up to a heartbeat interval.
 async fn measure_changes(
     operator: &mut Operator,
     mut configuration: Configuration,
     hosts: usize,
 ) -> Result<(), String> {
     let mut times = Vec::new();
-    for number in 1..=CHANGES as u64 {
+    for number in 1..=CHANGE_COUNT as u64 {
         configuration.shift_caps[0].per_second += 1;
         let begin = Instant::now();
         let reply = operator.apply(number, &configuration).await?;
         if reply.code != 0 {
             return Err(reply.message);
         }
-        operator.wait_until(WAIT, "the change", |s| in_force(s, number + 1, hosts)).await?;
+        operator
+            .wait_until(STATE_TIMEOUT, "the change", |s| in_force(s, number + 1, hosts))
+            .await?;
         times.push(begin.elapsed());
     }
     times.sort();
     println!(
-        "{hosts} daemons, {CHANGES} changes known to be in force on all: median {:?}, worst {:?}",
-        times[CHANGES / 2],
-        times[CHANGES - 1]
+        "{hosts} daemons, {CHANGE_COUNT} changes known to be in force on all: median {:?}, worst {:?}",
+        times[CHANGE_COUNT / 2],
+        times[CHANGE_COUNT - 1]
     );
     Ok(())
 }
--- a/elmstream_bench/src/lib.rs
+++ b/elmstream_bench/src/lib.rs
@@ -1,5 +1,5 @@
-//! Measurements of elmstream: a fleet in one process, the guided trial, the
-//! capacity slopes, and the users' sizes.
+//! Measurements of elmstream: a fleet in one process, the guided trial, experiments on
+//! running daemons, capacity slopes, and configurations of the users' sizes.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstream_bench/src/main.rs
+++ b/elmstream_bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one measurement.
+//! Runs the measurement that the command line names.
 
 use std::{net::SocketAddr, process::ExitCode};
 
@@ -25,7 +25,7 @@
         Command::Steering { user, part } => {
             user_named(&user).and_then(|user| steering::run(user, part))
         }
-        Command::Sample { user } => user_named(&user).map(sample),
+        Command::Sample { user } => user_named(&user).map(print_sample),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -44,8 +44,8 @@
     }
 }
 
-/// Prints a configuration with addresses of one host per instance.
-fn sample(user: User) {
+/// Prints a user's configuration, with an address of its own for each instance.
+fn print_sample(user: User) {
     let mut number = 0u8;
     let configuration = user.configuration(|_| {
         number += 1;
--- a/elmstream_bench/src/operator.rs
+++ b/elmstream_bench/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's calls, for measurements.
+//! An operator's session with an entry host.
 
 use std::time::{Duration, Instant};
 
@@ -14,8 +14,8 @@
 
 use crate::fleet::Fleet;
 
-/// Pause between two looks at a state that is waited for.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Pause between two attempts to connect, and between two polls of an awaited state.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A session with one entry host.
 pub struct Operator {
@@ -24,7 +24,9 @@
 }
 
 impl Operator {
-    /// Connects to a host of the fleet, again until it listens.
+    /// Connects to a host of the fleet, with retries for five seconds until it listens.
+    ///
+    /// Fails if it cannot be reached within that time.
     pub async fn connect(fleet: &Fleet, host: usize) -> Result<Operator, String> {
         let options = Connection {
             host: Some(fleet.hosts[host].settings.listen.operators),
@@ -38,7 +40,7 @@
                 Err(error) if begin.elapsed() > Duration::from_secs(5) => {
                     return Err(error.to_string());
                 }
-                Err(_) => compio::time::sleep(PAUSE).await,
+                Err(_) => compio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -49,7 +51,10 @@
         request
     }
 
-    /// Applies a configuration.
+    /// Applies a configuration, if `expected_revision` is the one in force. A refusal is a
+    /// reply with a code other than 0.
+    ///
+    /// Fails if the call fails.
     pub async fn apply(
         &mut self,
         expected_revision: u64,
@@ -61,7 +66,10 @@
         reply.map(tonic::Response::into_inner).map_err(|e| e.to_string())
     }
 
-    /// Drains an entity.
+    /// Drains an entity of a kind, if `expected_revision` is the one in force. A refusal is
+    /// a reply with a code other than 0.
+    ///
+    /// Fails if the call fails.
     pub async fn drain(
         &mut self,
         expected_revision: u64,
@@ -79,41 +87,45 @@
         reply.map(tonic::Response::into_inner).map_err(|e| e.to_string())
     }
 
-    /// Reads the state.
+    /// Reads the cluster's state as the connected host knows it.
+    ///
+    /// Fails if the call fails.
     pub async fn status(&mut self) -> Result<StatusReply, String> {
         let request = self.request(StatusRequest {});
         let reply = self.client.status(request).await;
         reply.map(tonic::Response::into_inner).map_err(|e| e.to_string())
     }
 
-    /// Waits until the state is as wanted, and tells how long that took.
+    /// Polls the state until it meets a condition and returns how long that took.
+    ///
+    /// Fails if a call fails or the timeout passes; the error starts with `description`.
     pub async fn wait_until(
         &mut self,
-        at_most: Duration,
-        what: &str,
-        wanted: impl Fn(&StatusReply) -> bool,
+        timeout: Duration,
+        description: &str,
+        condition: impl Fn(&StatusReply) -> bool,
     ) -> Result<Duration, String> {
         let begin = Instant::now();
         loop {
             let status = self.status().await?;
-            if wanted(&status) {
+            if condition(&status) {
                 return Ok(begin.elapsed());
             }
-            if begin.elapsed() > at_most {
-                return Err(format!("{what}: not after {at_most:?}; state: {status:?}"));
+            if begin.elapsed() > timeout {
+                return Err(format!("{description}: not after {timeout:?}; state: {status:?}"));
             }
-            compio::time::sleep(PAUSE).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Whether a revision is in force on so many live hosts.
+/// Whether at least `hosts` live hosts have this revision or a newer one in force.
 pub fn in_force(status: &StatusReply, revision: u64, hosts: usize) -> bool {
     let done = status.hosts.iter().filter(|h| h.live && h.revision >= revision);
     done.count() >= hosts
 }
 
-/// Slots that the live hosts report, over all services.
+/// Number of slots that the live hosts report, over all services.
 pub fn reported_slots(status: &StatusReply) -> u32 {
     status.services.iter().map(|s| s.slots).sum()
 }
--- a/elmstream_bench/src/process.rs
+++ b/elmstream_bench/src/process.rs
@@ -1,5 +1,4 @@
-//! Daemons as processes of their own, for measurements and tests that kill
-//! them.
+//! Daemons as child processes, for measurements and for tests that kill them.
 
 use std::{
     fs, io,
@@ -9,16 +8,18 @@
 
 use crate::fleet::Fleet;
 
-/// Daemons of a fleet, in the order in which they were started. Those that
-/// still run are killed when this is dropped.
+/// Daemons of a fleet, in the order in which they were started. Those still running are
+/// killed on drop.
 #[derive(Debug, Default)]
 pub struct Daemons {
     children: Vec<Child>,
 }
 
 impl Daemons {
-    /// Adds a host to the fleet and starts `program` as its daemon. Its log
-    /// lies beside its settings file.
+    /// Adds a host to the fleet and starts `program` as its daemon. Its log is written
+    /// beside its settings file.
+    ///
+    /// Fails if a file cannot be written or the program cannot be started.
     pub fn start(
         &mut self,
         fleet: &mut Fleet,
@@ -39,7 +40,9 @@
         Ok(())
     }
 
-    /// Sends a signal, as `kill` names it: `-KILL`, `-STOP`, `-CONT`, `-TERM`.
+    /// Sends a signal, given as an argument of `kill`: `-KILL`, `-STOP`, `-CONT`, `-TERM`.
+    ///
+    /// Fails if `kill` does, as for a process that has ended.
     pub fn signal(&self, host: usize, name: &str) -> io::Result<()> {
         let id = self.children[host].id().to_string();
         match Command::new("kill").args([name, &id]).status()?.success() {
@@ -48,12 +51,12 @@
         }
     }
 
-    /// Waits for the end of a host's daemon.
+    /// Waits until a host's daemon has ended.
     pub fn wait(&mut self, host: usize) -> io::Result<ExitStatus> {
         self.children[host].wait()
     }
 
-    /// Whether a host's daemon has ended, and how.
+    /// Exit status of a host's daemon; `None` while it runs.
     pub fn exit_status(&mut self, host: usize) -> io::Result<Option<ExitStatus>> {
         self.children[host].try_wait()
     }
