--- a/elmstream_bench/src/fleet.rs
+++ b/elmstream_bench/src/fleet.rs
@@ -26,21 +26,21 @@
 use http_body_util::BodyExt;
 use sha2::{Digest, Sha256};
 
-/// The token of the fleet's operator.
-const TOKEN: &str = "fleet-operator-token";
-/// Time to live of look-ups in the fleet, in milliseconds.
+/// The operator's token.
+const OPERATOR_TOKEN: &str = "fleet-operator-token";
+/// Lifetime of lookup answers in the fleet, in milliseconds.
 const LOOKUP_TTL_MS: u64 = 1_000;
-/// Time to reach a stand-in.
-const REACH: Duration = Duration::from_secs(2);
+/// Time limit for connecting to a stand-in.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Something that runs on a thread until it is stopped.
+/// A task that runs on a thread of its own until it is stopped.
 pub struct RunningThread {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<Result<(), String>>>,
 }
 
 impl RunningThread {
-    /// Runs `make(stop)` on a thread with a runtime of its own.
+    /// Runs `make(stop)` on a new thread with its own runtime.
     pub fn start<F, M>(name: &str, make: M) -> RunningThread
     where
         M: FnOnce(Stop) -> F + Send + 'static,
@@ -63,17 +63,19 @@
         RunningThread { stop: Some(stop), thread: thread.ok() }
     }
 
-    /// Asks it to stop, without waiting.
+    /// Asks the task to stop, without waiting.
     pub fn request_stop(&mut self) {
         self.stop.take();
     }
 
-    /// Whether it has ended.
+    /// Whether the thread has ended.
     pub fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Asks it to stop and waits for its end.
+    /// Asks the task to stop and waits until it has ended.
+    ///
+    /// Fails if the task failed or panicked.
     pub fn stop(mut self) -> Result<(), String> {
         self.request_stop();
         match self.thread.take().map(JoinHandle::join) {
@@ -85,31 +87,31 @@
 
 /// An entry host of the fleet.
 pub struct Host {
-    /// Its settings.
+    /// Settings of the host.
     pub settings: Settings,
-    /// The running daemon.
+    /// The running daemon; `None` if it runs as a process of its own or was stopped.
     pub running: Option<RunningThread>,
 }
 
 /// A stand-in for a backend server.
 pub struct BackendServer {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
     /// The running stand-in.
     pub running: RunningThread,
 }
 
-/// Stand-ins and daemons.
+/// Stand-ins and daemons that work together.
 pub struct Fleet {
-    /// Where the platform's stand-in listens.
+    /// Address of the platform's stand-in.
     pub platform: SocketAddr,
-    /// Entry hosts.
+    /// Entry hosts, in the order in which they were added.
     pub hosts: Vec<Host>,
-    /// Backend servers.
+    /// Backend servers, in the order in which they were added.
     pub backends: Vec<BackendServer>,
-    /// File with the authority's certificate.
+    /// File with the certificate of the cluster's authority.
     pub authority: PathBuf,
     /// File with the operator's token.
     pub token_file: PathBuf,
@@ -117,27 +119,28 @@
     platform_running: RunningThread,
 }
 
-/// The first port that is given out; all lie below the ports that the system
-/// gives to outgoing connections.
-const PORT_FIRST: u16 = 10_000;
+/// The first port that is given out. All ports given out lie below those that the system
+/// uses for outgoing connections.
+const FIRST_PORT: u16 = 10_000;
 
-/// A loopback address for TCP and UDP that nobody else uses.
+/// A loopback address for TCP and UDP that is not in use.
 ///
-/// Each process has an IP number of its own, made from its id, and gives out a
-/// port once. A port that the system chose and that was closed again could be
-/// taken by another connection before it is bound. Nor is the address tried: a
-/// process that another thread starts meanwhile holds a copy of the trying socket
-/// until it has become its program, and the address is taken for so long.
+/// Each process uses an IP address of its own, made from its process id, and gives out each
+/// port once. A port chosen by the system and closed again could be taken by another
+/// connection before it is bound. Nor is the address tested by binding it: a child process
+/// started meanwhile by another thread holds a copy of the test socket until it has executed
+/// its program, and the address stays in use until then.
 pub fn free_address() -> SocketAddr {
-    static NEXT: AtomicU16 = AtomicU16::new(PORT_FIRST);
+    static NEXT_PORT: AtomicU16 = AtomicU16::new(FIRST_PORT);
     let [_, high, middle, low] = process::id().to_be_bytes();
     let ip = Ipv4Addr::new(127, 64 | (high & 63), middle, low);
-    SocketAddr::from((ip, NEXT.fetch_add(1, Ordering::Relaxed)))
+    SocketAddr::from((ip, NEXT_PORT.fetch_add(1, Ordering::Relaxed)))
 }
 
 impl Fleet {
-    /// Starts the platform's stand-in and writes key, certificate and token
-    /// into `folder`.
+    /// Starts the platform's stand-in, and writes key, certificate and token into `folder`.
+    ///
+    /// Fails if the folder or a file cannot be written, or the key cannot be made.
     pub fn new(folder: &Path) -> io::Result<Fleet> {
         fs::create_dir_all(folder)?;
         let key_pem = identity::new_key().map_err(io::Error::other)?;
@@ -146,7 +149,7 @@
         let token_file = folder.join("token");
         fs::write(&key, key_pem)?;
         fs::write(&authority, authority_pem)?;
-        fs::write(&token_file, TOKEN)?;
+        fs::write(&token_file, OPERATOR_TOKEN)?;
         let address = free_address();
         let platform_running = RunningThread::start("platform", move |stop| async move {
             let listener = TcpListener::bind(address).await.map_err(|e| e.to_string())?;
@@ -164,22 +167,22 @@
         })
     }
 
-    /// Starts a backend server's stand-in.
+    /// Starts a stand-in for a backend server and returns its address.
     pub fn add_backend(&mut self, name: &str, behaviour: Behaviour) -> SocketAddr {
         let address = free_address();
-        let told = name.to_owned();
+        let server_name = name.to_owned();
         let running = RunningThread::start(name, move |stop| async move {
             let listener = TcpListener::bind(address).await.map_err(|e| e.to_string())?;
-            backend::serve(listener, told, behaviour, stop).await.map_err(|e| e.to_string())
+            backend::serve(listener, server_name, behaviour, stop).await.map_err(|e| e.to_string())
         });
         self.backends.push(BackendServer { name: name.into(), address, running });
         address
     }
 
-    /// Makes the settings of an entry host.
+    /// Makes the settings of an entry host, with free addresses.
     pub fn settings(&self, name: &str, failure_domain: &str) -> Settings {
         let platform = format!("http://{}", self.platform);
-        let digest = Sha256::digest(TOKEN.as_bytes());
+        let digest = Sha256::digest(OPERATOR_TOKEN.as_bytes());
         let token_sha256 = digest.iter().map(|byte| format!("{byte:02x}")).collect();
         Settings {
             name: name.into(),
@@ -203,15 +206,17 @@
         }
     }
 
-    /// Starts an entry host. The host list is told by [`Fleet::list`].
+    /// Starts an entry host. Other hosts learn of it by [`Fleet::publish_host_list`].
     pub fn add_host(&mut self, name: &str, failure_domain: &str) {
         let settings = self.settings(name, failure_domain);
         let running = Some(start_host(settings.clone()));
         self.hosts.push(Host { settings, running });
     }
 
-    /// Adds an entry host that runs as a process of its own, started by
-    /// `start` from its settings file.
+    /// Adds an entry host that runs as a process of its own: `start` gets the path of its
+    /// settings file and starts it.
+    ///
+    /// Fails if the file cannot be written or `start` fails.
     pub fn add_process<T>(
         &mut self,
         name: &str,
@@ -225,13 +230,13 @@
         start(&file)
     }
 
-    /// Starts an entry host again, as another incarnation.
+    /// Starts an entry host again, as a new incarnation.
     pub fn restart_host(&mut self, index: usize) {
         let settings = self.hosts[index].settings.clone();
         self.hosts[index].running = Some(start_host(settings));
     }
 
-    /// The host list with all hosts, those in `leaving` marked so.
+    /// The list of all entry hosts; those named in `leaving` are marked as leaving.
     pub fn host_list(&self, leaving: &[&str]) -> HostList {
         let entry = |h: &Host| EntryHost {
             name: h.settings.name.clone(),
@@ -246,36 +251,38 @@
         }
     }
 
-    /// Tells the platform's host list.
+    /// Puts a host list in force at the platform.
     pub async fn publish_host_list(&self, list: &HostList) -> io::Result<()> {
         let text = serde_json::to_vec(list)?;
         put(self.platform, "/hosts", text).await
     }
 
-    /// Switches faults of a part of the platform: `rows`, `objects` or `hosts`.
+    /// Sets the faults of a part of the platform: `rows`, `objects` or `hosts`.
     pub async fn set_faults(&self, part: &str, faults: &Faults) -> io::Result<()> {
         put(self.platform, &format!("/faults/{part}"), serde_json::to_vec(faults)?).await
     }
 
-    /// Changes how a backend server behaves.
+    /// Changes the behaviour of a backend server.
     pub async fn set_behaviour(&self, index: usize, behaviour: &Behaviour) -> io::Result<()> {
         let text = serde_json::to_vec(behaviour)?;
         put(self.backends[index].address, "/_standin/behaviour", text).await
     }
 
-    /// What a backend server has seen.
+    /// What a backend server has observed since it started.
     pub async fn seen(&self, index: usize) -> io::Result<Seen> {
         let bytes = get(self.backends[index].address, "/_standin/seen").await?;
         Ok(serde_json::from_slice(&bytes)?)
     }
 
-    /// Callers' addresses of the running hosts.
+    /// Addresses on which the running hosts accept callers.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let running = self.hosts.iter().filter(|h| h.running.is_some());
         running.map(|h| h.settings.listen.callers).collect()
     }
 
-    /// Stops everything; daemons first.
+    /// Stops everything, daemons first.
+    ///
+    /// Fails with the first failure of a task.
     pub fn stop(mut self) -> Result<(), String> {
         for host in &mut self.hosts {
             if let Some(running) = &mut host.running {
@@ -301,65 +308,67 @@
     })
 }
 
-/// An answer as a caller sees it.
+/// An answer as a caller receives it.
 #[derive(Debug)]
 pub struct Answer {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The headers.
+    /// HTTP headers.
     pub headers: http::HeaderMap,
-    /// The body; `None` if it was cut.
+    /// The body; `None` if it was incomplete.
     pub body: Option<Vec<u8>>,
 }
 
 impl Answer {
-    /// The value of a header.
+    /// The value of a header; `None` if it is absent or not ASCII text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The number of the code, if the system answered itself.
+    /// The number of the result code, if the answer is elmstream's own.
     pub fn code(&self) -> Option<u16> {
         self.header("elmstream-code")?.parse().ok()
     }
 }
 
-/// Sends one request over a connection of its own.
+/// Sends one request on a new connection.
+///
+/// Fails if the connection fails before the answer's head is complete.
 pub async fn send(
     address: SocketAddr,
     request: http::Request<elmstream_http::LocalBody>,
 ) -> io::Result<Answer> {
-    let mut sender = client::connect(address, REACH).await?;
+    let mut sender = client::connect(address, CONNECT_TIMEOUT).await?;
     let response = sender.send_request(request).await.map_err(io::Error::other)?;
     let (parts, body) = response.into_parts();
     let body = body.collect().await.ok().map(|body| body.to_bytes().to_vec());
     Ok(Answer { status: parts.status.as_u16(), headers: parts.headers, body })
 }
 
-/// Calls a stand-in, again until it listens.
+/// Sends a request to a stand-in, with retries until it listens.
 async fn call(
     address: SocketAddr,
     request: impl Fn() -> http::Request<elmstream_http::LocalBody>,
 ) -> io::Result<Vec<u8>> {
-    let mut last = io::Error::from(io::ErrorKind::TimedOut);
-    for _ in 0..CALL_TRIES {
-        match client::connect(address, REACH).await {
+    let mut last_error = io::Error::from(io::ErrorKind::TimedOut);
+    for _ in 0..MAX_CALL_ATTEMPTS {
+        match client::connect(address, CONNECT_TIMEOUT).await {
             Ok(mut sender) => {
                 let response = sender.send_request(request()).await.map_err(io::Error::other)?;
                 let body = response.into_body().collect().await.map_err(io::Error::other)?;
                 return Ok(body.to_bytes().to_vec());
             }
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
-        compio::time::sleep(CALL_PAUSE).await;
+        compio::time::sleep(CALL_RETRY_PAUSE).await;
     }
-    Err(last)
+    Err(last_error)
 }
 
-/// Tries to reach a stand-in that is starting.
-const CALL_TRIES: u32 = 100;
-/// Pause between two tries.
-const CALL_PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of attempts to connect to a stand-in that is starting.
+const MAX_CALL_ATTEMPTS: u32 = 100;
+/// Pause between two attempts.
+const CALL_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 async fn put(address: SocketAddr, path: &str, text: Vec<u8>) -> io::Result<()> {
     let request = || {
@@ -369,7 +378,8 @@
     call(address, request).await.map(drop)
 }
 
-/// Reads a page over HTTP.
+/// Sends a GET request to a stand-in, with retries until it listens, and returns the
+/// answer's body.
 pub async fn get(address: SocketAddr, path: &str) -> io::Result<Vec<u8>> {
     let request = || {
         let request = http::Request::get(path).header("host", address.to_string());
--- a/elmstream_bench/src/small.rs
+++ b/elmstream_bench/src/small.rs
@@ -1,5 +1,5 @@
-//! A small fleet: three entry hosts in two regions, six backend servers of
-//! three services.
+//! A small fleet: three entry hosts in two regions, and six backend servers of three
+//! services.
 
 use std::time::{Duration, Instant};
 
@@ -14,13 +14,13 @@
     operator::{Operator, in_force, reported_slots},
 };
 
-/// Time for a state to come about.
-const WAIT: Duration = Duration::from_secs(15);
+/// Time limit for reaching an awaited state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time that a stand-in runs a request, in milliseconds.
 pub const RUN_MS: u64 = 2;
-/// Slots of each backend server.
+/// Number of slots of each backend server.
 pub const SLOTS_PER_SERVER: u32 = 4;
-/// The hosts and their failure domains.
+/// Names of the entry hosts and their failure domains.
 pub const HOSTS: [(&str, &str); 3] =
     [("host-1", "north-a"), ("host-2", "north-b"), ("host-3", "south-a")];
 /// Backend servers: name, service, failure domain.
@@ -33,7 +33,7 @@
     ("intake-1", "intake", "north-b"),
 ];
 
-/// Starts backend servers and hosts, and makes the configuration.
+/// Starts backend servers and entry hosts, and returns their configuration.
 pub fn start_fleet(fleet: &mut Fleet) -> Configuration {
     let configuration = configuration(fleet);
     for (name, domain) in HOSTS {
@@ -42,7 +42,7 @@
     configuration
 }
 
-/// Starts backend servers and makes the configuration.
+/// Starts backend servers and returns their configuration.
 pub fn configuration(fleet: &mut Fleet) -> Configuration {
     let mut c = Configuration::default();
     for name in ["north", "south"] {
@@ -74,8 +74,10 @@
     c
 }
 
-/// Tells the host list, applies the configuration, and waits until every
-/// backend server has an owner. Gives the operator's session.
+/// Publishes the host list, applies the configuration, and waits until every backend server
+/// has an owner. Returns the operator's session.
+///
+/// Fails if the configuration is refused or an awaited state is not reached in time.
 pub async fn make_ready(fleet: &Fleet, configuration: &Configuration) -> Result<Operator, String> {
     fleet.publish_host_list(&fleet.host_list(&[])).await.map_err(|e| e.to_string())?;
     let mut operator = Operator::connect(fleet, 0).await?;
@@ -85,10 +87,10 @@
         return Err(format!("the configuration was not accepted: {}", reply.message));
     }
     let all = fleet.hosts.len();
-    operator.wait_until(WAIT, "revision 1 in force", |s| in_force(s, 1, all)).await?;
+    operator.wait_until(STATE_TIMEOUT, "revision 1 in force", |s| in_force(s, 1, all)).await?;
     println!("revision 1 in force on {all} hosts after {:?}", begin.elapsed());
     let wanted: u32 = configuration.backend_servers.iter().map(|b| b.slots).sum();
-    operator.wait_until(WAIT, "owners for all", |s| reported_slots(s) == wanted).await?;
+    operator.wait_until(STATE_TIMEOUT, "owners for all", |s| reported_slots(s) == wanted).await?;
     println!("every backend server has an owner after {:?}", begin.elapsed());
     Ok(operator)
 }
--- a/elmstream_bench/src/trial.rs
+++ b/elmstream_bench/src/trial.rs
@@ -1,8 +1,8 @@
-//! The guided trial: the whole path in one process, with a report.
+//! The guided trial: the whole path of requests in one process, with a report.
 //!
-//! Three entry hosts in two regions serve reads, requests that may not be
-//! repeated and uploads, while a backend server is drained and an entry host
-//! stops. Every check must hold.
+//! Three entry hosts in two regions serve reads, requests that must not be repeated, and
+//! uploads, while a backend server is drained and an entry host is stopped. The trial fails
+//! if a check does.
 
 use std::{
     env, process, thread,
@@ -23,32 +23,34 @@
 };
 
 /// How long each load runs.
-const LOAD: Duration = Duration::from_secs(12);
-/// When the drain begins, after the loads.
-const DRAIN_AT: Duration = Duration::from_secs(3);
-/// When an entry host stops, after the loads.
-const STOP_AT: Duration = Duration::from_secs(5);
-/// A drained backend server gets nothing new after this.
-const DRAIN_MAX: Duration = Duration::from_secs(2);
-/// Time for a state to come about.
-const WAIT: Duration = Duration::from_secs(15);
-/// The backend server that is drained.
-const DRAINED: usize = 0;
-/// The entry host that is stopped.
-const STOPPED: usize = 1;
+const LOAD_DURATION: Duration = Duration::from_secs(12);
+/// Time from the begin of the loads until the drain.
+const DRAIN_DELAY: Duration = Duration::from_secs(3);
+/// Time from the begin of the loads until an entry host is stopped.
+const STOP_DELAY: Duration = Duration::from_secs(5);
+/// Time after which a drained backend server must get no new requests.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit for the stop of an entry host.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
+/// Index of the backend server that is drained.
+const DRAINED_BACKEND: usize = 0;
+/// Index of the entry host that is stopped.
+const STOPPED_HOST: usize = 1;
 
-/// One check of the report.
+/// A check in the report.
 struct Check {
     what: String,
     holds: bool,
 }
 
-/// Runs the trial; an error if a check does not hold.
+/// Runs the trial and prints its report.
+///
+/// Fails if the fleet does not become ready or a check does not hold.
 pub fn run() -> Result<(), String> {
     let folder = env::temp_dir().join(format!("elmstream-trial-{}", process::id()));
     let fleet = Fleet::new(&folder).map_err(|e| e.to_string())?;
     let runtime = Runtime::new().map_err(|e| e.to_string())?;
-    let result = runtime.block_on(guided(fleet));
+    let result = runtime.block_on(run_trial(fleet));
     let _ = std::fs::remove_dir_all(&folder);
     let checks = result?;
     println!("\nchecks");
@@ -61,15 +63,15 @@
     }
 }
 
-async fn guided(mut fleet: Fleet) -> Result<Vec<Check>, String> {
+async fn run_trial(mut fleet: Fleet) -> Result<Vec<Check>, String> {
     let configuration = small::start_fleet(&mut fleet);
     let mut operator = small::make_ready(&fleet, &configuration).await?;
     let loads = start_loads(&fleet);
     let mut checks = Vec::new();
-    compio::time::sleep(DRAIN_AT).await;
+    compio::time::sleep(DRAIN_DELAY).await;
     checks.push(drain_backend(&mut operator).await?);
     let drained_at = unix_ms();
-    compio::time::sleep(STOP_AT - DRAIN_AT).await;
+    compio::time::sleep(STOP_DELAY - DRAIN_DELAY).await;
     checks.push(stop_host(&mut fleet).await);
     check_loads(loads, &mut checks)?;
     check_backends(&fleet, drained_at, &mut checks).await?;
@@ -77,15 +79,16 @@
     Ok(checks)
 }
 
-type Loading = thread::JoinHandle<Result<Summary, String>>;
+type LoadThread = thread::JoinHandle<Result<Summary, String>>;
 
-/// Reads, requests that may not be repeated, and uploads, each on a thread.
-fn start_loads(fleet: &Fleet) -> Vec<(&'static str, Loading)> {
+/// Starts loads of reads, of requests that must not be repeated, and of uploads, each on a
+/// thread.
+fn start_loads(fleet: &Fleet) -> Vec<(&'static str, LoadThread)> {
     let load = |service: &str, per_second, method, body_bytes| Load {
         ask: fleet.caller_addresses(),
         service: service.into(),
         per_second,
-        duration: LOAD,
+        duration: LOAD_DURATION,
         method,
         body_bytes,
         prefix: service.into(),
@@ -100,28 +103,30 @@
     plans.into_iter().map(start).collect()
 }
 
-/// Runs a load on a runtime of its own.
+/// Runs a load to its end on a runtime of its own.
+///
+/// Fails if the runtime cannot be created.
 pub fn run_load(load: Load) -> Result<Summary, String> {
     let runtime = Runtime::new().map_err(|e| e.to_string())?;
     Ok(runtime.block_on(caller::run(load)).summary())
 }
 
 async fn drain_backend(operator: &mut Operator) -> Result<Check, String> {
-    let name = BACKENDS[DRAINED].0;
+    let name = BACKENDS[DRAINED_BACKEND].0;
     let reply = operator.drain(1, "backend-server", name).await?;
     let what = format!("the drain of {name} is accepted as revision {}", reply.revision);
     Ok(Check { what, holds: reply.code == 0 })
 }
 
-/// Stops a host as planned, and measures how long that takes.
+/// Stops a host as planned and measures how long that takes.
 async fn stop_host(fleet: &mut Fleet) -> Check {
-    let name = HOSTS[STOPPED].0;
+    let name = HOSTS[STOPPED_HOST].0;
     let begin = Instant::now();
-    let Some(mut running) = fleet.hosts[STOPPED].running.take() else {
+    let Some(mut running) = fleet.hosts[STOPPED_HOST].running.take() else {
         return Check { what: format!("{name} runs"), holds: false };
     };
     running.request_stop();
-    while !running.has_ended() && begin.elapsed() < WAIT {
+    while !running.has_ended() && begin.elapsed() < STOP_TIMEOUT {
         compio::time::sleep(Duration::from_millis(10)).await;
     }
     let ended = running.has_ended();
@@ -129,9 +134,9 @@
     Check { what: format!("{name} stopped as planned after {:?}", begin.elapsed()), holds }
 }
 
-fn check_loads(loads: Vec<(&str, Loading)>, checks: &mut Vec<Check>) -> Result<(), String> {
-    for (what, loading) in loads {
-        let summary = loading.join().map_err(|_| "a load panicked")??;
+fn check_loads(loads: Vec<(&str, LoadThread)>, checks: &mut Vec<Check>) -> Result<(), String> {
+    for (what, load_thread) in loads {
+        let summary = load_thread.join().map_err(|_| "a load panicked")??;
         println!(
             "{what}: {} sent, p50 {} us, p99 {} us, p99.9 {} us",
             summary.sent, summary.p50_us, summary.p99_us, summary.p999_us
@@ -159,27 +164,27 @@
     drained_at: u64,
     checks: &mut Vec<Check>,
 ) -> Result<(), String> {
-    let (mut repeated, mut most) = (0, 0);
+    let (mut repeated, mut max_in_flight) = (0, 0);
     let mut ids = std::collections::HashMap::new();
     for (index, (name, ..)) in BACKENDS.iter().enumerate() {
         let seen = fleet.seen(index).await.map_err(|e| e.to_string())?;
         repeated += seen.repeated;
-        most = most.max(seen.in_flight_max);
+        max_in_flight = max_in_flight.max(seen.in_flight_max);
         for (id, runs) in seen.ids {
             *ids.entry(id).or_insert(0) += runs;
         }
-        if index == DRAINED {
+        if index == DRAINED_BACKEND {
             let late = seen.last_begin_ms.saturating_sub(drained_at);
             let what = format!("{name} got its last request {late} ms after the drain");
-            checks.push(Check { what, holds: u128::from(late) <= DRAIN_MAX.as_millis() });
+            checks.push(Check { what, holds: u128::from(late) <= DRAIN_TIMEOUT.as_millis() });
         }
     }
     let twice = ids.values().filter(|runs| **runs > 1).count() as u64 + repeated;
     checks.push(Check { what: format!("requests run twice: {twice}"), holds: twice == 0 });
     let what = format!(
-        "most requests at one backend server at a time: {most} of {SLOTS_PER_SERVER} slots"
+        "most requests at one backend server at a time: {max_in_flight} of {SLOTS_PER_SERVER} slots"
     );
-    checks.push(Check { what, holds: most <= SLOTS_PER_SERVER });
+    checks.push(Check { what, holds: max_in_flight <= SLOTS_PER_SERVER });
     Ok(())
 }
 
--- a/elmstream_bench/tests/addresses.rs
+++ b/elmstream_bench/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses for stand-ins and daemons are free when they are used.
+//! Addresses given to stand-ins and daemons are free when they are bound.
 
 use std::{
     net::{TcpListener, UdpSocket},
@@ -12,10 +12,11 @@
 
 use elmstream_bench::fleet::free_address;
 
-/// A child holds copies of all open sockets until it has become its program, so a
-/// socket that only tries an address may outlive its owner.
+/// Guards against an address that is still in use when it is bound. A child process holds
+/// copies of all open sockets until it has executed its program, so a socket opened only to
+/// test an address may outlive its owner.
 #[test]
-fn an_address_is_free_while_other_threads_start_processes() {
+fn addresses_are_free_while_other_threads_start_processes() {
     let done = Arc::new(AtomicBool::new(false));
     let starters = (0..6).map(|_| {
         let done = done.clone();
