--- a/elmstream_bench/src/sizes.rs
+++ b/elmstream_bench/src/sizes.rs
@@ -1,4 +1,4 @@
-//! Configurations of the users' sizes, and of the planned size.
+//! Configurations of the users' sizes.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,21 @@
     document::{BackendServer, FailureDomain, Link, Once, Region, Service, ShiftCap, Site},
 };
 
-/// A user: places and services.
+/// A user: its regions and services.
 #[derive(Clone, Debug)]
 pub struct User {
-    /// Regions, each with two failure domains.
+    /// Names of the regions, each with two failure domains.
     pub regions: [&'static str; 3],
-    /// Delay between regions, one way, in microseconds.
+    /// One-way delay between regions, in microseconds.
     pub region_delay_us: u64,
-    /// Services and their instances.
+    /// Names of the services and their numbers of instances.
     pub services: [(&'static str, usize); 3],
 }
 
-/// Slots of each instance.
+/// Number of slots of each instance.
 pub const SLOTS_PER_INSTANCE: u32 = 4;
 
-/// The Stadtwerke Leobental.
+/// Stadtwerke Leobental.
 pub const LEOBENTAL: User = User {
     regions: ["steiermark", "kaernten", "salzburg"],
     region_delay_us: 10_000,
@@ -36,13 +36,13 @@
 };
 
 impl User {
-    /// The failure domains, two in each region.
+    /// Names of the failure domains, two in each region.
     pub fn domains(&self) -> Vec<String> {
         let of_region = |region: &&str| [format!("{region}-a"), format!("{region}-b")];
         self.regions.iter().flat_map(of_region).collect()
     }
 
-    /// The configuration; `address` gives each instance its address.
+    /// The user's configuration; `address` returns the address of an instance by name.
     pub fn configuration(&self, mut address: impl FnMut(&str) -> SocketAddr) -> Configuration {
         let mut c = Configuration {
             regions: self.regions.iter().map(|r| Region { name: (*r).into() }).collect(),
@@ -79,7 +79,7 @@
     }
 }
 
-/// One site per region, with a private block each.
+/// One site for each region, with a private address block.
 fn sites(regions: &[&str]) -> Vec<Site> {
     let site = |(index, region): (usize, &&str)| Site {
         name: format!("{region}-clients"),
@@ -89,8 +89,8 @@
     regions.iter().enumerate().map(site).collect()
 }
 
-/// The first service is read often, the second must not be repeated, the third
-/// takes uploads.
+/// The first service is read often, the second must not be repeated, the third takes
+/// uploads.
 fn service(index: usize, name: &str) -> Service {
     Service {
         name: name.into(),
@@ -102,7 +102,7 @@
     }
 }
 
-/// A cap of 200 requests a second between each two regions.
+/// A shift cap of 200 requests a second for each ordered pair of regions.
 fn shift_caps(regions: &[&str], service: &str) -> Vec<ShiftCap> {
     let pair = |from: &str, to: &str| ShiftCap {
         service: service.into(),
--- a/elmstream_bench/src/slope.rs
+++ b/elmstream_bench/src/slope.rs
@@ -1,4 +1,4 @@
-//! Capacity slopes: what one unit more costs, fitted over several sizes.
+//! Capacity slopes: the cost of one more unit, fitted over several sizes.
 
 use std::{
     hint::black_box,
@@ -25,25 +25,25 @@
 };
 use elmstream_proto::peer::{Open, encode};
 
-/// Regions, failure domains and sites of the planned size.
+/// Number of regions of the planned size.
 const REGIONS: usize = 13;
-/// Failure domains of the planned size.
-const DOMAINS: usize = 36;
-/// Sites of the planned size.
+/// Number of failure domains of the planned size.
+const FAILURE_DOMAINS: usize = 36;
+/// Number of sites of the planned size.
 const SITES: usize = 770;
-/// Blocks of the planned size.
-const BLOCKS: usize = 130_000;
-/// Look-ups that are timed.
-const LOOKUPS: u32 = 1_000_000;
+/// Number of client address blocks of the planned size.
+const ADDRESS_BLOCKS: usize = 130_000;
+/// Number of lookups that are timed.
+const TIMED_LOOKUPS: u32 = 1_000_000;
 
-/// A point of a slope.
+/// A measured point of a slope.
 struct Point {
     size: f64,
     cost: f64,
 }
 
-/// Prints the fitted line and its largest error.
-fn report(what: &str, unit: &str, points: &[Point]) {
+/// Prints the points, the line fitted to them and its largest error.
+fn print_fit(what: &str, unit: &str, points: &[Point]) {
     let count = points.len() as f64;
     let mean = |f: &dyn Fn(&Point) -> f64| points.iter().map(f).sum::<f64>() / count;
     let (x, y) = (mean(&|p| p.size), mean(&|p| p.cost));
@@ -67,13 +67,13 @@
     plans();
 }
 
-/// A configuration with places only.
-fn places(blocks: usize, sites: usize) -> Configuration {
+/// A configuration of regions, failure domains and sites, with one service.
+fn location_configuration(blocks: usize, sites: usize) -> Configuration {
     let mut c = Configuration::default();
     for region in 0..REGIONS {
         c.regions.push(Region { name: format!("region-{region}") });
     }
-    for domain in 0..DOMAINS {
+    for domain in 0..FAILURE_DOMAINS {
         let region = format!("region-{}", domain % REGIONS);
         c.failure_domains.push(FailureDomain { name: format!("domain-{domain}"), region });
     }
@@ -91,31 +91,32 @@
     c
 }
 
-/// Blocks of clients: memory and time of a look-up.
+/// Client address blocks: memory of their table and time of a lookup.
 fn blocks() {
     let (mut bytes, mut nanos) = (Vec::new(), Vec::new());
-    for (blocks, sites) in [(1_000, 10), (10_000, 100), (50_000, 400), (BLOCKS, SITES)] {
-        let catalog = Arc::new(compile(&places(blocks, sites), 1));
+    for (blocks, sites) in [(1_000, 10), (10_000, 100), (50_000, 400), (ADDRESS_BLOCKS, SITES)] {
+        let catalog = Arc::new(compile(&location_configuration(blocks, sites), 1));
         bytes.push(Point { size: blocks as f64, cost: catalog.blocks.heap_bytes() as f64 });
         let mut node = node_with_hosts(catalog, 12);
         let begin = Instant::now();
-        for number in 0..LOOKUPS {
+        for number in 0..TIMED_LOOKUPS {
             let client = number.wrapping_mul(2_654_435_761) % ((blocks as u32) << 10);
             let client = IpAddr::V4(Ipv4Addr::from(client));
-            let _ = black_box(node.lookup(NOW, client, "orders"));
+            let _ = black_box(node.lookup(START_TIME, client, "orders"));
         }
-        let cost = begin.elapsed().as_nanos() as f64 / f64::from(LOOKUPS);
+        let cost = begin.elapsed().as_nanos() as f64 / f64::from(TIMED_LOOKUPS);
         nanos.push(Point { size: blocks as f64, cost });
     }
-    report("blocks, memory of the table", "bytes", &bytes);
-    report("blocks, a look-up's decision", "ns", &nanos);
+    print_fit("blocks, memory of the table", "bytes", &bytes);
+    print_fit("blocks, a look-up's decision", "ns", &nanos);
 }
 
-/// A change of one block: from the edits to the table in force.
+/// Removal of one block: time from the edits until the configuration is compiled, and size
+/// of the edits.
 fn changes() {
     let (mut times, mut sizes) = (Vec::new(), Vec::new());
-    for (blocks, sites) in [(1_000, 10), (10_000, 100), (50_000, 400), (BLOCKS, SITES)] {
-        let old = places(blocks, sites);
+    for (blocks, sites) in [(1_000, 10), (10_000, 100), (50_000, 400), (ADDRESS_BLOCKS, SITES)] {
+        let old = location_configuration(blocks, sites);
         let mut next = old.clone();
         next.sites[0].blocks.pop();
         let edits = difference(&old, &next);
@@ -126,22 +127,22 @@
         assert_eq!(applied.ok(), Some(2));
         times.push(Point { size: blocks as f64, cost: begin.elapsed().as_micros() as f64 });
     }
-    report("blocks, a change taken", "us", &times);
-    report("blocks, a change's edits", "bytes", &sizes);
+    print_fit("blocks, a change taken", "us", &times);
+    print_fit("blocks, a change's edits", "bytes", &sizes);
 }
 
-/// Time between the ticks that are measured.
-const TICK: u64 = 50 * MILLI;
-/// The moment of all measurements.
-const NOW: Time = Time(1_000_000_000);
+/// Time between the measured ticks.
+const TICK_INTERVAL: u64 = 50 * MILLI;
+/// The time at which all measurements begin.
+const START_TIME: Time = Time(1_000_000_000);
 
 fn host_name(index: usize) -> Name {
     format!("host-{index}").into()
 }
 
-fn listed(index: usize) -> ListedHost {
+fn listed_host(index: usize) -> ListedHost {
     let address = "127.0.0.1:1".parse().expect("the address is valid");
-    let domain = format!("domain-{}", index % DOMAINS).into();
+    let domain = format!("domain-{}", index % FAILURE_DOMAINS).into();
     let name = host_name(index);
     ListedHost { name, domain, callers: address, peers: address, leaving: false }
 }
@@ -155,8 +156,8 @@
     };
     Heartbeat {
         from: HostRef { host: host_name(index), incarnation: Incarnation(u64::MAX / 3) },
-        domain: format!("domain-{}", index % DOMAINS).into(),
-        region: format!("region-{}", index % DOMAINS % REGIONS).into(),
+        domain: format!("domain-{}", index % FAILURE_DOMAINS).into(),
+        region: format!("region-{}", index % FAILURE_DOMAINS % REGIONS).into(),
         sequence: 1_000_000,
         epoch: 10_000,
         settled: true,
@@ -168,61 +169,61 @@
     }
 }
 
-/// A node that has heard so many hosts.
+/// A node that has received heartbeats of `hosts` - 1 other hosts.
 fn node_with_hosts(catalog: Arc<Catalog>, hosts: usize) -> Node {
     let me = HostRef { host: host_name(0), incarnation: Incarnation(1) };
     let mut node = Node::new(NodeSettings { me, domain: "domain-0".into(), seed: 1 });
-    node.set_catalog(NOW, catalog);
-    node.take_list(NOW, (0..hosts).map(listed).collect(), Vec::new());
+    node.set_catalog(START_TIME, catalog);
+    node.take_list(START_TIME, (0..hosts).map(listed_host).collect(), Vec::new());
     for index in 1..hosts {
-        node.heartbeat(NOW, &heartbeat(index));
+        node.heartbeat(START_TIME, &heartbeat(index));
     }
-    node.tick(NOW);
+    node.tick(START_TIME);
     node
 }
 
-/// A heartbeat on the wire, and at the host that hears it.
+/// Heartbeats: their size on the wire and the time to process one.
 fn heartbeats() {
     let coded = encode(&Open::Heartbeat(heartbeat(2_899))).map_or(0, |bytes| bytes.len());
     println!("heartbeat on the wire: {coded} bytes before QUIC\n");
-    let catalog = Arc::new(compile(&places(10, 10), 1));
+    let catalog = Arc::new(compile(&location_configuration(10, 10), 1));
     let points = [10, 100, 1_000, 2_900].map(|hosts| {
         let mut node = node_with_hosts(catalog.clone(), hosts);
-        let beat = heartbeat(hosts - 1);
+        let message = heartbeat(hosts - 1);
         let rounds = 200_000;
         let begin = Instant::now();
         for _ in 0..rounds {
-            black_box(node.heartbeat(NOW, &beat));
+            black_box(node.heartbeat(START_TIME, &message));
         }
         let cost = begin.elapsed().as_nanos() as f64 / f64::from(rounds);
         Point { size: hosts as f64, cost }
     });
-    report("hosts, a heartbeat taken", "ns", &points);
+    print_fit("hosts, a heartbeat taken", "ns", &points);
 }
 
-/// One tick of every system, with heartbeats due.
+/// One tick of all subsystems, with heartbeats due.
 fn ticks() {
-    let catalog = Arc::new(compile(&places(10, 10), 1));
+    let catalog = Arc::new(compile(&location_configuration(10, 10), 1));
     let points = [10, 100, 1_000, 2_900].map(|hosts| {
         let mut node = node_with_hosts(catalog.clone(), hosts);
         let rounds = 20u32;
         let begin = Instant::now();
         for round in 1..=rounds {
-            // Hosts must not fall silent, so time passes by the least step.
+            // Time advances by the smallest step, so that no host counts as silent.
             node.beat_soon();
-            black_box(node.tick(NOW + u64::from(round) * TICK));
+            black_box(node.tick(START_TIME + u64::from(round) * TICK_INTERVAL));
         }
         let cost = begin.elapsed().as_micros() as f64 / f64::from(rounds);
         Point { size: hosts as f64, cost }
     });
-    report("hosts, a tick with heartbeats due", "us", &points);
+    print_fit("hosts, a tick with heartbeats due", "us", &points);
 }
 
-/// The steward's plan of a region, and the size of its row.
+/// The steward's plan of a region: time to make it, and size of its row.
 fn plans() {
     let (mut times, mut sizes) = (Vec::new(), Vec::new());
     for servers in [100, 1_000, 3_000, 10_000] {
-        let mut c = places(10, 10);
+        let mut c = location_configuration(10, 10);
         for number in 0..servers {
             c.backend_servers.push(BackendServer {
                 name: format!("server-{number}"),
@@ -247,6 +248,6 @@
         let bytes = row.map_or(0, |row| serde_json::to_vec(&row).map_or(0, |text| text.len()));
         sizes.push(Point { size: servers as f64, cost: bytes as f64 });
     }
-    report("backend servers, a first plan", "us", &times);
-    report("backend servers, the row", "bytes", &sizes);
+    print_fit("backend servers, a first plan", "us", &times);
+    print_fit("backend servers, the row", "bytes", &sizes);
 }
--- a/elmstream_bench/src/steering.rs
+++ b/elmstream_bench/src/steering.rs
@@ -1,5 +1,5 @@
-//! A user's fleet under load: latency against an ideal queue and baselines, a
-//! region that fails, overload, drains.
+//! A user's fleet under load: latency compared with an ideal queue and with baselines,
+//! overload, drains, and the failure of a region.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -14,24 +14,26 @@
     users::{LoadResult, UserFleet, mean_run_time},
 };
 
-/// Shares of the capacity at which latency is measured, in percent.
-const LEVELS: [u32; 3] = [50, 80, 95];
+/// Loads at which latency is measured, in percent of the capacity.
+const LATENCY_LOADS_PERCENT: [u32; 3] = [50, 80, 95];
 /// How long each load runs.
-const LOAD: Duration = Duration::from_secs(12);
-/// Share of the capacity at which a region fails and drains are timed.
-const USUAL: u32 = 70;
-/// When the region fails.
-const FAIL_AT: Duration = Duration::from_secs(5);
+const LOAD_DURATION: Duration = Duration::from_secs(12);
+/// Load during drains and the failure of a region, in percent of the capacity.
+const USUAL_LOAD_PERCENT: u32 = 70;
+/// Time from the begin of the load until the region fails.
+const REGION_FAILURE_DELAY: Duration = Duration::from_secs(5);
 /// How long the load around the failure runs.
-const FAILURE_LOAD: Duration = Duration::from_secs(25);
-/// Share of the capacity under overload.
-const OVERLOAD: u32 = 300;
-/// Entry hosts in a region.
-const HOSTS_EACH_REGION: usize = 4;
-/// Time after a drain's begin to the next.
-const DRAIN_GAP: Duration = Duration::from_secs(6);
-
-/// Runs one part for a user, or all.
+const REGION_FAILURE_LOAD_DURATION: Duration = Duration::from_secs(25);
+/// Load under overload, in percent of the capacity.
+const OVERLOAD_PERCENT: u32 = 300;
+/// Number of entry hosts in a region.
+const HOSTS_PER_REGION: usize = 4;
+/// Time from the begin of a drain to the next one.
+const DRAIN_INTERVAL: Duration = Duration::from_secs(6);
+
+/// Runs one part of the measurements for a user, or all of them.
+///
+/// Fails if the fleet does not become ready or a load cannot run.
 pub fn run(user: User, part: Option<SteeringPart>) -> Result<(), String> {
     with_fleet(async |fleet| measure(user, part, fleet).await)
 }
@@ -40,7 +42,7 @@
     let mut users = UserFleet::start(user, fleet).await?;
     let wants = |wanted| part.is_none_or(|part| part == wanted);
     if wants(SteeringPart::Latency) {
-        for percent in LEVELS {
+        for percent in LATENCY_LOADS_PERCENT {
             latency(&users, percent).await?;
         }
     }
@@ -59,18 +61,20 @@
     fleet.stop()
 }
 
-/// Latency of the first service at one level, four ways.
+/// Latency of the first service at one load, compared with two baselines and the ideal
+/// queue.
 async fn latency(users: &UserFleet, percent: u32) -> Result<(), String> {
-    println!("\nat {percent}% of capacity, {LOAD:?} each");
+    println!("\nat {percent}% of capacity, {LOAD_DURATION:?} each");
     let demands = users.demands(percent);
     users.reset_backends().await?;
     for (what, pick) in [("random", Pick::Random), ("least loaded", Pick::LeastLoaded)] {
-        let served = users.start_baseline_load(&demands, LOAD, pick).finish().await?;
-        print_latency(what, &by_service(&served, 0));
+        let results = users.start_baseline_load(&demands, LOAD_DURATION, pick).finish().await?;
+        print_latency(what, &service_report(&results, 0));
     }
     users.reset_backends().await?;
-    let served = users.start_load(&demands, LOAD, &format!("at{percent}")).finish().await?;
-    let report = by_service(&served, 0);
+    let results =
+        users.start_load(&demands, LOAD_DURATION, &format!("at{percent}")).finish().await?;
+    let report = service_report(&results, 0);
     print_latency("elmstream", &report);
     let (waiting, twice) = users.limit_violations().await?;
     let slots: u32 = (0..users.user.regions.len()).map(|r| users.slots(r, 0)).sum();
@@ -83,24 +87,27 @@
         ideal.value_at_quantile(0.999),
         report.latency.value_at_quantile(0.99) as f64 / ideal.value_at_quantile(0.99) as f64
     );
-    println!("  slots exceeded by {waiting}, run twice {twice}, all services {}", all(&served));
+    println!(
+        "  slots exceeded by {waiting}, run twice {twice}, all services {}",
+        counts_text(&results)
+    );
     Ok(())
 }
 
-/// The reports of one service, added.
-fn by_service(served: &[LoadResult], service: usize) -> Report {
+/// The sum of one service's reports.
+fn service_report(results: &[LoadResult], service: usize) -> Report {
     let mut sum = Report::default();
-    for served in served.iter().filter(|s| s.demand.service == service) {
-        sum.add(&served.report);
+    for result in results.iter().filter(|s| s.demand.service == service) {
+        sum.add(&result.report);
     }
     sum
 }
 
-/// Counts over all services.
-fn all(served: &[LoadResult]) -> String {
+/// Counts over all services, as text.
+fn counts_text(results: &[LoadResult]) -> String {
     let mut sum = Report::default();
-    for served in served {
-        sum.add(&served.report);
+    for result in results {
+        sum.add(&result.report);
     }
     let Report { sent, whole, wrong, cut, failed, refused, .. } = sum;
     format!(
@@ -121,14 +128,14 @@
     );
 }
 
-/// Demand at several times the capacity: goodput, and how fast the rest is
-/// refused.
+/// Load at several times the capacity: goodput, and latency of refusals.
 async fn overload(users: &UserFleet) -> Result<(), String> {
-    println!("\nat {OVERLOAD}% of capacity, {LOAD:?}");
+    println!("\nat {OVERLOAD_PERCENT}% of capacity, {LOAD_DURATION:?}");
     users.reset_backends().await?;
-    let served = users.start_load(&users.demands(OVERLOAD), LOAD, "over").finish().await?;
+    let results =
+        users.start_load(&users.demands(OVERLOAD_PERCENT), LOAD_DURATION, "over").finish().await?;
     for service in 0..users.user.services.len() {
-        let report = by_service(&served, service);
+        let report = service_report(&results, service);
         let capacity: u32 = (0..users.user.regions.len()).map(|r| users.capacity(r, service)).sum();
         // The first second fills the queues, the last ones empty them.
         let seconds = &report.seconds[1..report.seconds.len() - 1];
@@ -145,14 +152,14 @@
         );
     }
     let (waiting, twice) = users.limit_violations().await?;
-    println!("  slots exceeded by {waiting}, run twice {twice}, {}", all(&served));
+    println!("  slots exceeded by {waiting}, run twice {twice}, {}", counts_text(&results));
     Ok(())
 }
 
-/// Drains an instance, a failure domain and an entry host, in turn, under load.
+/// Drains an instance, a failure domain and an entry host, one after the other, under load.
 async fn drains(users: &mut UserFleet) -> Result<(), String> {
-    println!("\ndrains at {USUAL}% of capacity");
-    let load = users.start_load(&users.demands(USUAL), 3 * DRAIN_GAP, "drain");
+    println!("\ndrains at {USUAL_LOAD_PERCENT}% of capacity");
+    let load = users.start_load(&users.demands(USUAL_LOAD_PERCENT), 3 * DRAIN_INTERVAL, "drain");
     compio::time::sleep(Duration::from_secs(1)).await;
     let instance = users.instances(0, 0)[0];
     let name = users.configuration.backend_servers[instance].name.clone();
@@ -168,12 +175,12 @@
         compio::time::sleep(Duration::from_millis(10)).await;
     }
     println!("  an entry host stopped after {:?}", begin.elapsed());
-    let served = load.finish().await?;
-    println!("  {}", all(&served));
+    let results = load.finish().await?;
+    println!("  {}", counts_text(&results));
     Ok(())
 }
 
-/// Drains and tells when the last request began there after the acceptance.
+/// Drains an entity and prints when its last request began, after the drain was accepted.
 async fn drain(
     users: &mut UserFleet,
     revision: u64,
@@ -186,15 +193,15 @@
         return Err(reply.message);
     }
     let accepted = unix_ms();
-    compio::time::sleep(DRAIN_GAP).await;
+    compio::time::sleep(DRAIN_INTERVAL).await;
     let (mut last, mut in_flight) = (0, 0);
     for index in servers {
         let seen = users.fleet.seen(index).await.map_err(|e| e.to_string())?;
         last = last.max(seen.last_begin_ms);
         in_flight += seen.in_flight;
     }
-    let late = last.saturating_sub(accepted);
-    println!("  {kind} {name}: last request {late} ms after the acceptance, {in_flight} left");
+    let delay_ms = last.saturating_sub(accepted);
+    println!("  {kind} {name}: last request {delay_ms} ms after the acceptance, {in_flight} left");
     Ok(())
 }
 
@@ -205,50 +212,55 @@
 
 /// Kills all entry hosts of the first region under load.
 async fn region_fails(users: &mut UserFleet) -> Result<(), String> {
-    println!("\nthe first region's hosts are killed at {USUAL}% of capacity, after {FAIL_AT:?}");
+    println!(
+        "\nthe first region's hosts are killed at {USUAL_LOAD_PERCENT}% of capacity, after {REGION_FAILURE_DELAY:?}"
+    );
     users.reset_backends().await?;
-    let demands = users.demands(USUAL);
-    let load = users.start_load(&demands, FAILURE_LOAD, "fail");
-    compio::time::sleep(FAIL_AT).await;
-    for host in 0..HOSTS_EACH_REGION {
-        // One of them has left as planned before.
+    let demands = users.demands(USUAL_LOAD_PERCENT);
+    let load = users.start_load(&demands, REGION_FAILURE_LOAD_DURATION, "fail");
+    compio::time::sleep(REGION_FAILURE_DELAY).await;
+    for host in 0..HOSTS_PER_REGION {
+        // One of them may have been stopped by the drains before.
         let _ = users.daemons.signal(host, "-KILL");
     }
-    let served = load.finish().await?;
+    let results = load.finish().await?;
     for service in 0..users.user.services.len() {
         let allowed = allowed_shift(users, service);
         let of_region = |region| {
             move |s: &&LoadResult| s.demand.region == region && s.demand.service == service
         };
-        let Some(failed) = served.iter().find(of_region(0)) else { continue };
-        let others: Vec<&LoadResult> =
-            served.iter().filter(|s| s.demand.region != 0 && s.demand.service == service).collect();
+        let Some(failed) = results.iter().find(of_region(0)) else { continue };
+        let others: Vec<&LoadResult> = results
+            .iter()
+            .filter(|s| s.demand.region != 0 && s.demand.service == service)
+            .collect();
         let whole: Vec<u64> = failed.report.seconds.iter().map(|s| s.whole).collect();
-        let kept: u64 = others.iter().map(|s| s.report.whole).sum();
+        let completed: u64 = others.iter().map(|s| s.report.whole).sum();
         let sent: u64 = others.iter().map(|s| s.report.sent).sum();
         println!(
-            "  {}: {} a second, allowed to shift {allowed}; whole by second {whole:?}; the other regions' own: {kept} of {sent}",
+            "  {}: {} a second, allowed to shift {allowed}; whole by second {whole:?}; the other regions' own: {completed} of {sent}",
             users.user.services[service].0, failed.demand.per_second
         );
     }
     let (waiting, twice) = users.limit_violations().await?;
-    println!("  slots exceeded by {waiting}, run twice {twice}, {}", all(&served));
+    println!("  slots exceeded by {waiting}, run twice {twice}, {}", counts_text(&results));
     Ok(())
 }
 
-/// Requests in a second that caps, headroom and the survivors' own demand
-/// leave for the first region.
+/// Requests a second of the first region that shift caps, headroom and the other regions'
+/// own load leave room for.
 fn allowed_shift(users: &UserFleet, service: usize) -> u32 {
     let c = &users.configuration;
     let policy = &c.services[service];
     let name = |region: usize| users.user.regions[region];
-    let room = |region: usize| {
+    let free_capacity = |region: usize| {
         let usable = policy.load_limit_percent.saturating_sub(policy.headroom_percent);
-        let free = users.capacity(region, service) * usable.saturating_sub(USUAL) / 100;
+        let free =
+            users.capacity(region, service) * usable.saturating_sub(USUAL_LOAD_PERCENT) / 100;
         let cap = c.shift_caps.iter().find(|cap| {
             cap.service == policy.name && cap.from == name(0) && cap.to == name(region)
         });
         free.min(cap.map_or(0, |cap| cap.per_second))
     };
-    (1..users.user.regions.len()).map(room).sum()
+    (1..users.user.regions.len()).map(free_capacity).sum()
 }
--- a/elmstream_bench/src/users.rs
+++ b/elmstream_bench/src/users.rs
@@ -1,5 +1,5 @@
-//! A user's fleet of today: twelve entry hosts as processes, the user's
-//! instances as stand-ins, and callers in each region.
+//! A user's fleet: twelve entry hosts as processes, the user's instances as stand-ins, and
+//! callers in each region.
 
 use std::{
     env,
@@ -27,23 +27,23 @@
     sizes::{SLOTS_PER_INSTANCE, User},
 };
 
-/// Entry hosts in each failure domain.
-const HOSTS_EACH: usize = 2;
+/// Number of entry hosts in each failure domain.
+const HOSTS_PER_DOMAIN: usize = 2;
 /// Mean time that an instance runs a request, in milliseconds.
-const RUN_MS: u64 = 250;
-/// Time for a state to come about.
-const WAIT: Duration = Duration::from_secs(20);
-/// Callers that share a region's load in the baselines, one for each of the
+const MEAN_RUN_MS: u64 = 250;
+/// Time limit for reaching an awaited state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Number of callers that share a region's load in the baselines: one for each of the
 /// region's entry hosts.
 const BASELINE_CALLERS: u32 = 4;
 
-/// The running fleet.
+/// A running fleet of a user's size.
 pub struct UserFleet {
     /// The user.
     pub user: User,
-    /// Stand-ins and settings.
+    /// Stand-ins, and settings of the hosts.
     pub fleet: Fleet,
-    /// The daemons; the hosts of region *r* are numbers 4*r* to 4*r* + 3.
+    /// The daemons; the hosts of region *r* have the indexes 4*r* to 4*r* + 3.
     pub daemons: Daemons,
     /// The operator's session, with a host of the last region.
     pub operator: Operator,
@@ -58,11 +58,11 @@
     pub region: usize,
     /// Index of the service.
     pub service: usize,
-    /// Requests in a second.
+    /// Requests a second.
     pub per_second: u32,
 }
 
-/// A demand and what became of it.
+/// A demand and its result.
 pub struct LoadResult {
     /// The demand.
     pub demand: Demand,
@@ -70,27 +70,30 @@
     pub report: Report,
 }
 
-/// The mean run time.
+/// Mean time that an instance runs a request.
 pub fn mean_run_time() -> Duration {
-    Duration::from_millis(RUN_MS)
+    Duration::from_millis(MEAN_RUN_MS)
 }
 
-/// The IP number that a region's callers send from.
-fn source(region: usize) -> IpAddr {
+/// The IP address from which a region's callers send.
+fn caller_ip(region: usize) -> IpAddr {
     Ipv4Addr::new(127, 200 + region as u8, 0, 1).into()
 }
 
 impl UserFleet {
     /// Starts everything and waits until each instance has an owner.
+    ///
+    /// Fails if a process cannot be started, the configuration is refused or an awaited
+    /// state is not reached in time.
     pub async fn start(user: User, mut fleet: Fleet) -> Result<UserFleet, String> {
-        let behaviour = instance();
+        let behaviour = instance_behaviour();
         let mut configuration =
             user.configuration(|name| fleet.add_backend(name, behaviour.clone()));
         configuration.sites = sites(&user);
-        let program = daemon()?;
+        let program = daemon_path()?;
         let mut daemons = Daemons::default();
         for domain in user.domains() {
-            for number in 1..=HOSTS_EACH {
+            for number in 1..=HOSTS_PER_DOMAIN {
                 let name = format!("{domain}-{number}");
                 let started = daemons.start(&mut fleet, &program, &name, &domain);
                 started.map_err(|e| e.to_string())?;
@@ -103,13 +106,17 @@
         if reply.code != 0 {
             return Err(reply.message);
         }
-        operator.wait_until(WAIT, "revision 1 in force", |s| in_force(s, 1, hosts)).await?;
-        let all: u32 = configuration.backend_servers.iter().map(|b| b.slots).sum();
-        operator.wait_until(WAIT, "owners for all", |s| reported_slots(s) == all).await?;
+        operator
+            .wait_until(STATE_TIMEOUT, "revision 1 in force", |s| in_force(s, 1, hosts))
+            .await?;
+        let total_slots: u32 = configuration.backend_servers.iter().map(|b| b.slots).sum();
+        operator
+            .wait_until(STATE_TIMEOUT, "owners for all", |s| reported_slots(s) == total_slots)
+            .await?;
         Ok(UserFleet { user, fleet, daemons, operator, configuration })
     }
 
-    /// Indexes of the instances of a service in a region.
+    /// Indexes of a service's instances in a region.
     pub fn instances(&self, region: usize, service: usize) -> Vec<usize> {
         let name = self.user.services[service].0;
         let region = self.user.regions[region];
@@ -119,17 +126,17 @@
         here.map(|(index, _)| index).collect()
     }
 
-    /// Slots of a service in a region.
+    /// Number of slots of a service in a region.
     pub fn slots(&self, region: usize, service: usize) -> u32 {
         self.instances(region, service).len() as u32 * SLOTS_PER_INSTANCE
     }
 
-    /// Requests in a second that all slots of a service in a region carry.
+    /// Requests a second that all slots of a service in a region can run.
     pub fn capacity(&self, region: usize, service: usize) -> u32 {
-        self.slots(region, service) * 1_000 / RUN_MS as u32
+        self.slots(region, service) * 1_000 / MEAN_RUN_MS as u32
     }
 
-    /// Demand on everything at a share of its capacity.
+    /// Demands on all services from all regions, each at a percentage of its capacity.
     pub fn demands(&self, percent: u32) -> Vec<Demand> {
         let pairs = (0..self.user.regions.len())
             .flat_map(|region| (0..self.user.services.len()).map(move |service| (region, service)));
@@ -141,15 +148,18 @@
             .collect()
     }
 
-    /// Begins a load by look-ups through the entry hosts.
+    /// Starts a load that is sent through the entry hosts by lookups.
     pub fn start_load(&self, demands: &[Demand], duration: Duration, prefix: &str) -> RunningLoads {
-        let ask: Vec<_> = self.fleet.hosts.iter().map(|h| h.settings.listen.callers).collect();
-        let load =
-            |demand: &Demand| Load { ask: ask.clone(), ..self.plan(demand, duration, prefix) };
+        let entry_hosts: Vec<_> =
+            self.fleet.hosts.iter().map(|h| h.settings.listen.callers).collect();
+        let load = |demand: &Demand| Load {
+            ask: entry_hosts.clone(),
+            ..self.load_parameters(demand, duration, prefix)
+        };
         RunningLoads::start(demands.iter().map(|d| (d.clone(), vec![load(d)])).collect())
     }
 
-    /// Begins a load straight to the region's instances, without elmstream.
+    /// Starts a load that is sent directly to the region's instances, without elmstream.
     pub fn start_baseline_load(
         &self,
         demands: &[Demand],
@@ -160,7 +170,7 @@
             let instances = self.instances(demand.region, demand.service);
             let targets = instances.iter().map(|&i| self.fleet.backends[i].address).collect();
             let prefix = format!("{pick:?}-{}", demand.per_second);
-            let load = Load { targets, pick, ..self.plan(demand, duration, &prefix) };
+            let load = Load { targets, pick, ..self.load_parameters(demand, duration, &prefix) };
             let per_second = (demand.per_second / BASELINE_CALLERS).max(1);
             let part =
                 |n| Load { per_second, prefix: format!("{n}-{}", load.prefix), ..load.clone() };
@@ -169,7 +179,7 @@
         RunningLoads::start(demands.iter().map(loads).collect())
     }
 
-    fn plan(&self, demand: &Demand, duration: Duration, prefix: &str) -> Load {
+    fn load_parameters(&self, demand: &Demand, duration: Duration, prefix: &str) -> Load {
         Load {
             service: self.user.services[demand.service].0.into(),
             per_second: demand.per_second,
@@ -177,12 +187,14 @@
             method: if demand.service == 0 { Method::GET } else { Method::POST },
             body_bytes: if demand.service == 0 { 0 } else { 200 },
             prefix: format!("{prefix}-{}-{}", demand.region, demand.service),
-            source: Some(source(demand.region)),
+            source: Some(caller_ip(demand.region)),
             ..Load::default()
         }
     }
 
-    /// Takes all drains back, as the change after `revision`.
+    /// Ends all drains, by a change that follows `revision`.
+    ///
+    /// Fails if the change is refused.
     pub async fn undrain(&mut self, revision: u64) -> Result<(), String> {
         let reply = self.operator.apply(revision, &self.configuration).await?;
         match reply.code {
@@ -191,16 +203,19 @@
         }
     }
 
-    /// Forgets the most that each instance saw waiting.
+    /// Resets the largest number of waiting requests recorded by each instance.
     pub async fn reset_backends(&self) -> Result<(), String> {
         for index in 0..self.fleet.backends.len() {
-            self.fleet.set_behaviour(index, &instance()).await.map_err(|e| e.to_string())?;
+            self.fleet
+                .set_behaviour(index, &instance_behaviour())
+                .await
+                .map_err(|e| e.to_string())?;
         }
         Ok(())
     }
 
-    /// Requests that came when all slots of their instance were in use, at
-    /// most at a time; and requests that ran twice.
+    /// The largest number of requests that waited at an instance with all slots in use, and
+    /// the number of requests that ran more than once.
     pub async fn limit_violations(&self) -> Result<(u32, u64), String> {
         let (mut waiting, mut ids) = (0, std::collections::HashMap::new());
         for index in 0..self.fleet.backends.len() {
@@ -215,7 +230,7 @@
     }
 }
 
-/// Loads under way, a thread for each region.
+/// Running loads, with a thread for each region.
 pub struct RunningLoads(Vec<thread::JoinHandle<Result<Vec<LoadResult>, String>>>);
 
 impl RunningLoads {
@@ -228,7 +243,10 @@
         RunningLoads((0..regions).map(of_region).collect())
     }
 
-    /// Waits for the end of all, without holding up this thread's tasks.
+    /// Waits until all loads have ended, without blocking this thread's tasks, and returns
+    /// their results.
+    ///
+    /// Fails if a load failed or panicked.
     pub async fn finish(self) -> Result<Vec<LoadResult>, String> {
         while !self.0.iter().all(thread::JoinHandle::is_finished) {
             compio::time::sleep(Duration::from_millis(20)).await;
@@ -243,20 +261,20 @@
 
 fn run_loads(loads: Vec<(Demand, Vec<Load>)>) -> Result<Vec<LoadResult>, String> {
     let runtime = Runtime::new().map_err(|e| e.to_string())?;
-    let one = async |(demand, loads): (Demand, Vec<Load>)| {
+    let run_demand = async |(demand, loads): (Demand, Vec<Load>)| {
         let mut report = Report::default();
         for part in join_all(loads.into_iter().map(caller::run)).await {
             report.add(&part);
         }
         LoadResult { demand, report }
     };
-    Ok(runtime.block_on(join_all(loads.into_iter().map(one))))
+    Ok(runtime.block_on(join_all(loads.into_iter().map(run_demand))))
 }
 
-/// How an instance behaves.
-fn instance() -> Behaviour {
+/// Behaviour of an instance.
+fn instance_behaviour() -> Behaviour {
     Behaviour {
-        run_ms: RUN_MS,
+        run_ms: MEAN_RUN_MS,
         exponential: true,
         slots: SLOTS_PER_INSTANCE,
         ..Behaviour::default()
@@ -268,13 +286,13 @@
     let site = |(index, region): (usize, &&str)| Site {
         name: format!("{region}-callers"),
         home_region: (*region).into(),
-        blocks: vec![format!("{}/32", source(index)).parse().expect("the block is valid")],
+        blocks: vec![format!("{}/32", caller_ip(index)).parse().expect("the block is valid")],
     };
     user.regions.iter().enumerate().map(site).collect()
 }
 
-/// The daemon beside this program.
-fn daemon() -> Result<PathBuf, String> {
+/// Path of the daemon's program, beside this one.
+fn daemon_path() -> Result<PathBuf, String> {
     let program = env::current_exe().map_err(|e| e.to_string())?.with_file_name("elmstreamd");
     match program.exists() {
         true => Ok(program),
