--- a/elmstream_soak/src/lib.rs
+++ b/elmstream_soak/src/lib.rs
@@ -1,25 +1,25 @@
-//! A fault soak: entry hosts as real processes, a stand-in store, backend servers
-//! and callers, faults drawn from a seed, and checks of what callers and backend
-//! servers see.
+//! A fault soak: entry hosts run as real processes against a simulated store, simulated
+//! backend servers and simulated callers. Faults are drawn from a seed, and the guarantees
+//! are checked by what callers and backend servers observe.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
-pub mod aimed;
 pub mod backend;
 pub mod callers;
 pub mod faults;
-pub mod fragile;
 pub mod host;
+pub mod injection;
 pub mod ledger;
 pub mod listen;
-pub mod needy;
+pub mod outages;
+pub mod poison;
 pub mod process;
-pub mod remote;
 pub mod series;
+pub mod server_signals;
 pub mod soak;
+pub mod stop_load;
 pub mod store;
-pub mod strike;
-pub mod trouble;
+pub mod store_client;
 pub mod versions;
 pub mod watch;
 pub mod wire;
--- a/elmstreamd/tests/faults.rs
+++ b/elmstreamd/tests/faults.rs
@@ -7,7 +7,7 @@
 
 use elmstream_bench::{
     fleet::{free_address, get, send},
-    operator::{Operator, in_force, slots},
+    operator::{Operator, in_force, reported_slots},
 };
 use elmstream_config::document::{Link, OncePolicy, Site};
 use elmstream_http::{BoxError, body};
@@ -31,7 +31,7 @@
 /// Sets the behaviour of both servers of the `release` service.
 async fn set_release_behaviour(running: &support::Running, behaviour: &Behaviour) {
     for index in RELEASE_SERVERS {
-        running.fleet.behave(index, behaviour).await.unwrap();
+        running.fleet.set_behaviour(index, behaviour).await.unwrap();
     }
 }
 
@@ -60,7 +60,7 @@
         |_| {},
         async |running| {
             let faults = Faults { lose_answers: 1, ..Faults::default() };
-            running.fleet.fault("rows", &faults).await.unwrap();
+            running.fleet.set_faults("rows", &faults).await.unwrap();
             let reply = running.operator.apply(1, &running.configuration).await.unwrap();
             assert_eq!((reply.code, reply.revision), (0, 2), "{}", reply.message);
         },
@@ -73,7 +73,7 @@
         |_| {},
         async |running| {
             for part in ["rows", "objects", "hosts"] {
-                running.fleet.fault(part, &unavailable()).await.unwrap();
+                running.fleet.set_faults(part, &unavailable()).await.unwrap();
             }
             let reply = running.operator.apply(1, &running.configuration).await.unwrap();
             assert_eq!(reply.code, 2006);
@@ -93,13 +93,14 @@
         |_| {},
         async |running| {
             running.fleet.hosts[2].running.take().unwrap().stop().unwrap();
-            running.fleet.fault("rows", &unavailable()).await.unwrap();
-            running.fleet.fault("objects", &unavailable()).await.unwrap();
+            running.fleet.set_faults("rows", &unavailable()).await.unwrap();
+            running.fleet.set_faults("objects", &unavailable()).await.unwrap();
             running.fleet.restart_host(2);
             let mut operator = Operator::connect(&running.fleet, 2).await.unwrap();
             let wait = Duration::from_secs(8);
-            let fetched =
-                operator.wait(wait, "the revision of the other hosts", |s| s.revision == 1).await;
+            let fetched = operator
+                .wait_until(wait, "the revision of the other hosts", |s| s.revision == 1)
+                .await;
             assert!(fetched.is_ok(), "{fetched:?}");
             let answer = running.send_to(2, request(Method::GET, "status", "r")).await;
             assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
@@ -117,10 +118,10 @@
         async |running| {
             let rate_limited = Faults { calls_per_second: CALLS_PER_SECOND, ..Faults::default() };
             for part in ["rows", "objects", "hosts"] {
-                running.fleet.fault(part, &rate_limited).await.unwrap();
+                running.fleet.set_faults(part, &rate_limited).await.unwrap();
             }
             for host in &mut running.fleet.hosts {
-                host.running.as_mut().unwrap().ask_stop();
+                host.running.as_mut().unwrap().request_stop();
             }
             for index in 0..running.fleet.hosts.len() {
                 running.fleet.hosts[index].running.take().unwrap().stop().unwrap();
@@ -131,9 +132,9 @@
             let mut operator = Operator::connect(&running.fleet, 1).await.unwrap();
             let all: u32 = running.configuration.backend_servers.iter().map(|b| b.slots).sum();
             let wait = Duration::from_secs(20);
-            let recovered = |s: &_| in_force(s, 1, 3) && slots(s) == all;
+            let recovered = |s: &_| in_force(s, 1, 3) && reported_slots(s) == all;
             let recovery_time =
-                operator.wait(wait, "all servers are owned again", recovered).await.unwrap();
+                operator.wait_until(wait, "all servers are owned again", recovered).await.unwrap();
             println!("recovered after {recovery_time:?} with {CALLS_PER_SECOND} calls a second");
             let answer = running.send_to(2, request(Method::GET, "status", "r")).await;
             assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
@@ -270,14 +271,14 @@
         set_release_behaviour(running, &Behaviour::default()).await;
 
         let faults = Faults { lose_answers: 1, ..Faults::default() };
-        running.fleet.fault("rows", &faults).await.unwrap();
+        running.fleet.set_faults("rows", &faults).await.unwrap();
         let ran = running.send_to(1, request(Method::POST, "release", "o-1")).await;
         assert_eq!(ran.header("elmstream-outcome"), Some("ran"), "{ran:?}");
         let repeated = running.send_to(0, request(Method::POST, "release", "o-1")).await;
         assert_eq!(repeated.code(), Some(1306));
         assert_eq!(release_run_count(running).await, 1);
 
-        running.fleet.fault("rows", &unavailable()).await.unwrap();
+        running.fleet.set_faults("rows", &unavailable()).await.unwrap();
         let unknown = running.send_to(0, request(Method::POST, "release", "o-2")).await;
         assert_eq!(unknown.code(), Some(1307));
         assert_eq!(release_run_count(running).await, 1, "a request without a claim must not run");
--- a/elmstreamd/tests/processes.rs
+++ b/elmstreamd/tests/processes.rs
@@ -72,7 +72,7 @@
         };
         processes
             .operator
-            .wait(TAKEOVER_TIMEOUT, "each host owns a server", each_owns_a_server)
+            .wait_until(TAKEOVER_TIMEOUT, "each host owns a server", each_owns_a_server)
             .await
             .unwrap();
         processes
@@ -112,13 +112,13 @@
     /// that it took.
     async fn wait_taken_over(&mut self, host: usize) -> Duration {
         let name = format!("{}#", ENTRY_HOSTS[host].0);
-        let wanted = small::SLOTS * 4;
+        let wanted = small::SLOTS_PER_SERVER * 4;
         let taken = |s: &StatusReply| {
             let still_owner = s.ownership.iter().any(|o| o.owner.starts_with(&name));
             let slots: u32 = s.services.iter().map(|s| s.slots).sum();
             !still_owner && s.settled && slots == wanted
         };
-        self.operator.wait(TAKEOVER_TIMEOUT, "takeover", taken).await.unwrap()
+        self.operator.wait_until(TAKEOVER_TIMEOUT, "takeover", taken).await.unwrap()
     }
 
     /// A host other than the operator's, and the index of the server that it owns.
@@ -200,7 +200,7 @@
     ) -> FreezeObservation {
         for index in 0..small::BACKENDS.len() {
             let slow = Behaviour { run_ms: LATE_RUN_MS, ..Behaviour::default() };
-            processes.fleet().behave(index, &slow).await.unwrap();
+            processes.fleet().set_behaviour(index, &slow).await.unwrap();
         }
         let started_at = Instant::now();
         let callers = processes.fleet().hosts[victim].settings.listen.callers;
@@ -219,7 +219,7 @@
         };
         processes
             .operator
-            .wait(TAKEOVER_TIMEOUT, "all requests arrived", all_arrived)
+            .wait_until(TAKEOVER_TIMEOUT, "all requests arrived", all_arrived)
             .await
             .unwrap();
         processes.signal(victim, "-STOP");
@@ -240,7 +240,7 @@
         assert_eq!(after, before, "the former owner of {service} must run nothing after waking");
         let mut runs_of = HashMap::<&String, u32>::new();
         for seen in &self.after {
-            assert!(seen.in_flight_max <= small::SLOTS, "{seen:?}");
+            assert!(seen.in_flight_max <= small::SLOTS_PER_SERVER, "{seen:?}");
             assert_eq!(seen.repeated, 0);
             for (id, runs) in &seen.ids {
                 *runs_of.entry(id).or_default() += runs;
@@ -278,10 +278,11 @@
         let (victim, server) = processes.choose_victim().await;
         let service = small::BACKENDS[server].1;
         let observation =
-            FreezeObservation::freeze(&mut processes, victim, service, small::SLOTS).await;
+            FreezeObservation::freeze(&mut processes, victim, service, small::SLOTS_PER_SERVER)
+                .await;
         observation.check(service);
         let mut expected_runs = vec![0; small::BACKENDS.len()];
-        expected_runs[server] = u64::from(small::SLOTS);
+        expected_runs[server] = u64::from(small::SLOTS_PER_SERVER);
         let before: Vec<u64> = observation.before.iter().map(|s| s.runs).collect();
         let after = observation.freeze_delay;
         assert_eq!(
@@ -306,14 +307,21 @@
         // The host forwards requests only once it has learned of the other owner.
         let mut at_victim = Operator::connect(processes.fleet(), victim).await.unwrap();
         let both_known = |s: &StatusReply| {
-            s.services.iter().any(|s| s.service == "status" && s.slots == 2 * small::SLOTS)
+            s.services
+                .iter()
+                .any(|s| s.service == "status" && s.slots == 2 * small::SLOTS_PER_SERVER)
         };
-        at_victim.wait(TAKEOVER_TIMEOUT, "both owners known", both_known).await.unwrap();
-        let observation =
-            FreezeObservation::freeze(&mut processes, victim, "status", 2 * small::SLOTS).await;
+        at_victim.wait_until(TAKEOVER_TIMEOUT, "both owners known", both_known).await.unwrap();
+        let observation = FreezeObservation::freeze(
+            &mut processes,
+            victim,
+            "status",
+            2 * small::SLOTS_PER_SERVER,
+        )
+        .await;
         observation.check("status");
         let (own, after) = (observation.before[server].runs, observation.freeze_delay);
-        let running = u64::from(small::SLOTS);
+        let running = u64::from(small::SLOTS_PER_SERVER);
         assert_eq!(
             own, running,
             "requests that ran there before the freeze, {after:?} after the first request"
@@ -386,7 +394,7 @@
         let processes = Processes::start_with(&TWO_REGIONS, two_regions).await;
         for index in 0..3 {
             let slow = Behaviour { run_ms: 20, ..Behaviour::default() };
-            processes.fleet().behave(index, &slow).await.unwrap();
+            processes.fleet().set_behaviour(index, &slow).await.unwrap();
         }
         let caller_addresses = |hosts: &[usize]| {
             let address = |&h: &usize| processes.fleet().hosts[h].settings.listen.callers;
@@ -421,7 +429,7 @@
         assert!(rate >= 0.9 * f64::from(SHIFT_CAP), "{rate}");
         assert_eq!((after.wrong, after.cut, after.failed), (0, 0, 0), "{after:?}");
         assert_eq!(seen.repeated, 0);
-        assert!(seen.in_flight_max <= 2 * small::SLOTS, "{seen:?}");
+        assert!(seen.in_flight_max <= 2 * small::SLOTS_PER_SERVER, "{seen:?}");
         let known = [1101, 1102, 1103, 1104].map(|code| after.refused.get(&code).copied());
         let known: u64 = known.into_iter().flatten().sum();
         assert_eq!(after.whole + known, after.sent, "the rest is refused as not run: {after:?}");
