--- a/elmstream_steer/src/view.rs
+++ b/elmstream_steer/src/view.rs
@@ -1,11 +1,16 @@
 //! The store's contents as rows that can be merged in any order.
 //!
-//! Each row carries the store's version of its last significant change. The higher version wins,
-//! and deletions are rows too (tombstones), so that any host can pass on what it knows and the
-//! order of messages does not matter. Rules (configuration, evacuations and rollout orders),
-//! servers and rollout progress are separate tables, each known up to a version of its own. When
-//! the store is restored from a backup, the `era` module decides which rows stay in force; such a
-//! row keeps both contents.
+//! Each row carries the store's version of its last significant change, that is, one that alters
+//! what hosts do; a server's unchanged renewal of its entry is not, unless the server is cold. The
+//! higher version wins, and deletions are rows too (tombstones), so that any host can pass on what
+//! it knows and the order of messages does not matter. Rules (configuration, evacuations and
+//! rollout orders), servers and rollout progress are separate tables, each known up to a version of
+//! its own.
+//!
+//! When the store is restored from a backup, a new era begins. The `era` module decides which rows
+//! of the earlier era stay in force against the store's contents for some time. Such a retained row
+//! keeps both contents, so for each row there is one in force and one as the store has it. A row
+//! that is equal in both eras is carried over: it only gets a version of the new era.
 
 use std::{
     cell::Cell,
@@ -29,12 +34,14 @@
 /// How long tombstones are kept, so that delayed messages do not restore deleted rows.
 const TOMBSTONE_RETENTION: u64 = 60 * SECOND;
 
-/// If a table was last read longer ago than this, a new era counts as having begun at that read, so
-/// that rows of the earlier era are retained for a shorter time or not at all. A host that was cut
-/// off for an hour must not bring back what was in force before.
-const RECENT_READ_AGE: u64 = 60 * SECOND;
+/// Retention times run from when a host learns of a new era. If its table was last confirmed longer
+/// ago than this, they run from that confirmation instead, so that rows are retained for a shorter
+/// time or not at all: a host that was cut off for an hour must not bring back what was in force
+/// before.
+const RECENT_READ_AGE_MAX: u64 = 60 * SECOND;
 
-/// Number of readers whose clocks are remembered; beyond it only the current reader's is kept.
+/// Number of readers of a table whose clocks are remembered. Above it only the clock of the reader
+/// that confirmed the table last is kept.
 const READER_CLOCKS_MAX: usize = 4_096;
 
 /// The tables of a view.
@@ -145,20 +152,21 @@
 pub struct View {
     rows: BTreeMap<RowKey, StoredRow>,
     watermarks: [Watermark; 3],
-    /// Clocks of the hosts that read each table, by reader.
+    /// For each table, the clocks of the hosts that read it from the store, by
+    /// [`StoreRead::reader`].
     reader_clocks: [HashMap<u64, ReaderClock>; 3],
     era: Era,
     retention: Retention,
-    /// Whether any row may be retained against the store's contents.
+    /// Whether any row may be retained against the store's contents; `false` saves a search.
     may_have_retained: bool,
-    /// Version up to which each table was known when the era began; `None` if the table was
-    /// unknown.
+    /// For each table, the version up to which it was known when this host moved it to its
+    /// current era; `None` if it was unknown or there was no earlier era.
     era_bridges: [Option<StoreVersion>; 3],
     /// Cached digest of each table's keys; `None` after a change.
     key_digests: [Cell<Option<u32>>; 3],
 }
 
-/// Reads of one host as seen by this one.
+/// Another host's clock, compared with this host's clock by the reads that arrive from it.
 #[derive(Clone, Copy, Debug)]
 struct ReaderClock {
     /// Time of the last known read by the reader's clock, in milliseconds.
@@ -174,20 +182,22 @@
     /// Version up to which all significant changes are known; the default version if the table is
     /// unknown.
     pub version: StoreVersion,
-    /// When the store was last known to have exactly this version.
+    /// When the store was last known to have nothing newer than this version; `None` if the table
+    /// is unknown.
     pub confirmed_at: Option<Time>,
     /// The read that confirmed the version.
     pub last_read: Option<StoreRead>,
     /// Lowest version from which all tombstones are known. A first full read does not show earlier
     /// deletions, so updates for a host at an earlier version lack tombstones.
     pub tombstone_floor: StoreVersion,
-    /// Version up to which nothing is missing, including tombstones. It may exceed `version`, as
-    /// insignificant changes advance the store's counter too.
+    /// Version up to which a store read or another host showed that nothing is missing, including
+    /// tombstones. It may exceed `version`, as insignificant changes advance the store's
+    /// counter too.
     pub complete_to: StoreVersion,
 }
 
 impl Watermark {
-    /// Version up to which nothing is missing, from both changes and complete reads.
+    /// Version up to which nothing is missing: the higher one of `version` and `complete_to`.
     pub fn complete_version(&self) -> StoreVersion {
         self.complete_to.max(self.version)
     }
@@ -199,16 +209,17 @@
         self.watermarks[table as usize]
     }
 
-    /// Age of what is known of a table, in microseconds; `None` if the table is unknown.
+    /// Time since a table was last confirmed, in microseconds; `None` if the table is unknown.
     pub fn age(&self, now: Time, table: Table) -> Option<u64> {
         self.watermark(table).confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
 
     /// Records that a store read showed the table to be current at `version`.
     ///
-    /// A read no later than a known one of the same reader is ignored. A read that took longer to
-    /// arrive than others of that reader counts as older by the difference, so that a delayed
-    /// message does not make the data appear recent.
+    /// The watermark rises to `version` in any case. The time of the confirmation changes only if
+    /// the read is later than those known of the same reader. A read that took longer to arrive
+    /// than others of that reader counts as older by the difference, so that a delayed message does
+    /// not make the data appear recent.
     pub fn confirm(&mut self, now: Time, table: Table, version: StoreVersion, read: StoreRead) {
         let watermark = &mut self.watermarks[table as usize];
         watermark.version = watermark.version.max(version);
@@ -240,8 +251,10 @@
         self.retention = retention;
     }
 
-    /// Records an era of the store. `first_count` is the store's counter in the first read of the
-    /// era, and `known_since` when the era became known, `None` if no earlier era is known.
+    /// Records an era of the store, before its tables are moved to it by [`View::enter_era`].
+    /// `first_count` is the store's counter in the first read of the era. `known_since` is when the
+    /// host that reports the era learned of it; with `None`, a host that knows an earlier era sets
+    /// it when it moves a table.
     pub fn learn_era(&mut self, number: u64, first_count: u64, known_since: Option<Time>) {
         if number > self.era.number {
             self.era = Era { number, first_count, known_since };
@@ -254,7 +267,8 @@
         }
     }
 
-    /// Moves a table to an era. Returns whether the table was known in an earlier one.
+    /// Moves a table to an era if that is newer than the table's. Returns whether the table was
+    /// known in the earlier era, so that its rows may be retained.
     pub fn enter_era(&mut self, now: Time, table: Table, number: u64) -> bool {
         let index = table as usize;
         let watermark = self.watermarks[index];
@@ -265,7 +279,7 @@
             // A starting host may learn one table of the new era first, and the other from a host
             // that does not know of that era yet.
             let known_since =
-                if now.since(confirmed_at) < RECENT_READ_AGE { now } else { confirmed_at };
+                if now.since(confirmed_at) < RECENT_READ_AGE_MAX { now } else { confirmed_at };
             self.era.known_since.get_or_insert(known_since);
         }
         self.era_bridges[index] = watermark.confirmed_at.map(|_| watermark.version);
@@ -274,7 +288,7 @@
         watermark.confirmed_at.is_some()
     }
 
-    /// Merges a row. Returns whether it changed what is in force.
+    /// Merges a row of the store. Returns whether the content in force changed.
     pub fn merge(&mut self, now: Time, row: Row) -> bool {
         let (index, version) = (row.key.table() as usize, row.version);
         let effect = match self.rows.get_mut(&row.key) {
@@ -298,8 +312,8 @@
         effect == Effect::Changed
     }
 
-    /// Merges a row of an earlier era that another host retains. Returns whether it changed what is
-    /// in force here.
+    /// Merges a row of an earlier era that another host retains against the store. Returns whether
+    /// this host now retains it too.
     pub fn merge_retained(&mut self, now: Time, row: Row) -> bool {
         if row.version.era >= self.era.number {
             return false;
@@ -362,7 +376,8 @@
         ended
     }
 
-    /// Rows of a table that are retained against the store's contents, as they are in force.
+    /// Rows of a table that are retained against the store's contents, with the contents in force,
+    /// not the store's.
     pub fn retained(&self, table: Table) -> Vec<Row> {
         let rows =
             self.rows.iter().filter(|(key, row)| key.table() == table && row.store_copy.is_some());
@@ -385,19 +400,21 @@
         row_hashes.fold(0, |sum, hash| sum ^ hash as u32)
     }
 
-    /// Sets the tombstone floor after the first full read of a table, or of a new era of it, at
-    /// `version`: earlier deletions are unknown.
+    /// Sets the tombstone floor of a table: deletions before `version` are unknown. That is so
+    /// after the first full read of a table, or of a new era of it, and after rows from another
+    /// host whose tombstones begin there.
     pub fn set_tombstone_floor(&mut self, table: Table, version: StoreVersion) {
         self.watermarks[table as usize].tombstone_floor = version;
     }
 
-    /// Records that nothing of a table is missing up to a version.
+    /// Records that nothing of a table is missing up to a version, as a store read or rows of
+    /// another host have shown.
     pub fn mark_complete(&mut self, table: Table, version: StoreVersion) {
         let watermark = &mut self.watermarks[table as usize];
         watermark.complete_to = watermark.complete_to.max(version);
     }
 
-    /// Digest of the keys that the store has in a table.
+    /// Digest of the keys that the store has in a table, as far as this host knows.
     pub fn keys_digest(&self, table: Table) -> u32 {
         let cached = &self.key_digests[table as usize];
         let cached_sum = cached.get();
@@ -407,7 +424,7 @@
         sum
     }
 
-    /// Sorted hashes of the keys that the store has in a table.
+    /// Sorted hashes of the keys that the store has in a table, as far as this host knows.
     pub fn key_hashes(&self, table: Table) -> Vec<u32> {
         let existing =
             self.rows.iter().filter(|(key, row)| key.table() == table && row.exists_in_store());
@@ -416,8 +433,8 @@
         keys
     }
 
-    /// Tombstones at `version` for all rows whose key hashes are not in `keys`, the sorted hashes
-    /// of the keys that the store has.
+    /// Tombstones at `version` for the rows that this host takes to exist in the store but whose
+    /// key hashes are not in `keys`, the [`View::key_hashes`] of a host that knows more deletions.
     pub fn tombstones_for_unlisted(
         &self,
         table: Table,
@@ -431,8 +448,9 @@
         unlisted.map(|(key, _)| Row::new(key.clone(), version, None)).collect()
     }
 
-    /// Extends the completeness of a table if another host with the same version knows earlier
-    /// tombstones and has the same keys: no tombstone is then missing here.
+    /// Marks a table as complete up to another host's tombstone floor if that host has the same
+    /// keys: no tombstone is then missing here. `status` must have this host's version of the
+    /// table, which is not checked.
     pub fn confirm_keys(&mut self, table: Table, status: &TableStatus) {
         let watermark = self.watermark(table);
         let extends = status.tombstone_floor.era == watermark.version.era
@@ -442,8 +460,8 @@
         }
     }
 
-    /// Whether another host with the same version of a table knows a tombstone that is missing
-    /// here.
+    /// Whether another host with the same version of a table has other keys and a tombstone floor
+    /// above what is complete here, so that tombstones are missing here.
     pub fn lacks_tombstones(&self, table: Table, status: &TableStatus) -> bool {
         let watermark = self.watermark(table);
         let same_version = status.version == watermark.version
@@ -453,8 +471,8 @@
             && status.keys_digest != self.keys_digest(table)
     }
 
-    /// Keys of a table that the store is known to have but that are not in `present`, which is
-    /// sorted.
+    /// Keys of a table that this host takes to exist in the store but that are not in `present`,
+    /// the sorted keys of a full read: these rows were deleted.
     pub fn unlisted_keys(&self, table: Table, present: &[RowKey]) -> Vec<RowKey> {
         let existing =
             self.rows.iter().filter(|(key, row)| key.table() == table && row.exists_in_store());
@@ -463,6 +481,8 @@
     }
 
     /// Rows of a table, including tombstones, that changed after a version, as the store has them.
+    /// Rows that were carried over into the store's era are omitted if a host at that version has
+    /// them; see [`View::carried_over`].
     pub fn changed_since(&self, table: Table, version: StoreVersion) -> Vec<Row> {
         let is_new = |row: &StoredRow| !row.is_known_at(version);
         let rows = self.rows.iter().filter(|(key, row)| key.table() == table && is_new(row));
@@ -470,16 +490,17 @@
         rows.filter(|row| row.version > version).collect()
     }
 
-    /// Rows that [`View::changed_since`] omits because a host that knew the table up to a version
-    /// of an earlier era has them unchanged: the hash of each key, and the counter of the row's
-    /// version in the store's era.
+    /// Rows that [`View::changed_since`] omits because a host that knows the table up to `version`,
+    /// of an earlier era, already has their contents and only lacks their versions in the store's
+    /// era: the hash of each key, and the counter of that version.
     pub fn carried_over(&self, table: Table, version: StoreVersion) -> Vec<(u64, u64)> {
         let rows = self.rows.iter().filter(|(key, _)| key.table() == table);
         let known = rows.filter(|(_, row)| row.is_known_at(version));
         known.map(|(key, row)| (key.hash(), row.version.count)).collect()
     }
 
-    /// Assigns versions of the store's era to rows that are unchanged from an earlier one.
+    /// Assigns versions of the store's era to rows that are unchanged from an earlier one, as
+    /// listed by another host's [`View::carried_over`].
     pub fn carry_over(&mut self, table: Table, era: u64, carried_over: &[(u64, u64)]) {
         let counts: HashMap<u64, u64> = carried_over.iter().copied().collect();
         let rows = self.rows.iter_mut().filter(|(key, _)| key.table() == table);
@@ -494,8 +515,10 @@
         }
     }
 
-    /// Version of the earlier era up to which [`View::changed_since`] is complete for a host that
-    /// has not reached the store's era; `None` if unknown.
+    /// Version of the earlier era up to which this host knew a table when it moved it to the
+    /// store's era; `None` if it did not know it. A host still in that earlier era, and at most at
+    /// this version, can be brought into the new era by [`View::changed_since`]; others need all
+    /// rows.
     pub fn era_bridge(&self, table: Table) -> Option<StoreVersion> {
         self.era_bridges[table as usize]
     }
@@ -512,17 +535,19 @@
         rows.collect()
     }
 
-    /// Keys and contents of all rows that exist.
+    /// Keys and contents of all rows in force, without deleted ones.
     pub fn contents(&self) -> impl Iterator<Item = (&RowKey, &RowContent)> {
         self.rows.iter().filter_map(|(key, row)| Some((key, row.content.as_ref()?)))
     }
 
-    /// Version of a row's last significant change; `None` if the row is unknown.
+    /// Version of the last significant change of a row in force, which is of an earlier era if the
+    /// row is retained; `None` if the row is unknown.
     pub fn row_version(&self, key: &RowKey) -> Option<StoreVersion> {
         Some(self.rows.get(key)?.version)
     }
 
-    /// The store's counter for a row as the store has it; 0 if the row does not exist there.
+    /// Counter of the last version of a row as the store has it, which a conditional write has to
+    /// name; 0 if the row does not exist there.
     pub fn store_count(&self, key: &RowKey) -> u64 {
         let existing = self.rows.get(key).filter(|row| row.exists_in_store());
         existing.map_or(0, |row| row.as_stored(self.era.number).0.count)
@@ -533,7 +558,7 @@
         self.rows.get(key).is_some_and(|row| row.store_copy.is_some())
     }
 
-    /// The content of a row in force; `None` if the row does not exist.
+    /// The content of a row in force; `None` if the row is unknown or deleted.
     pub fn get(&self, key: &RowKey) -> Option<&RowContent> {
         self.rows.get(key)?.content.as_ref()
     }
