--- a/elmstream_steer/src/gossip.rs
+++ b/elmstream_steer/src/gossip.rs
@@ -1,4 +1,7 @@
-//! Builds the messages to other hosts and merges theirs.
+//! Methods of [`Steer`] that build the messages to other hosts, merge those received from them, and
+//! periodically update what depends on which hosts are live.
+//!
+//! The methods do no input or output: the caller sends the returned messages.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -24,23 +27,26 @@
 
 /// Interval between two calculations of the region shares.
 const SHARES_INTERVAL: u64 = SECOND;
-/// Smallest number of silent servers at one host for which its own connectivity is doubted.
+/// If a host reports at least this number of servers as silent, and these are most of the servers
+/// that it reports, its own connectivity is doubted and the report not believed.
 const MASS_SILENCE_SERVERS_MIN: usize = 4;
 
 impl Steer {
-    /// Adds an address at which another host may run.
+    /// Adds an address at which another host may run. It receives heartbeats, but does not count as
+    /// a live host before one arrives from it.
     pub fn add_peer_address(&mut self, now: Time, address: SocketAddr) {
         if address != self.settings.host.peers {
             self.members.add_unconfirmed(now, address);
         }
     }
 
-    /// Addresses that receive the heartbeats of a round.
+    /// Addresses that receive the heartbeat of a round. `round` counts the rounds: hosts of other
+    /// regions and unreachable hosts are included only in some of them.
     pub fn targets(&mut self, now: Time, round: u64) -> Targets {
         self.members.targets(now, round, self.hash)
     }
 
-    /// How far this host knows each table.
+    /// How far this host knows each table, in the order of [`TABLES`].
     pub fn table_statuses(&self) -> [TableStatus; 3] {
         TABLES.map(|table| {
             let watermark = self.view.watermark(table);
@@ -54,7 +60,8 @@
         })
     }
 
-    /// Whether a change should reach the other hosts before the next regular round.
+    /// Whether a change since the last heartbeat should reach the other hosts before the next
+    /// regular round.
     pub fn has_urgent_news(&self) -> bool {
         self.urgent
     }
@@ -100,13 +107,14 @@
         }
     }
 
-    /// Number of hosts, including this one, that this host itself considers possibly running.
+    /// Number of hosts, including this one, that this host itself considers possibly running. The
+    /// size of the fleet is the highest such number of any live host.
     fn possibly_running(&self, now: Time) -> usize {
         self.members.possibly_running(now) + 1
     }
 
     /// Usage reports, admit fractions and rollout counts that are due, with their receivers. Called
-    /// every 100 ms.
+    /// every 100 ms; includes [`Steer::due_broadcasts`].
     pub fn due_messages(&mut self, now: Time) -> Vec<(SocketAddr, Message)> {
         let due_reports =
             self.with_quotas(now, |quotas, context, table| quotas.due_reports(context, table));
@@ -118,7 +126,8 @@
         messages
     }
 
-    /// Admit fractions that this host has to broadcast now, with their receivers.
+    /// Admit fractions that this host has to broadcast now, with their receivers. Also called after
+    /// each usage report, as a workspace that goes over its limit is broadcast at once.
     pub fn due_broadcasts(&mut self, now: Time) -> Vec<(SocketAddr, Message)> {
         let broadcasts = self.with_quotas(now, |quotas, context, _| quotas.due_broadcasts(context));
         self.address_broadcasts(broadcasts)
@@ -211,7 +220,8 @@
         Some(HeartbeatNews { joined: effect.joined, outdated_tables, refused, limits, leaving })
     }
 
-    /// Merges crashes reported by another host. Returns the requests that are refused from now on.
+    /// Merges crashes of servers that another host reported or that the store lists. Returns the
+    /// requests that are refused from now on because of them.
     pub fn merge_crashes(
         &mut self,
         now: Time,
@@ -253,6 +263,7 @@
         }
     }
 
+    /// Adds another host's load and reachability reports to the servers' sums, or subtracts them.
     fn apply_loads(&mut self, loads: &[ServerLoad], add: bool) {
         let is_believed = !reports_mass_silence(loads);
         for load in loads {
@@ -347,7 +358,9 @@
         }
     }
 
-    /// Applies the effects of time; called about every 100 ms.
+    /// Drops what has expired, such as silent hosts and tombstones, and updates what depends on
+    /// time and on the live hosts. Called about every 100 ms. Returns the changes of state to be
+    /// logged.
     pub fn tick(&mut self, now: Time) -> Vec<StateChange> {
         let lost = self.members.expire(now);
         self.recount_loads();
@@ -394,17 +407,20 @@
     silent >= MASS_SILENCE_SERVERS_MIN && silent * 2 > loads.len()
 }
 
-/// Results of a heartbeat that the caller has to act on.
+/// What the caller of [`Steer::on_heartbeat`] has to act on; the rest of the heartbeat is already
+/// merged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatNews {
     /// The sender was unknown or not live before.
     pub joined: bool,
-    /// Tables that the sender knows better, with the request to fetch the difference.
+    /// Tables of which the sender has something that this host lacks, each with the request that
+    /// fetches it from the sender.
     pub outdated_tables: Vec<(Table, SyncRequest)>,
-    /// Requests that are refused from now on.
+    /// Digests of the requests that are refused from now on, because servers crash under them.
     pub refused: Vec<(RequestDigest, PoisonEvidence)>,
-    /// Servers that named another limit, or withdrew theirs (`None`).
+    /// Ids of servers that changed the request rate that they accept, with the new rate; `None` if
+    /// the server no longer limits it.
     pub limits: Vec<(String, Option<RequestRate>)>,
-    /// Ids of servers that are about to leave.
+    /// Ids of servers of which this host did not know yet that they are about to leave.
     pub leaving: Vec<String>,
 }
