--- a/elmstream_steer/src/quota.rs
+++ b/elmstream_steer/src/quota.rs
@@ -2,8 +2,10 @@
 //!
 //! A host admits a workspace's requests with the probability that the workspace's tallies
 //! ([`crate::tally`]) last granted, and reports to them how many requests it received and admitted.
-//! For most workspaces there is no grant below 1, and all requests are admitted. A host that no
-//! tally answers uses its local share of the limit: one part for each host of the fleet.
+//! For most workspaces there is no grant below 1, and all requests are admitted; so they are before
+//! the first reply. The fractions of workspaces over their limit are broadcast to all hosts, so
+//! that hosts that have not reported throttle them too. A host that no tally answers, or that is
+//! isolated from the fleet, uses its local share of the limit: one part for each host of the fleet.
 
 use elmstream::time::{MILLI, SECOND, Time};
 use rustc_hash::FxHashMap;
@@ -24,16 +26,18 @@
 pub const TALLY_REPLICAS: usize = 2;
 /// Time without a reply after which a report is sent again, to the next hosts in rank.
 const REPORT_RETRY_AFTER: u64 = 200 * MILLI;
-/// Number of successive unanswered reports after which the host uses its local share. By then six
+/// Number of successive report timeouts after which the host uses its local share. By then six
 /// hosts have been tried: if half of the fleet is dead, one host in 64 has tried dead hosts only.
 const UNANSWERED_REPORTS_MAX: u8 = 3;
-/// Time between two reports after that.
+/// Time without a reply after which a report is sent again to other hosts, once the host uses its
+/// local share.
 const UNANSWERED_RETRY_INTERVAL: u64 = 500 * MILLI;
-/// Time for which a reply counts. A host that receives requests reports every 100 ms.
+/// Time for which the fractions of a reply are used. A host that receives requests reports every
+/// 100 ms.
 const GRANT_TIMEOUT: u64 = SECOND;
 /// Time between two broadcasts about workspaces over their limit.
 const BROADCAST_INTERVAL: u64 = 300 * MILLI;
-/// Time for which a broadcast fraction counts. A lost broadcast is made up for by the following
+/// Time for which a broadcast fraction is used. A lost broadcast is made up for by the following
 /// ones.
 const BROADCAST_TIMEOUT: u64 = 1_000 * MILLI;
 /// Largest number of other hosts that one host sends a broadcast to directly. In a larger fleet it
@@ -42,12 +46,13 @@
 const DIRECT_RECEIVERS_MAX: usize = 100;
 /// Maximum number of workspaces in one datagram: at 25 bytes each, a sixth of the largest datagram.
 const DATAGRAM_ENTRIES_MAX: usize = 100;
-/// Time after which a new draw decides which hosts get one more request, when the local share is
-/// not a whole number.
+/// Time after which a new random draw decides which hosts may admit one more request, when the
+/// local share is not a whole number.
 const REDRAW_INTERVAL: u64 = 60 * SECOND;
 /// Time without requests after which a workspace's local usage is dropped.
 const IDLE_TIMEOUT: u64 = 60 * SECOND;
-/// Minimum retry time for a caller over the limit, in milliseconds.
+/// Retry time for a caller over the limit if nearly all requests are admitted, in milliseconds. It
+/// grows as the admit fraction falls, up to half of the window.
 const RETRY_MIN_MS: f64 = 300.0;
 
 /// State that quota decisions depend on, beside the workspace.
@@ -55,11 +60,14 @@
 pub struct QuotaContext<'a> {
     /// Current time.
     pub now: Time,
-    /// Bounds of the fleet.
+    /// Fleet-wide bounds: the window in which requests are counted, and by how much all hosts
+    /// together may exceed a limit in it.
     pub bounds: &'a Bounds,
-    /// Number of hosts that may be running, that are live, and that are live in this region.
+    /// Numbers of hosts: those that may be running, the live ones, and the live ones in this
+    /// region.
     pub fleet: FleetView,
-    /// Whether this host knows the addresses of the other hosts.
+    /// Whether this host has the list of the fleet's hosts, or does not need one. Without it, the
+    /// host can determine neither the tallies nor its local share.
     pub hosts_known: bool,
     /// Hashes of the addresses of the hosts that may be running, this host's first.
     pub address_hashes: &'a [u64],
@@ -68,14 +76,15 @@
 /// Whether a request is within its workspace's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaDecision {
-    /// The request is within the limit and has been counted.
+    /// The request is admitted, and counted if the workspace has a limit.
     Within,
     /// The request is over the limit.
     Over {
         /// Time after which the caller should retry, in milliseconds.
         retry_ms: u64,
     },
-    /// This host does not know yet what the other hosts admitted.
+    /// This host has just started and does not know the other hosts yet, so it cannot decide; the
+    /// caller should retry shortly.
     Unready,
 }
 
@@ -97,7 +106,7 @@
     pub broadcast: FractionBroadcast,
 }
 
-/// An admit fraction as this host received it.
+/// An admit fraction as this host received it, in a reply or a broadcast.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     /// Lower 32 bits of the hash of the address of the host that computed the fraction.
@@ -111,35 +120,43 @@
 /// Usage of one workspace at this host.
 #[derive(Clone, Debug, Default)]
 struct LocalUsage {
+    /// Requests received since the host's start, modulo 2^32.
     requested: u32,
+    /// Requests admitted since the host's start, modulo 2^32.
     admitted: u32,
+    /// Requests admitted in the sliding window.
     used: SlidingWindow,
     /// The limit that applied while `used` was counted.
     limit: f64,
     /// Value of `requested` in the last report.
     reported: u32,
-    /// When the last report was sent, while it is unanswered.
+    /// When the first report since the last reply or timeout was sent; `None` if none was.
     unanswered_since: Option<Time>,
-    /// Number of successive unanswered reports.
+    /// Number of successive report timeouts.
     unanswered_reports: u8,
+    /// Grants received in replies, at most one for each tally.
     grants: Vec<Grant>,
     last_request: Time,
 }
 
-/// State of the workspaces' limits at one host.
+/// State of the workspaces' limits at one host: its own usage, the grants that it received, and the
+/// tallies that it keeps for other hosts.
 #[derive(Clone, Debug)]
 pub struct Quotas {
     /// Differs between starts of hosts.
     seed: u64,
     started: Time,
+    /// Number of random draws so far; varies the next one.
     draw_count: u64,
+    /// This host's own usage, by workspace.
     usage: FxHashMap<u64, LocalUsage>,
+    /// Tallies that this host keeps for the fleet, by workspace.
     tallies: FxHashMap<u64, Tally>,
     /// Grants received by broadcast, by workspace.
     broadcast_grants: FxHashMap<u64, Vec<Grant>>,
     /// When this host last sent a broadcast.
     last_broadcast: Time,
-    /// A workspace has gone over its limit since the last broadcast.
+    /// Whether a workspace has gone over its limit since the last broadcast.
     urgent: bool,
 }
 
@@ -158,7 +175,8 @@
         }
     }
 
-    /// Decides on a request, and counts it if it is within the limit.
+    /// Decides on a request, and counts it if it is within the limit. A workspace whose rate is not
+    /// positive has no limit.
     pub fn admit(&mut self, context: &QuotaContext<'_>, entry: &WorkspaceEntry) -> QuotaDecision {
         let workspace = &entry.workspace;
         if workspace.rate_per_s <= 0.0 {
@@ -206,7 +224,7 @@
         }
     }
 
-    /// Takes back an admitted request that no server ran.
+    /// Reverses the count of an admitted request, or of a further attempt, that no server ran.
     pub fn refund(&mut self, context: &QuotaContext<'_>, entry: &WorkspaceEntry) {
         if let Some(usage) = self.usage.get_mut(&entry.id) {
             usage.record(context.now, tally::window_us(context.bounds), -1);
@@ -257,7 +275,7 @@
         others
     }
 
-    /// Takes in a host's report and returns the reply.
+    /// Adds a host's report to the tallies kept here and returns the reply.
     pub fn on_report(
         &mut self,
         context: &QuotaContext<'_>,
@@ -285,7 +303,7 @@
         UsageReply { address_hash, fractions }
     }
 
-    /// Takes in the reply to a report.
+    /// Stores the admit fractions of a reply to a report.
     pub fn on_reply(&mut self, now: Time, reply: &UsageReply) {
         for fraction in &reply.fractions {
             if let Some(usage) = self.usage.get_mut(&fraction.workspace) {
@@ -300,7 +318,8 @@
         }
     }
 
-    /// Broadcasts that are due, with their receivers.
+    /// Broadcasts that are due, with their receivers: the fractions of all throttled workspaces of
+    /// which this host keeps the tally, every `BROADCAST_INTERVAL`, or at once if one is new.
     pub fn due_broadcasts(&mut self, context: &QuotaContext<'_>) -> Vec<AddressedBroadcast> {
         let now = context.now;
         if !self.urgent && now.since(self.last_broadcast) < BROADCAST_INTERVAL {
@@ -338,7 +357,7 @@
             .collect()
     }
 
-    /// Takes in a broadcast and returns the copies to be forwarded.
+    /// Stores the fractions of a broadcast and returns the copies to be forwarded.
     pub fn on_broadcast(
         &mut self,
         context: &QuotaContext<'_>,
@@ -379,8 +398,9 @@
         }
     }
 
-    /// Takes in a new configuration. A workspace whose limit was lowered is counted from zero,
-    /// because what was admitted before was within the old limit.
+    /// Applies a new configuration, with the workspaces of `table` instead of those of `before`. A
+    /// workspace whose limit was lowered is counted from zero, because what was admitted before was
+    /// within the old limit.
     pub fn on_configuration(
         &mut self,
         bounds: &Bounds,
@@ -399,7 +419,8 @@
         }
     }
 
-    /// Number of workspaces that this host throttles, as far as tallies have replied to it.
+    /// Number of workspaces that this host throttles because of a reply from a tally. Broadcast
+    /// fractions and local shares are not included.
     pub fn throttled_count(&self, now: Time) -> usize {
         let throttled = self
             .usage
@@ -408,7 +429,7 @@
         throttled.count()
     }
 
-    /// Number of workspaces whose tallies do not answer.
+    /// Number of workspaces for which this host uses its local share, as no tally answers.
     pub fn unanswered_count(&self) -> usize {
         self.usage
             .values()
@@ -432,7 +453,7 @@
         self.used.adjust(now, window, delta);
     }
 
-    /// Starts counting from zero if the limit was lowered.
+    /// Sets the limit, and starts counting from zero if it was lowered.
     fn apply_limit(&mut self, limit: f64) {
         if limit < self.limit {
             self.used.clear();
@@ -441,7 +462,8 @@
         self.limit = limit;
     }
 
-    /// Returns the number of unanswered reports before this one if a report is due.
+    /// Returns the number of successive report timeouts if a report is due: after a timeout, or
+    /// when there are new requests.
     fn due_report(&mut self, now: Time) -> Option<u8> {
         let pause = if self.unanswered_reports < UNANSWERED_REPORTS_MAX {
             REPORT_RETRY_AFTER
@@ -471,10 +493,12 @@
     }
 }
 
-/// Number of requests in a window that a host admits without any tally.
+/// Number of requests in a window that a host admits without any tally: the limit divided by the
+/// number of hosts that may be running.
 ///
-/// Where the share is not a whole number, a draw decides whether the host gets one more, so that
-/// the hosts together stay at the limit. Rounding up would give each host at least one request.
+/// Where the share is not a whole number, a random draw decides whether the host gets one more, so
+/// that the hosts together stay at the limit. Rounding up would give each host at least one
+/// request.
 pub fn local_share(seed: u64, context: &QuotaContext<'_>, entry: &WorkspaceEntry) -> u32 {
     let hosts = context.fleet.possibly_running.max(1) as f64;
     let share = tally::window_limit(context.bounds, &entry.workspace) / hosts;
@@ -512,9 +536,9 @@
     other_ms.wrapping_sub(stamp_ms) < (BROADCAST_TIMEOUT / MILLI) as u32
 }
 
-/// Receivers of a broadcast, each with the range of address hashes that it forwards to.
+/// Receivers of a broadcast, each with the half-open range of address hashes that it forwards to.
 ///
-/// `draw` varies the hosts that forward, because some may be dead.
+/// `draw` varies which hosts forward, because some may be dead.
 fn broadcast_ranges(address_hashes: &[u64], draw: u64) -> Vec<(u64, (u64, u64))> {
     let others = address_hashes.get(1..).unwrap_or_default();
     if others.len() <= DIRECT_RECEIVERS_MAX {
@@ -539,9 +563,10 @@
         .collect()
 }
 
-/// The hosts that keep a workspace's tally, or the ones next in rank after unanswered reports.
+/// Address hashes of the hosts that keep a workspace's tally: the first ones by rendezvous hashing,
+/// or after report timeouts the ones that rank next.
 fn tally_hosts(address_hashes: &[u64], id: u64, unanswered_reports: u8) -> Vec<u64> {
-    // After enough unanswered reports the host starts over with the first ones.
+    // After enough timeouts the host starts over with the first ones.
     let round = usize::from(unanswered_reports) % (usize::from(UNANSWERED_REPORTS_MAX) + 1);
     let max_ranked = TALLY_REPLICAS * (round + 1);
     let mut first: Vec<(u64, u64)> = Vec::with_capacity(max_ranked + 1);
