--- a/elmstream_steer/src/poison.rs
+++ b/elmstream_steer/src/poison.rs
@@ -2,13 +2,18 @@
 //!
 //! A request that crashes the server which runs it comes again under a new id, at any host, so it
 //! is identified by a digest of its content. Each crash is reported to all hosts with the hash of
-//! the server's start, so two reports of one crash count once. Crashes are a set that only grows,
-//! or whose elements are voided, so hosts can merge reports in any order.
+//! the server's start (it identifies one run of the server's process), so two reports of one crash
+//! count once. Until they expire, crashes are only added to the set, or marked as voided for good,
+//! so hosts can merge reports in any order.
 //!
 //! A crashed server was also running other requests, and callers often repeat harmless requests. So
 //! crashes count by generations: a crash counts beyond the earlier ones only if its request was
 //! sent when these were known. Copies that are in flight while many servers are killed at once
 //! belong to one generation, and the next complete answer voids all their crashes.
+//!
+//! A request is a suspect from its first crash, and is refused after a few generations of crashes
+//! (`poison_record` has the rule). Refused requests are also listed in the store, where hosts that
+//! start find them and operators can readmit them.
 
 use std::collections::HashMap;
 
@@ -34,25 +39,27 @@
 /// Time for which the crash of a server's start is remembered: no host sends to it longer than its
 /// entry stays in the store, some seconds.
 const CRASHED_START_KEPT_FOR: u64 = 60 * SECOND;
-/// Time after a complete answer, or after an operator readmitted the request, in which reported
-/// crashes count as earlier.
+/// Time after a complete answer, or after an operator readmitted the request, in which newly
+/// learned crashes are voided at once: they happened earlier, and their reports were still under
+/// way.
 const CLEARED_FOR: u64 = 2 * SECOND;
-/// Seconds after its last crash for which a request is suspected. Callers retry within seconds; a
-/// poison request that comes more rarely crashes one server each time.
+/// Seconds after its last crash for which a request stays a suspect. Callers retry within seconds;
+/// a poison request that comes more rarely crashes one server each time.
 const SUSPECT_FOR_S: u64 = 600;
 /// Seconds after its last crash for which a request is refused. It may be harmless after the next
 /// release of its service.
 const REFUSE_FOR_S: u64 = 24 * 3_600;
-/// Time after which a host checks whether another one has listed a request: longer than two calls
-/// to a store that answers slowly, 0.6 s each.
+/// How long a host that did not observe the deciding crash waits before it checks whether the one
+/// that did has listed the request: longer than two calls to a store that answers slowly, 0.6 s
+/// each.
 const LISTING_CHECK_DELAY: u64 = 2 * SECOND;
 
 /// Effect of a crash on what is known of its request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PoisonChange {
-    /// No change that is urgent.
+    /// Nothing that other hosts have to learn before the next regular heartbeat.
     None,
-    /// The number of generations rose above one.
+    /// The number of generations rose and is now above one, but the request is not refused yet.
     GenerationRaised,
     /// The request is refused from now on.
     Refused(PoisonEvidence),
@@ -63,14 +70,14 @@
 pub struct PendingListing {
     /// Digest of the request.
     pub digest: RequestDigest,
-    /// Server crashes under the request.
+    /// All known crashes under the request.
     pub crashes: Vec<ServerCrash>,
-    /// Whether this host observed the crash that decided the refusal and lists it; otherwise the
-    /// host lists it only if no other host has.
+    /// Whether this host observed the crash that decided the refusal, and so lists the request
+    /// without a check; otherwise it lists it only if no other host has.
     pub decided_here: bool,
 }
 
-/// Suspected and refused requests as one host knows them.
+/// Suspected, refused and recently cleared requests as one host knows them.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTracker {
     suspects: HashMap<RequestDigest, Suspect>,
@@ -81,17 +88,18 @@
 }
 
 impl PoisonTracker {
-    /// Whether no request is suspected, so that no digest is needed.
+    /// Whether no request is tracked, so that digests need not be computed.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Whether the server's start with this hash is known to have crashed.
+    /// Whether a server's start, given by its hash, is known to have crashed.
     pub fn knows_crash(&self, server: u64) -> bool {
         self.crashed_starts.contains_key(&server)
     }
 
-    /// Number of generations of crashes known of a request.
+    /// Number of generations of crashes known of a request, without voided crashes; 0 if it is not
+    /// a suspect.
     pub fn generation(&self, digest: &RequestDigest) -> u8 {
         self.suspects.get(digest).map_or(0, Suspect::generation)
     }
@@ -107,18 +115,18 @@
         suspect.is_refused().then(|| suspect.evidence())
     }
 
-    /// Records that a server crashed under a request of this host. `known` is the number of
-    /// generations that were known when the request was sent, `unix_s` the wall clock in Unix
-    /// seconds.
+    /// Records that a server crashed under a request that this host sent. `server` is the hash of
+    /// the server's start, `known_generations` the number of generations that were known when the
+    /// request was sent, `unix_s` the wall clock in Unix seconds.
     pub fn record_crash(
         &mut self,
         now: Time,
         unix_s: u64,
         digest: RequestDigest,
         server: u64,
-        known: u8,
+        known_generations: u8,
     ) -> PoisonChange {
-        let generation = known.saturating_add(1);
+        let generation = known_generations.saturating_add(1);
         let crash = ServerCrash { digest, server, generation, at_s: unix_s, voided: false };
         let change = self.merge(now, &crash);
         if let Some(suspect) = self.suspects.get_mut(&digest) {
@@ -128,7 +136,7 @@
         change
     }
 
-    /// Merges a crash that another host reported.
+    /// Merges a crash that another host reported or that the store lists.
     pub fn merge(&mut self, now: Time, crash: &ServerCrash) -> PoisonChange {
         if !self.suspects.contains_key(&crash.digest) {
             self.make_room();
@@ -175,7 +183,7 @@
         }
     }
 
-    /// Records that a request got a complete answer, which clears it.
+    /// Records that a request got a complete answer, which voids its crashes.
     pub fn record_answer(&mut self, now: Time, digest: &RequestDigest) {
         if let Some(suspect) = self.suspects.get_mut(digest) {
             suspect.cleared_at = Some(now);
@@ -212,7 +220,8 @@
         reports.collect()
     }
 
-    /// Reports refused requests again, for a host that joined or is back.
+    /// Makes the next heartbeats report the crashes of refused requests again, for a host that
+    /// joined or is back.
     pub fn rebroadcast(&mut self, now: Time) {
         self.last_change = Some(now);
         for suspect in self.suspects.values_mut().filter(|suspect| suspect.is_refused()) {
@@ -220,14 +229,14 @@
         }
     }
 
-    /// All known crashes of refused requests, for a host that starts.
+    /// All known crashes of refused requests, to be sent to a host that starts.
     pub fn refused_crashes(&self) -> Vec<ServerCrash> {
         let refused = self.suspects.iter().filter(|(_, suspect)| suspect.is_refused());
         refused.flat_map(|(digest, suspect)| crash_reports(*digest, suspect)).collect()
     }
 
-    /// Refused requests that this host must list in the store: it observed a crash itself and
-    /// doesn't know the request to be listed.
+    /// Refused requests that this host has to list in the store: it observed one of their crashes
+    /// itself and does not know them to be listed.
     ///
     /// The host that observed the deciding crash lists the request at once. The others check some
     /// time later whether it did: if they wrote too, they could undo an operator's readmission.
@@ -257,8 +266,8 @@
             .collect()
     }
 
-    /// Whether a request was suspected or refused and is cleared, by a complete answer or by an
-    /// operator.
+    /// Whether crashes of a request are known and all of them are voided, by a complete answer or
+    /// by an operator's readmission.
     pub fn is_cleared(&self, digest: &RequestDigest) -> bool {
         let suspect = self.suspects.get(digest);
         suspect.is_some_and(|suspect| {
@@ -275,7 +284,8 @@
 
     /// Readmits a request on an operator's order. Returns whether it was refused.
     ///
-    /// Crashes that other hosts observed and this one has not learned of yet count as earlier.
+    /// All its crashes are voided, and so are those that this host learns of within `CLEARED_FOR`
+    /// from now.
     pub fn readmit(&mut self, now: Time, digest: &RequestDigest) -> bool {
         if !self.suspects.contains_key(digest) {
             self.make_room();
@@ -317,8 +327,9 @@
     }
 }
 
-/// Whether a listed request is no longer refused for its crashes, as the last one is too old. A
-/// listing without crashes was readmitted by an operator, who also removes it from the list.
+/// Whether an entry of the store's list has to be removed, because its last crash is too old for
+/// the request to be refused. An entry without crashes never expires: it marks a request that an
+/// operator has readmitted, and the operator removes it.
 pub fn listing_expired(crashes: &[ServerCrash], unix_s: u64) -> bool {
     let last = crashes.iter().map(|crash| crash.at_s).max();
     last.is_some_and(|last| unix_s.saturating_sub(last) >= REFUSE_FOR_S)
