--- a/elmstream_steer/tests/support/eras.rs
+++ b/elmstream_steer/tests/support/eras.rs
@@ -466,12 +466,9 @@
         match message {
             // Rows requested by the previous start are not delivered to this one.
             Message::Rows(..) if at < self.nodes[to].started + FETCH_DELAY => {}
-            Message::Heartbeat(heartbeat) => {
-                let Some(heartbeat_news) = self.nodes[to].steer.on_heartbeat(ms(at), &heartbeat)
-                else {
-                    return;
-                };
-                for (table, version) in heartbeat_news.outdated_tables {
+            Message::Heartbeat(body) => {
+                let Some(news) = self.nodes[to].steer.on_heartbeat(ms(at), &body) else { return };
+                for (table, version) in news.outdated_tables {
                     let mut rows = self.nodes[from].steer.rows_for(ms(at), table, version);
                     if self.without == Without::Sharing {
                         rows.retained.clear();
