--- a/elmstream_config/src/error.rs
+++ b/elmstream_config/src/error.rs
@@ -44,7 +44,7 @@
         reason: String,
     },
     /// The configuration does not contain the host's failure domain.
-    #[snafu(display("E3005 failure_domain: the configuration knows no failure domain {name:?}"))]
+    #[snafu(display("E3005 failure_domain: the configuration has no failure domain {name:?}"))]
     SettingsDomain {
         /// The failure domain of the settings.
         name: String,
