--- a/elmstream_steer/src/pick.rs
+++ b/elmstream_steer/src/pick.rs
@@ -5,6 +5,9 @@
 //! cached. A request goes to another server only if it would wait too long there, and preferably to
 //! one that is warm for the key. The wait is computed from the requests that all hosts together
 //! have in flight. A request that would wait too long everywhere is refused at once.
+//!
+//! Usable servers are compared by their cost: the expected answer time in milliseconds, plus
+//! penalties for failures, other regions and servers that are not warm for the key.
 
 use elmstream::time::{MILLI, Time};
 
@@ -17,10 +20,10 @@
     warm_keys::WarmKeys,
 };
 
-/// Cost of sending to another region, in milliseconds of answer time.
+/// Cost of sending to another region, in milliseconds.
 const REMOTE_REGION_COST_MS: f64 = 30.0;
-/// Factor added to the answer time of a server when all of its answers fail; scaled by its failure
-/// rate.
+/// A server's expected answer time is multiplied by 1 plus this factor times its failure rate,
+/// which is 1 if all of its answers fail.
 const FAILURE_COST_FACTOR: f64 = 6.0;
 /// Factor on the answer time of a cold server. Cold servers in production take twice as long.
 const COLD_SLOWDOWN: f64 = 2.0;
@@ -34,12 +37,12 @@
 /// Like `OBJECTIVE_FACTOR`, for a caller that was refused before and would give up after another
 /// refusal.
 const RETURNING_OBJECTIVE_FACTOR: f64 = 2.0;
-/// Minimum wait that a request accepts, as a fraction of the objective.
+/// Lower bound of the longest accepted wait, as a fraction of the route's objective.
 const MIN_WAIT_FRACTION: f64 = 0.1;
 /// Number of ranked servers that are considered in the first region, and in each other region.
 const FIRST_REGION_RANKS: usize = 2;
 const OTHER_REGION_RANKS: usize = 1;
-/// Cost of each further rank for a server that is not warm for the key.
+/// Cost of each rank after the first, in milliseconds, for a server that is not warm for the key.
 const NOT_WARM_RANK_COST_MS: f64 = 60.0;
 /// Fraction of its slots up to which a server that is not warm for the key is used.
 const NOT_WARM_LOAD_MAX: f64 = 0.8;
@@ -47,11 +50,14 @@
 /// rank first for it. Any other server would take longer and evict another key from its cache, at a
 /// time when no capacity is left for that.
 const NOT_WARM_SERVICE_LOAD_MAX: f64 = 0.75;
-/// Load of a service above which requests no longer spill over to servers outside the ranks.
+/// Load of a service above which requests no longer spill over to the least loaded server. Below
+/// it, any server may be that one, not only those that are compared by rank.
 const SPILL_SERVICE_LOAD_MAX: f64 = 0.65;
-/// Time between two probes of a silent server, multiplied by the number of live hosts.
+/// Interval at which the fleet probes a silent server, in microseconds. Each host probes at this
+/// interval times the number of live hosts.
 const PROBE_INTERVAL: u64 = 500 * MILLI;
-/// Retry time of a refusal when no server can take the request, in milliseconds.
+/// Retry time of a refusal when no server can take the request, or when it isn't known how long the
+/// servers must be spared, in milliseconds.
 const NO_SERVER_RETRY_MS: u64 = 300;
 /// Bounds of the retry time of a refusal for lack of capacity, in milliseconds.
 const RETRY_MIN_MS: f64 = 250.0;
@@ -71,9 +77,9 @@
     pub service: &'a str,
     /// Hash of the affinity key, or of the request id if there is no affinity key.
     pub key: u64,
-    /// Servers that the request was already sent to.
+    /// Servers that the request was already sent to; they are not picked again.
     pub tried: &'a [ServerIndex],
-    /// Whether the caller has probably been refused before.
+    /// Whether the caller has probably been refused before; the request then accepts a longer wait.
     pub returning: bool,
     /// Regions in which the workspace's requests may run; empty for any.
     pub homes: &'a [String],
@@ -104,19 +110,19 @@
     pub reason: RefusalReason,
     /// Time after which the caller should retry, in milliseconds.
     pub retry_ms: u64,
-    /// Number of servers that were considered.
+    /// Number of servers that were considered; spared servers are not among them.
     pub servers: u32,
     /// Number of considered servers with a free slot.
     pub free_servers: u32,
     /// Occupied slots of the considered servers, in percent.
     pub load_percent: u32,
-    /// Number of servers that this host must not send to now because of a back-off or a server
-    /// limit.
+    /// Number of otherwise usable servers that this host must not send to now because of a back-off
+    /// or a server limit.
     pub spared: u32,
 }
 
 impl Refusal {
-    /// Creates a refusal for which no server was considered.
+    /// Creates a refusal in which all counts of servers are 0.
     pub fn new(reason: RefusalReason, retry_ms: u64) -> Refusal {
         Refusal { reason, retry_ms, servers: 0, free_servers: 0, load_percent: 0, spared: 0 }
     }
@@ -125,15 +131,19 @@
 /// Reasons for a refusal. Logs contain the names of the variants.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RefusalReason {
-    /// No server of the service can take the request.
+    /// No server of the service may get the request. A server may not if, for example, it was
+    /// tried before, is leaving, unreachable or silent, or is excluded by its region, an
+    /// evacuation, a roll-out or the bound on requests to cold servers.
     NoServer,
-    /// Every server asked for back-off, or has a limit of which this host's share is used up.
+    /// Every otherwise usable server asked for back-off, or has a limit of which this host's share
+    /// is used up.
     Spared,
-    /// The request would wait too long at every server.
+    /// The request would wait too long at every server that may get it.
     Full,
-    /// Servers did not run the request, and the retry budget allows no further attempt.
+    /// Earlier attempts gave no final answer, and the retry budget allows no further one.
     Budget,
-    /// Servers did not run the request, and no further attempt is allowed.
+    /// Earlier attempts gave no final answer, and no further one may follow: the route's number of
+    /// attempts or the time is used up, or the request may have run and must not be repeated.
     Tries,
 }
 
@@ -142,9 +152,10 @@
 pub struct PickContext<'a> {
     /// Current time.
     pub now: Time,
-    /// Servers that the service's rollout allows for the request.
+    /// Servers that the service's roll-out allows for the request, by their version.
     pub rollout_arm: RolloutArm,
-    /// When this host started.
+    /// When this host started. It sends nothing to cold servers at first, as it does not know what
+    /// it sent to them before a restart.
     pub started: Time,
     /// Failure domain and region of this host.
     pub location: (&'a str, &'a str),
@@ -152,13 +163,14 @@
     pub servers: &'a ServerTable,
     /// Evacuated failure domains; their servers get no requests.
     pub evacuated: &'a std::collections::BTreeSet<String>,
-    /// Number of live hosts, including this one.
+    /// Number of live hosts, including this one. Probes of silent servers are spread over them.
     pub live_hosts: usize,
-    /// Whether this host knows the addresses of the other hosts.
+    /// Whether this host knows the addresses of the other hosts. Until then it can't tell its share
+    /// of the requests to cold and limited servers, and sends them none.
     pub hosts_known: bool,
     /// Division of the service's keys over the regions.
     pub region_shares: &'a RegionShares,
-    /// Servers that are warm for keys.
+    /// Which servers have which keys' data cached.
     pub warm_keys: &'a WarmKeys,
 }
 
@@ -179,8 +191,8 @@
 struct Candidates<'a> {
     /// The highest-ranked servers of each region, in rendezvous order.
     ranks: Vec<Vec<Candidate<'a>>>,
-    /// The server with the lowest load among those with spare slots.
-    emptiest: Option<Candidate<'a>>,
+    /// The server with the lowest load among all candidates with spare slots, whatever its rank.
+    least_loaded: Option<Candidate<'a>>,
     count: u32,
     free: u32,
     slots: u32,
@@ -196,7 +208,7 @@
         let ranks = vec![Vec::new(); regions];
         Candidates {
             ranks,
-            emptiest: None,
+            least_loaded: None,
             count: 0,
             free: 0,
             slots: 0,
@@ -213,9 +225,9 @@
         self.slots += slots;
         self.occupied_slots += candidate.occupied.min(slots);
         if has_spare_slots(&candidate)
-            && self.emptiest.is_none_or(|best| is_emptier(&candidate, &best))
+            && self.least_loaded.is_none_or(|best| has_lower_load(&candidate, &best))
         {
-            self.emptiest = Some(candidate);
+            self.least_loaded = Some(candidate);
         }
         let ranks = &mut self.ranks[candidate.region_rank];
         let max_ranks =
@@ -244,8 +256,9 @@
 
 /// Selects the server of a request.
 ///
-/// The request goes to the cheapest ranked server that can run it in time, else to the least loaded
-/// server with spare slots while the service's load is low. Otherwise it is refused.
+/// The request goes to the server of lowest cost among the first ranks of each region that can run
+/// it in time. If there is none and the service's load is low, it goes to the least loaded server
+/// with spare slots. Otherwise it is refused.
 pub fn pick_server(context: &PickContext<'_>, request: &PickRequest<'_>) -> Pick {
     let times = context.servers.answer_times(request.service);
     let candidates = gather_candidates(context, request, times);
@@ -276,7 +289,7 @@
         rank_cost_ms += NOT_WARM_RANK_COST_MS;
     }
     let spill = candidates
-        .emptiest
+        .least_loaded
         .filter(|_| load < SPILL_SERVICE_LOAD_MAX)
         .map(|candidate| candidate.index);
     match best.map(|(_, index)| index).or(spill) {
@@ -349,7 +362,8 @@
     candidates
 }
 
-/// Whether this host may send the request to the server at all.
+/// Whether this host may send the request to the server, apart from the bound on cold servers,
+/// back-off and server limits.
 fn may_send(
     context: &PickContext<'_>,
     request: &PickRequest<'_>,
@@ -386,7 +400,8 @@
     ahead as f64 * times.mean_ms * candidate.entry.slowness(now).max(1.0) / slots as f64
 }
 
-/// Expected answer time without the wait, plus the cost of another region, in milliseconds.
+/// Expected answer time without the wait, in milliseconds, with the penalties for failures and for
+/// another region.
 fn cost_ms(context: &PickContext<'_>, entry: &ServerEntry, times: AnswerTimes, warm: bool) -> f64 {
     let remote_ms = if entry.region == context.location.1 { 0.0 } else { REMOTE_REGION_COST_MS };
     let work_ms = if warm { times.warm_ms } else { times.not_warm_ms };
@@ -409,13 +424,13 @@
         && work_ms * COLD_SLOWDOWN + wait > route.timeout_ms as f64 * COLD_TIMEOUT_FRACTION
 }
 
-/// Whether a server has spare slots for a key that it is not warm for.
+/// Whether a server has spare slots for requests of keys that it is not warm for.
 fn has_spare_slots(candidate: &Candidate<'_>) -> bool {
     f64::from(candidate.occupied) < f64::from(candidate.entry.server.slots) * NOT_WARM_LOAD_MAX
 }
 
 /// Whether one server has a lower load than another; the higher rendezvous weight wins a tie.
-fn is_emptier(one: &Candidate<'_>, other: &Candidate<'_>) -> bool {
+fn has_lower_load(one: &Candidate<'_>, other: &Candidate<'_>) -> bool {
     let used = |c: &Candidate<'_>| c.occupied * 1_000 / c.entry.server.slots.max(1);
     (used(one), other.weight) < (used(other), one.weight)
 }
