--- a/elmstream_steer/src/rollout_steps.rs
+++ b/elmstream_steer/src/rollout_steps.rs
@@ -1,72 +1,82 @@
-//! Transitions between the stages of a roll-out.
+//! Decides when a roll-out enters its next stage.
 //!
-//! A version that turns out to be bad may receive a small fraction of all requests until the
-//! deadline. So the canary phase lasts as long as possible, and the shift is short: first a quarter
-//! of the keys, under which failures under load show, then all keys, until nothing is in flight at
-//! the other servers.
+//! An operator's order moves a service to another version before a deadline. In the canary phase a
+//! small fraction of the requests goes to the ordered version; in the shift, a percentage of the
+//! keys. The roll-out ends when all traffic has moved, or when the version is rolled back.
+//!
+//! Of all requests between the order and the deadline, a version that turns out to be bad may
+//! receive only a small fraction. The canary phase keeps within it, so it lasts as long as
+//! possible, and the shift is short: first a quarter of the keys, which reveals failures under
+//! load, then all keys, until no request is in flight at the servers of other versions.
 
 use crate::rollout::RolloutStage;
 
 /// Percentage of the keys in the first step of the shift.
 const FIRST_SHIFT_PERCENT: u8 = 25;
-/// Shortest time of the first step, in milliseconds: all hosts learn of it, requests are answered,
-/// hosts report.
+/// Shortest time of the first step of the shift, in milliseconds. Within it all hosts learn of the
+/// step, requests are answered, and hosts report the outcomes.
 const FIRST_SHIFT_MIN_MS: u64 = 900;
-/// Time that the rest of the shift takes beside the longest request, in milliseconds:
-/// notifications, reports and a store write.
+/// Time from the shift of all keys to the end of the roll-out, in milliseconds, without the longest
+/// request: notifications, reports and a store write.
 const FULL_SHIFT_MS: u64 = 1_600;
-/// Largest fraction of the time until the deadline that the shift may take.
+/// Largest fraction of the time between the order and the deadline that is set aside for the shift.
 const SHIFT_MAX_FRACTION: f64 = 0.5;
 /// A shift isn't begun with less time than this until the deadline, in milliseconds.
 const SHIFT_MIN_MS: u64 = 2_500;
-/// A version that isn't trusted is rolled back this long before the deadline, in milliseconds: the
-/// store may take half a second, and the write may have to be repeated.
+/// A version that may not receive all keys by then is rolled back this long before the deadline, in
+/// milliseconds: the store may take half a second, and the write may have to be repeated.
 const ROLLBACK_MARGIN_MS: u64 = 1_200;
-/// Slots that the ordered version must have, as a fraction of the other servers' slots.
+/// Slots that the ordered version must have before the shift, as a fraction of the slots of all
+/// other versions.
 const SLOTS_MIN_FRACTION: f64 = 0.5;
-/// Percentages of the fixed policy, at even intervals.
+/// Percentages of the keys in the steps of [`StepPolicy::Fixed`]. They follow each other at even
+/// intervals, and all keys follow after one more.
 const FIXED_PERCENTAGES: [u8; 3] = [10, 25, 50];
 
-/// Policy for the times of the steps.
+/// Rule for the times at which stages begin.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StepPolicy {
-    /// The canary phase lasts as long as the time for the shift allows.
+    /// The shift begins as late as the deadline allows, if the version is trusted and has enough
+    /// slots.
     #[default]
     Late,
-    /// Steps at fixed times, whatever is known of the version by then.
+    /// The percentage rises at fixed times, whether or not the version is trusted; a version that
+    /// is found to be bad is still rolled back.
     Fixed,
 }
 
 /// Facts that the next stage depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct StepContext {
-    /// Present stage; `None` if the order has not begun.
+    /// Present stage; `None` if the roll-out has not begun.
     pub stage: Option<RolloutStage>,
     /// Time since the order, in milliseconds.
     pub since_order_ms: u64,
     /// Time since the stage began, in milliseconds.
     pub since_stage_ms: u64,
-    /// Time from the order until it must be decided, in milliseconds.
+    /// Time from the order to the deadline, by which the roll-out must be completed or rolled back,
+    /// in milliseconds.
     pub duration_ms: u64,
     /// Longest time that a request of the service may take, in milliseconds.
     pub longest_request_ms: u64,
     /// Time in which a change reaches all hosts, in milliseconds.
     pub propagation_ms: u64,
-    /// Whether the analysis rejects the version.
+    /// Whether the canary analysis has found the ordered version to be bad.
     pub is_bad: bool,
-    /// Whether enough of its answers were good.
+    /// Whether the ordered version gave enough good answers over all routes, or too few requests
+    /// are expected until the deadline for a bad version to do harm.
     pub trusted: bool,
-    /// Whether enough of its answers were good on each route that callers use.
+    /// Like `trusted`, with enough good answers on each route that callers use.
     pub routes_trusted: bool,
-    /// Whether no host uses the servers of other versions any more.
+    /// Whether all live hosts report that they no longer use servers of other versions.
     pub old_drained: bool,
-    /// Slots of usable servers: of the ordered version, and of all others.
+    /// Slots of usable servers: of the ordered version, and of all other versions.
     pub slots: (u32, u32),
 }
 
 impl StepContext {
     /// Time since the order at which the shift begins, in milliseconds.
-    fn shift_at_ms(&self) -> u64 {
+    fn shift_start_ms(&self) -> u64 {
         let shift_ms = FIRST_SHIFT_MIN_MS + FULL_SHIFT_MS + self.longest_request_ms;
         let shift_max_ms = (self.duration_ms as f64 * SHIFT_MAX_FRACTION) as u64;
         self.duration_ms - shift_ms.min(shift_max_ms)
@@ -77,14 +87,15 @@
         self.trusted && target > 0 && f64::from(target) >= f64::from(others) * SLOTS_MIN_FRACTION
     }
 
-    /// Whether no host sends to the servers of other versions any more. A host that can't report
-    /// has learned of the stage after the propagation time, or its knowledge is too old to act on.
+    /// Whether all traffic has moved to the ordered version. A host that can't report counts as
+    /// moved after the propagation time and the longest request: by then it has learned of the
+    /// stage, or its knowledge is too old to act on.
     fn has_moved(&self) -> bool {
         self.old_drained || self.since_stage_ms >= self.propagation_ms + self.longest_request_ms
     }
 }
 
-/// Stage that must follow now; `None` if the present one continues.
+/// Stage that the roll-out must enter now; `None` if the present one continues.
 pub fn next_stage(policy: StepPolicy, context: &StepContext) -> Option<RolloutStage> {
     let Some(stage) = context.stage else { return Some(RolloutStage::Canary) };
     if stage.is_final() {
@@ -98,7 +109,7 @@
     match (stage, policy) {
         (RolloutStage::Shift(100), _) => context.has_moved().then_some(RolloutStage::Completed),
         (RolloutStage::Canary, StepPolicy::Late)
-            if context.since_order_ms >= context.shift_at_ms() =>
+            if context.since_order_ms >= context.shift_start_ms() =>
         {
             let has_time = context.since_order_ms + SHIFT_MIN_MS <= context.duration_ms;
             let shift = (has_time && context.may_shift())
@@ -107,7 +118,8 @@
         }
         (RolloutStage::Canary, StepPolicy::Late) => None,
         (_, StepPolicy::Late) => {
-            // A route with few requests may have had no canary requests; the first step tests it.
+            // A route with few requests may have had no canary requests; the first step of the
+            // shift tests it.
             let may_continue = first_step_done && context.routes_trusted;
             let shift = may_continue.then_some(RolloutStage::Shift(100));
             shift.or(at_deadline.then_some(RolloutStage::RolledBack))
@@ -117,7 +129,7 @@
 }
 
 fn next_fixed_stage(context: &StepContext, stage: RolloutStage) -> Option<RolloutStage> {
-    let interval_ms = context.shift_at_ms() / (FIXED_PERCENTAGES.len() as u64 + 1);
+    let interval_ms = context.shift_start_ms() / (FIXED_PERCENTAGES.len() as u64 + 1);
     let passed = (context.since_order_ms / interval_ms.max(1)) as usize;
     let percent = match passed {
         0 => return None,
