--- a/elmstream_edge/src/fetch_schedule.rs
+++ b/elmstream_edge/src/fetch_schedule.rs
@@ -1,9 +1,13 @@
-//! Decides which host to fetch rows from, and when.
+//! Decides which other host to fetch rows of a store table from, and when.
 //!
-//! Pure: heartbeats, results of fetches and time come in, the next host to ask goes out. The
-//! time until the rows arrive must be bounded whatever a few hosts do: a host that does not
-//! answer costs [`HEDGE_DELAY`] once, and nothing after that, as it is then only asked in
-//! parallel with the others.
+//! Usually only a few hosts read the store; the others learn of its rows from each other. A host's
+//! heartbeat shows up to which version it knows each table. If it knows more of a table than this
+//! host, that is an offer, and the missing rows can be fetched from it.
+//!
+//! The schedule does no I/O: its inputs are heartbeats, outcomes of fetches and the current time,
+//! its output is the next host to ask. The time until the rows arrive must stay bounded even if a
+//! few hosts do not answer. Such a host delays the rows by [`HEDGE_DELAY`] once; afterwards it is
+//! a suspect, and suspects are only asked in parallel with the other hosts.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,36 +17,38 @@
 use elmstream::time::{MILLI, SECOND, Time};
 use elmstream_steer::{hash, heartbeat::TableStatus, view::Table};
 
-/// Time after which another host is asked while a fetch is running, in microseconds. A
-/// connection and a response between regions 70 ms apart take about as long.
+/// Time after which another host is asked for a table while a fetch of it is running, in
+/// microseconds. Connecting and getting a response between regions 70 ms apart takes about as
+/// long.
 pub const HEDGE_DELAY: u64 = 150 * MILLI;
-/// Concurrent fetches of a table from hosts whose fetches succeed, and again as many from
-/// hosts whose fetches fail. With [`HEDGE_DELAY`] between the fetches, three unresponsive
-/// hosts leave room for a fourth after 450 ms.
+/// Maximum number of concurrent fetches of a table from trusted hosts. The same number applies
+/// separately to suspects, the hosts whose last fetch failed. With [`HEDGE_DELAY`] between the
+/// fetches, a fourth host is asked after 450 ms even if three do not respond.
 pub const MAX_CONCURRENT_FETCHES: usize = 4;
-/// After a failed fetch a host is not asked for this long, in microseconds, while others
-/// offer news: a network cut or a restart lasts seconds.
+/// After a failed fetch a host is not asked for this long, in microseconds, as long as a
+/// trusted host has an offer: a network cut or a restart lasts seconds.
 pub const FAILED_HOST_PAUSE: u64 = 5 * SECOND;
 /// Shortest time before a host whose fetch was refused or failed is asked again, in
 /// microseconds.
 pub const RETRY_PAUSE: u64 = 100 * MILLI;
-/// Upper bound of the jitter added to [`RETRY_PAUSE`], in microseconds. It differs by host
-/// and time, so that hosts that were refused together do not retry together.
+/// Upper bound of the jitter added to [`RETRY_PAUSE`], in microseconds. The jitter differs by
+/// host and time, so that hosts that were refused together do not retry together.
 pub const RETRY_JITTER: u64 = 200 * MILLI;
 /// An offer expires this long after its heartbeat, in microseconds; in a large fleet the next
 /// heartbeat of a host comes only after seconds.
 const OFFER_TIMEOUT: u64 = 3 * SECOND;
-/// Offers stored for each table; more than a round of heartbeats brings.
+/// Maximum number of offers stored for each table; more than arrive in one round of heartbeats.
 const OFFERS_MAX: usize = 64;
-/// A failure is forgotten after this long, in microseconds, as hosts come and go.
-const FAILURE_MEMORY: u64 = 60 * SECOND;
+/// Time after which a failure is forgotten, in microseconds. It keeps failures of hosts that no
+/// longer exist from accumulating.
+const FAILURE_TIMEOUT: u64 = 60 * SECOND;
 
 /// Result of a fetch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FetchOutcome {
     /// The rows were received.
     Received,
-    /// The host is healthy, but serves too many other fetches.
+    /// The host answered that it is serving too many other fetches.
     Refused,
     /// No connection, or no complete response in time.
     Failed,
@@ -59,12 +65,14 @@
     }
 }
 
-/// A host's offer of rows, as its heartbeat showed it.
+/// A host's offer of the rows of one table.
 #[derive(Clone, Copy, Debug)]
 struct Offer {
-    /// How far the host knows the table.
+    /// Up to which version the host knows the table.
     status: TableStatus,
+    /// When the host's last heartbeat arrived.
     received_at: Time,
+    /// Earliest time to ask the host.
     not_before: Time,
 }
 
@@ -72,6 +80,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ActiveFetch {
     started_at: Time,
+    /// Whether the host's last fetch had failed when this one started.
     suspect: bool,
 }
 
@@ -82,7 +91,7 @@
     active: BTreeMap<SocketAddr, ActiveFetch>,
 }
 
-/// Schedules fetches of all tables.
+/// Offers, running fetches and recent failures, for all tables.
 #[derive(Debug, Default)]
 pub struct FetchSchedule {
     seed: u64,
@@ -92,12 +101,12 @@
 }
 
 impl FetchSchedule {
-    /// A schedule without offers; `seed` varies the retry jitter between hosts.
+    /// Creates a schedule without offers; `seed` varies the retry jitter between hosts.
     pub fn new(seed: u64) -> FetchSchedule {
         FetchSchedule { seed, ..FetchSchedule::default() }
     }
 
-    /// Records how far a host knows a table, from its heartbeat.
+    /// Records up to which version a host knows a table, as its heartbeat shows.
     pub fn offer(&mut self, now: Time, table: Table, host: SocketAddr, status: &TableStatus) {
         let offers = &mut self.tables[table as usize].offers;
         let new = Offer { status: *status, received_at: now, not_before: now };
@@ -116,14 +125,15 @@
 
     /// Returns the host to fetch a table from now, if any, and records the fetch as running.
     ///
-    /// `needs_rows` says whether the status of another host is ahead of this one's.
+    /// `needs_rows` tells whether a host with the given status knows something of the table that
+    /// this host lacks. Offers for which it returns `false` are dropped.
     pub fn next(
         &mut self,
         now: Time,
         table: Table,
         needs_rows: impl Fn(&TableStatus) -> bool,
     ) -> Option<SocketAddr> {
-        self.failed_at.retain(|_, at| now.since(*at) < FAILURE_MEMORY);
+        self.failed_at.retain(|_, at| now.since(*at) < FAILURE_TIMEOUT);
         let fetches = &mut self.tables[table as usize];
         fetches.offers.retain(|_, offer| {
             now.since(offer.received_at) < OFFER_TIMEOUT && needs_rows(&offer.status)
@@ -137,19 +147,20 @@
         Some(host)
     }
 
-    /// Records the result of a fetch; returns the earliest time to ask the host again.
+    /// Records the result of a fetch. Returns the earliest time to ask the host again if it
+    /// refused or failed.
     pub fn on_fetch_ended(
         &mut self,
         now: Time,
         table: Table,
         host: SocketAddr,
-        end: FetchOutcome,
+        outcome: FetchOutcome,
     ) -> Time {
         let retry_at = now + RETRY_PAUSE + hash::combine(self.seed, now.0) % RETRY_JITTER;
         let fetches = &mut self.tables[table as usize];
         fetches.active.remove(&host);
-        match end {
-            // A later heartbeat shows whether the host knows more.
+        match outcome {
+            // The host's next heartbeat shows whether it knows more.
             FetchOutcome::Received => {
                 fetches.offers.remove(&host);
             }
@@ -159,7 +170,7 @@
                 }
             }
         }
-        match end {
+        match outcome {
             FetchOutcome::Received | FetchOutcome::Refused => self.failed_at.remove(&host),
             FetchOutcome::Failed => self.failed_at.insert(host, now),
         };
@@ -168,7 +179,7 @@
 }
 
 impl TableFetches {
-    /// Whether another fetch from a trusted or suspect host may start.
+    /// Whether another fetch may start from a suspect, or else from a trusted host.
     fn has_capacity(&self, now: Time, suspect: bool) -> bool {
         let kind = self.active.values().filter(|fetch| fetch.suspect == suspect);
         let start_times: Vec<Time> = kind.map(|fetch| fetch.started_at).collect();
@@ -184,7 +195,7 @@
         offers.filter(|(host, _)| !self.active.contains_key(*host))
     }
 
-    /// Among hosts without a recent failure, the one whose heartbeat came last.
+    /// Picks the host with the latest heartbeat among those without a recent failure.
     fn pick_trusted(&self, now: Time, failed_at: &HashMap<SocketAddr, Time>) -> Option<SocketAddr> {
         if !self.has_capacity(now, false) {
             return None;
@@ -193,8 +204,8 @@
         offers.max_by_key(|(_, offer)| offer.received_at).map(|(host, _)| *host)
     }
 
-    /// Among hosts with a recent failure, the one whose failure is the oldest, so that all
-    /// get a turn after a network cut made the fetches from every host fail.
+    /// Picks the host with the oldest failure among those with a recent one. If a network cut
+    /// made the fetches from every host fail, all hosts are thus asked in turn.
     fn pick_suspect(&self, now: Time, failed_at: &HashMap<SocketAddr, Time>) -> Option<SocketAddr> {
         if !self.has_capacity(now, true) {
             return None;
