--- a/elmstream_edge/src/lifecycle.rs
+++ b/elmstream_edge/src/lifecycle.rs
@@ -1,4 +1,7 @@
-//! Starts the tasks of a host and runs it until it has stopped.
+//! Start, operation and orderly stop of an entry host.
+//!
+//! The program that embeds the host is an adapter: it supplies the store and may have listeners of
+//! its own.
 
 use std::{io, net::SocketAddr, rc::Rc};
 
@@ -19,19 +22,21 @@
 /// Why a host cannot start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// A listening address cannot be bound.
+    /// The address of a listener or of the socket for other hosts cannot be bound.
     #[snafu(display("E3003 {key} {address}: {source}"))]
     Listen {
-        /// The setting that names the address.
+        /// Name of the setting that contains the address.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
-/// Binds a listener of the adapter or of the host; `key` names the setting in the error.
+/// Binds a TCP listener, for this crate or for an adapter's own endpoints.
+///
+/// `key` is the name of the setting that contains the address; it is part of the error.
 ///
 /// # Errors
 ///
@@ -40,14 +45,18 @@
     TcpListener::bind(address).await.context(ListenSnafu { key, address })
 }
 
-/// Starts all tasks that serve; returns when the host has stopped.
+/// Starts all tasks of the host, waits until it is to stop, and stops it.
 ///
-/// `terminated` resolves when the host is to stop. `stopper` also stops the caller's own
-/// listeners, which wait for `stop`.
+/// `source` gives access to the store. The host begins to stop when `terminated` resolves: it
+/// announces this to the other hosts, accepts connections of callers until the notice time is over,
+/// and then waits for the requests in flight. Those still in flight just before the end get a final
+/// response from the host itself. `stopper` and `stop` must be one pair; `stopper` is triggered
+/// when the notice time is over, and `stop` then closes the listener for callers. An adapter may
+/// give clones of `stop` to listeners of its own that are to close at that moment.
 ///
 /// # Errors
 ///
-/// A listening address cannot be bound.
+/// The address of a listener or of the socket for other hosts cannot be bound.
 pub async fn run<S: StoreSource>(
     edge: Rc<Edge>,
     source: S,
@@ -114,7 +123,7 @@
     Ok(())
 }
 
-/// Adds the seeds as peers; this host may be one of them.
+/// Adds the configured seed hosts as peers; this host may be one of them.
 fn add_seeds(edge: &Edge) {
     let mut steer = edge.steer.borrow_mut();
     steer.request_host_list();
