--- a/elmstream/src/admission.rs
+++ b/elmstream/src/admission.rs
@@ -1,5 +1,10 @@
-//! Admission at the owner: slots, a bounded queue, slow start and outlier
-//! ejection.
+//! Admission of requests to backend servers by their owner.
+//!
+//! A backend server has one owner, the entry host that admits its requests. A
+//! request needs a slot of a server of its service; if no slot is free, it waits
+//! in a bounded queue of the service or is refused. A server that has just become
+//! usable gets its slots gradually (slow start), and one that keeps failing gets no
+//! requests for a while (outlier ejection).
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -15,10 +20,11 @@
 const EJECTION_FAILURES: u32 = 5;
 /// How long an ejected backend server gets no requests, in microseconds.
 const EJECTION_TIME: u64 = 5 * SECOND;
-/// An owner's backend servers of a service divided by the number of them that may
-/// be ejected at once.
+/// An owner may eject at most its backend servers of a service divided by this at
+/// once.
 const EJECTED_SERVERS_DIVISOR: usize = 3;
-/// Deadline of a request divided by the longest wait at which it is still queued.
+/// A request is queued only if its expected wait is at most its deadline divided by
+/// this.
 /// A longer queue would not raise throughput: it would delay every request and
 /// let more of them time out after they had waited.
 const QUEUE_WAIT_DIVISOR: u64 = 3;
@@ -33,7 +39,7 @@
     service: ServiceId,
     slots: u32,
     in_flight: u32,
-    /// Slots that the former owner may still use.
+    /// Slots that requests of the former owner may still use.
     reserved: u32,
     /// Start of its slow start.
     serving_since: Time,
@@ -44,7 +50,8 @@
 }
 
 impl Server {
-    /// Slots that may be in use now; fewer than all during slow start.
+    /// Slots that this host may use now: all but the reserved ones, and fewer
+    /// during slow start.
     fn usable_slots(&self, now: Time, slow_start: u64) -> u32 {
         let usable = self.slots.saturating_sub(self.reserved);
         let age = now.since(self.serving_since);
@@ -65,7 +72,9 @@
 pub struct SlotRequest {
     /// Service that the request is for.
     pub service: ServiceId,
-    /// Whether the home region of the request is another one.
+    /// Whether the request's home region is not the region of this host. Such a
+    /// request is never queued, and leaves slots free for requests of the own
+    /// region.
     pub shifted: bool,
     /// Longest time that it may wait for a slot, in microseconds.
     pub max_wait: u64,
@@ -73,7 +82,8 @@
     pub deadline: u64,
 }
 
-/// Slot that was taken for a request. Return it with [`Admissions::release`].
+/// Slot that was taken for a request. It stays in use until
+/// [`Admissions::release`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Slot {
     /// Backend server that runs the request.
@@ -85,11 +95,12 @@
 pub enum Admission {
     /// Run the request in this slot.
     Run(Slot),
-    /// The request is queued under this number. Once the number is returned as
-    /// woken, [`Admissions::take_granted`] returns the slot.
+    /// The request is queued under this number. Once
+    /// [`Admissions::wake_waiting`] or [`Admissions::release`] returns the number,
+    /// [`Admissions::take_granted`] returns the slot.
     Wait(u64),
-    /// The request is refused with this code; a retry may help after this time in
-    /// microseconds.
+    /// The request is refused with this code; a retry may succeed after this time
+    /// in microseconds.
     Refuse(Code, u64),
 }
 
@@ -111,7 +122,10 @@
     mean_run_time: u64,
 }
 
-/// All backend servers that this host owns, with the queues of their services.
+/// The backend servers that this host owns, with the queues of their services.
+///
+/// Servers that it no longer owns are included while it has requests in flight at
+/// them.
 #[derive(Debug, Default)]
 pub struct Admissions {
     servers: BTreeMap<Name, Server>,
@@ -122,7 +136,8 @@
 
 impl Admissions {
     /// Sets the servers that this host owns. All slots of a newly owned server
-    /// are reserved until [`Admissions::set_reserved`] is called.
+    /// are reserved for requests of its former owner until
+    /// [`Admissions::set_reserved`] is called.
     pub fn set_owned(&mut self, now: Time, catalog: &Catalog, owned: &BTreeSet<Name>) {
         let was_owned = self.owned();
         for server in self.servers.values_mut() {
@@ -155,8 +170,9 @@
         self.servers.retain(|_, s| s.owned || s.in_flight > 0);
     }
 
-    /// Moves all state to the new indexes of the services. The queue of a removed
-    /// service is dropped; its requests wait until their callers give up.
+    /// Moves all state to new ids of the services, after the configuration has
+    /// changed. The queue of a removed service, for which `new_id` returns `None`,
+    /// is dropped; its requests wait until their callers give up.
     pub fn remap_services(&mut self, new_id: impl Fn(ServiceId) -> Option<ServiceId>) {
         let queues = std::mem::take(&mut self.queues);
         let moved = queues.into_iter().filter_map(|(id, queue)| Some((new_id(id)?, queue)));
@@ -172,14 +188,15 @@
         owned.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Sets the number of slots that the former owner of a server may still use.
+    /// Sets the number of a server's slots that requests of its former owner may
+    /// still use.
     pub fn set_reserved(&mut self, name: &str, count: u32) {
         if let Some(server) = self.servers.get_mut(name) {
             server.reserved = count.min(server.slots);
         }
     }
 
-    /// Requests in flight at servers that this host no longer owns.
+    /// This host's requests in flight at servers that it no longer owns.
     pub fn lingering(&self) -> Vec<Lingering> {
         let released = self.servers.iter().filter(|(_, s)| !s.owned && s.in_flight > 0);
         let lingering =
@@ -187,7 +204,7 @@
         released.map(lingering).collect()
     }
 
-    /// Marks backend servers that are leaving according to the host list.
+    /// Stops new requests to backend servers that are leaving.
     pub fn mark_draining(&mut self, leaving: &[Name]) {
         for name in leaving {
             if let Some(server) = self.servers.get_mut(name) {
@@ -216,7 +233,8 @@
         self.enqueue(service, request, slots)
     }
 
-    /// Slot of a queued request that was woken, returned once.
+    /// Takes the slot that was granted to a queued request; `None` if none was, or
+    /// if it was taken before.
     pub fn take_granted(&mut self, number: u64) -> Option<Slot> {
         self.granted.remove(&number)
     }
@@ -230,8 +248,10 @@
         self.granted.remove(&number)
     }
 
-    /// Releases a slot after a run. Returns the numbers of the queued requests to
-    /// wake.
+    /// Releases a slot after a run, and grants free slots to queued requests.
+    /// Returns the numbers of the requests to wake.
+    ///
+    /// `run_time` is in microseconds; it counts only if the run succeeded.
     pub fn release(
         &mut self,
         now: Time,
@@ -280,7 +300,8 @@
         }
     }
 
-    /// Slots in use and slots that may be used, over all servers of a service.
+    /// Requests in flight at all servers of a service, and the total slots of those
+    /// that take new requests. Reserved slots and slow start don't reduce the total.
     pub fn usage(&self, now: Time, service: ServiceId) -> (u32, u32) {
         let of_service = self.servers.values().filter(|s| s.service == service);
         of_service.fold((0, 0), |(in_use, slots), server| {
@@ -294,17 +315,19 @@
         self.queues.get(&service).map_or(0, |q| q.waiting.len() as u32)
     }
 
-    /// Mean run time of the requests of a service, in microseconds.
+    /// Moving average of the run time of a service's successful requests, in
+    /// microseconds; an assumed value before the first one.
     pub fn mean_run_time(&self, service: ServiceId) -> u64 {
         self.queues.get(&service).map_or(INITIAL_RUN_TIME, Queue::mean_run_time)
     }
 
-    /// Requests in flight at a backend server.
+    /// This host's requests in flight at a backend server.
     pub fn in_flight(&self, backend: &str) -> u32 {
         self.servers.get(backend).map_or(0, |s| s.in_flight)
     }
 
-    /// Requests in flight at all backend servers.
+    /// This host's requests in flight at all backend servers, including those that
+    /// it no longer owns.
     pub fn total_in_flight(&self) -> u32 {
         self.servers.values().map(|s| s.in_flight).sum()
     }
@@ -342,8 +365,8 @@
         Admission::Wait(self.last_number)
     }
 
-    /// Counts a failure. Ejects the server after [`EJECTION_FAILURES`] unless too
-    /// many servers of the service are ejected already.
+    /// Counts a failure. Ejects the server after [`EJECTION_FAILURES`] in a row,
+    /// unless too many servers of the service are ejected already.
     fn record_failure(&mut self, now: Time, name: &str) {
         let Some(service) = self.servers.get(name).map(|s| s.service) else {
             return;
@@ -376,11 +399,11 @@
     }
 }
 
-/// Slots that home or shifted requests may use together.
-///
-/// Rounded down for each owner, so that the sum over all owners of a region stays
-/// within the policy's share.
+/// Number of slots in use, by requests of any kind, from which a request gets no
+/// slot. For shifted requests it is lower by the service's headroom.
 ///
+/// It is rounded down for each owner, so that the sum over all owners of a region
+/// stays within the service's load limit.
 fn slot_limit(service: &Service, slots: u32, shifted: bool) -> u32 {
     let headroom_percent = if shifted { service.headroom_percent } else { 0 };
     let percent = service.load_limit_percent.saturating_sub(headroom_percent);
