--- a/elmctl/src/lib.rs
+++ b/elmctl/src/lib.rs
@@ -1,4 +1,6 @@
-//! Command-line tool for operators, as a library so that tests can call its parts.
+//! Command-line tool with which operators configure, drain and inspect entry hosts.
+//!
+//! It is a library so that tests can call its parts.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmctl/src/main.rs
+++ b/elmctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Program that runs one command of the operators' tool.
+//! Program `elmctl`: runs one command of the operators' command-line tool.
 
 use std::process::ExitCode;
 
--- a/elmstream/src/lib.rs
+++ b/elmstream/src/lib.rs
@@ -1,5 +1,6 @@
-//! Decisions of entry hosts that own backend servers by leases.
+//! Decision logic of entry hosts that own backend servers by leases.
 //!
+//! An entry host is a reverse proxy: it forwards callers' requests to backend servers.
 //! Each backend server of a region has one owner: the entry host that admits its
 //! requests. Entry hosts hold their servers under leases ([`lease`]), a region's
 //! allotment row names the owners ([`allotment`]), and a steward changes that row
--- a/elmstream_bench/src/main.rs
+++ b/elmstream_bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the measurement that the command line names.
+//! Program `elmstream_bench`: runs the measurement of elmstream that the command line selects.
 
 use std::{net::SocketAddr, process::ExitCode};
 
--- a/elmstream_config/src/lib.rs
+++ b/elmstream_config/src/lib.rs
@@ -1,9 +1,9 @@
-//! Daemon settings and operator configuration.
+//! Settings of the `elmstreamd` daemon, and the configuration that operators maintain.
 //!
 //! [`Settings`] belong to one entry host and are read at start. The
 //! [`Configuration`] is shared by all entry hosts: [`check`] validates it,
-//! [`compile`] turns it into the core's catalog, and [`difference`] computes and
-//! applies edits between two versions.
+//! [`compile`] turns it into the catalog of the `elmstream` crate, and
+//! [`difference`] computes and applies edits between two versions.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstream_edge/src/lib.rs
+++ b/elmstream_edge/src/lib.rs
@@ -1,4 +1,4 @@
-//! An entry host that can send a request to any backend server.
+//! An entry host, which is a reverse proxy, that can send a request to any backend server.
 //!
 //! [`Edge`] holds the decisions of `elmstream_steer` and connects them to callers (`callers`,
 //! `access`, `forward`), backend servers (`backend`, `server_hints`), the other hosts
--- a/elmstream_standin/src/main.rs
+++ b/elmstream_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in: `platform`, `backend` or `caller`.
+//! Program `elmstream_standin`: runs one stand-in, `platform`, `backend` or `caller`.
 
 use std::{net::SocketAddr, process::ExitCode, time::Duration};
 
--- a/elmstream_steer/src/lib.rs
+++ b/elmstream_steer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decision logic of an entry host in a fleet whose hosts send requests to any backend server.
+//! Decision logic of an entry host, a reverse proxy that may send a request to any backend server.
 //!
 //! The crate does no I/O, reads no clock and starts no threads. Its inputs are rows of the store,
 //! heartbeats of the other hosts, requests and the current time; its outputs are server picks and
--- a/elmstreamd/src/lib.rs
+++ b/elmstreamd/src/lib.rs
@@ -1,6 +1,7 @@
-//! Entry host daemon that owns backend servers by leases.
+//! Daemon of an entry host, a reverse proxy that owns backend servers by leases.
 //!
-//! It is a library so that several daemons can run in one process, each on its own thread.
+//! The `elmstream` crate makes the decisions; this crate does the I/O. It is a library so that
+//! several daemons can run in one process, each on its own thread.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 
--- a/elmstreamd/src/main.rs
+++ b/elmstreamd/src/main.rs
@@ -1,4 +1,4 @@
-//! Program that runs the daemon of one entry host.
+//! Program `elmstreamd`: runs the daemon of one entry host.
 
 use std::process::ExitCode;
 
