--- a/elmstreamd/src/ticker.rs
+++ b/elmstreamd/src/ticker.rs
@@ -202,7 +202,7 @@
 fn report(daemon: &Daemon, event: Event) {
     match event {
         Event::RowTaken(region, epoch, settled, owned) => {
-            log::info!(region:% = region, epoch, settled, owned = owned as u64; "allotment row in force");
+            log::info!(region:% = region, epoch, settled, owned = owned as u64; "allotment row taken");
         }
         Event::LeaseLapsed => log::warn!("the lease lapsed"),
         Event::LeaseHeld => log::info!("the lease is valid"),
