--- a/elmstream_edge/src/poison.rs
+++ b/elmstream_edge/src/poison.rs
@@ -220,8 +220,8 @@
     }
     // Requests that were readmitted or found listed in the meantime are no longer pending.
     let due = edge.steer.borrow().poison().pending_listings(clock::now());
-    for PendingListing { digest, crashes: endings, .. } in due {
-        source.add_refused_request(&digest, &endings).await?;
+    for PendingListing { digest, crashes, .. } in due {
+        source.add_refused_request(&digest, &crashes).await?;
         edge.steer.borrow_mut().poison_mut().mark_listed(&digest);
     }
     Ok(())
