--- a/elmstream_steer/src/era.rs
+++ b/elmstream_steer/src/era.rs
@@ -7,9 +7,9 @@
 //! win, and rows that may come from the backup take effect after a retention time.
 //!
 //! If hosts adopt the backup at once, evacuations, configurations and server states revert or take
-//! effect late; the test `each_retention_rule_is_required` in `tests/eras.rs` shows this in virtual time: with
-//! 12 hosts and an operator who writes again after 4 s, 223 states revert and 20 are late over
-//! eight runs, against none with retention.
+//! effect late; the test `each_retention_rule_is_required` in `tests/eras.rs` shows this in virtual
+//! time: with 12 hosts and an operator who writes again after 4 s, 223 states revert and 20 are
+//! late over eight runs, against none with retention.
 
 use elmstream::time::{MILLI, SECOND, Time};
 
--- a/elmstream_steer/src/server_limit.rs
+++ b/elmstream_steer/src/server_limit.rs
@@ -7,9 +7,9 @@
 //! from the server notifies the other hosts.
 //!
 //! In a window each sender sends its share of the limit and one more request that it had saved up.
-//! With the senders of [`sender_count`] these are `3 + 5.5 * limit` requests in four seconds, of the
-//! `5 + 6 * limit` allowed; the difference is for changes of senders. If every host sent its share,
-//! each would save up one request, and a large fleet would send more than is allowed.
+//! With the senders of [`sender_count`] these are `3 + 5.5 * limit` requests in four seconds, of
+//! the `5 + 6 * limit` allowed; the difference is for changes of senders. If every host sent its
+//! share, each would save up one request, and a large fleet would send more than is allowed.
 
 use elmstream::time::{MILLI, SECOND, Time};
 use serde::{Deserialize, Serialize};
--- a/elmstreamd/src/configuration.rs
+++ b/elmstreamd/src/configuration.rs
@@ -272,8 +272,8 @@
 
 /// Handles a push from another host, forwards it, and waits for the replies to that.
 ///
-/// If the pushed revision directly follows the one in force, its edits are applied. If it is a later
-/// one, or its edits cannot be applied, the whole configuration is read from the platform or
+/// If the pushed revision directly follows the one in force, its edits are applied. If it is a
+/// later one, or its edits cannot be applied, the whole configuration is read from the platform or
 /// another host instead.
 pub async fn handle_push(daemon: &Rc<Daemon>, push: Push) -> Pushed {
     let (revision, configuration) = {
--- a/elmstreamd/tests/processes.rs
+++ b/elmstreamd/tests/processes.rs
@@ -232,8 +232,8 @@
         FreezeObservation { freeze_delay, before, after }
     }
 
-    /// Checks what must hold wherever the requests were queued: nothing runs after the host woke up,
-    /// no server gets more requests than it has slots, and no request runs twice.
+    /// Checks what must hold wherever the requests were queued: nothing runs after the host woke
+    /// up, no server gets more requests than it has slots, and no request runs twice.
     fn check(&self, service: &str) {
         let runs = |seen: &[RequestStats]| seen.iter().map(|s| s.runs).collect::<Vec<_>>();
         let (before, after) = (runs(&self.before), runs(&self.after));
