--- a/elmstream/src/steward.rs
+++ b/elmstream/src/steward.rs
@@ -321,7 +321,6 @@
 /// A host that has taken an epoch acts only on servers that both the previous and
 /// the present epoch grant to it, and never asks for renewals at the previous
 /// epoch again.
-///
 fn former_owners_released(row: &Row, view: &StewardView<'_>) -> bool {
     let former = row.former_owners();
     former.iter().all(|owner| view.epoch_taken_by.contains(*owner))
--- a/elmstream/src/token_bucket.rs
+++ b/elmstream/src/token_bucket.rs
@@ -74,7 +74,7 @@
         taken
     }
 
-    /// Microseconds until one unit may be available.
+    /// Microseconds until one unit may be available, for the retry time of a refusal.
     pub fn retry_after(&self, per_second: u64, part: u64) -> u64 {
         let cap = micro_units(per_second, part);
         let rate = cap - (cap / DEPTH_DIVISOR).max(MICRO_UNITS).min(cap);
--- a/elmstream/src/traffic_limits.rs
+++ b/elmstream/src/traffic_limits.rs
@@ -69,8 +69,8 @@
     /// returns the number taken.
     ///
     /// A host that has released its part of the limit passes all bytes: only the
-    /// remaining bodies of earlier requests are affected, and these would
-    /// otherwise be stuck forever.
+    /// remaining bodies of earlier requests are affected, which are few, and these
+    /// would otherwise be stuck forever.
     pub fn take_link_bytes(&mut self, now: Time, home: &str, bytes: u64) -> u64 {
         let regions = self.catalog.region(home).zip(self.region());
         let Some((from, here)) = regions.filter(|(from, here)| from != here) else {
--- a/elmstream/tests/bounds.rs
+++ b/elmstream/tests/bounds.rs
@@ -1,5 +1,5 @@
 //! Limits on table calls and messages. Each limit leaves about 10 percent above
-//! the normal number.
+//! the normal number. A change that needs a higher limit must say so.
 
 #[allow(dead_code)]
 mod support;
--- a/elmstream/tests/support/mod.rs
+++ b/elmstream/tests/support/mod.rs
@@ -586,7 +586,6 @@
     }
 
     /// Checks that no more requests shift in any second than the cap allows.
-    ///
     fn check_caps(&mut self) -> Result<(), String> {
         for (pair, times) in &mut self.shift_times {
             while times.front().is_some_and(|&t| self.now.since(t) >= SECOND) {
--- a/elmstream_bench/src/experiment.rs
+++ b/elmstream_bench/src/experiment.rs
@@ -191,7 +191,8 @@
 }
 
 /// Times each change from the call until the queried host knows that it is in force on all
-/// others. Their reports take up to a heartbeat interval.
+/// others. The time includes their reports, which take up to a heartbeat interval more than the
+/// change itself.
 async fn measure_changes(
     operator: &mut Operator,
     mut configuration: Configuration,
--- a/elmstream_bench/src/steering.rs
+++ b/elmstream_bench/src/steering.rs
@@ -247,7 +247,7 @@
     Ok(())
 }
 
-/// Requests a second of the first region that shift caps, headroom and the other regions'
+/// Requests a second of the first region that shift caps, headroom and the surviving regions'
 /// own load leave room for.
 fn allowed_shift(users: &UserFleet, service: usize) -> u32 {
     let c = &users.configuration;
--- a/elmstream_edge/tests/harm.rs
+++ b/elmstream_edge/tests/harm.rs
@@ -265,7 +265,7 @@
     });
 }
 
-/// The store loses the list entries of the seconds before the copy was made, and only
+/// A restored store lacks the list entries that were written after the copy was made, and only
 /// elmstream can write them again.
 #[test]
 fn refused_requests_are_listed_again_after_a_store_restore() {
--- a/elmstream_edge/tests/server_limit.rs
+++ b/elmstream_edge/tests/server_limit.rs
@@ -81,8 +81,9 @@
 /// less. The limit counts over all hosts, so hosts that the server has not answered must
 /// learn it, and it must be divided among hosts.
 ///
-/// Here 58 requests arrive if hosts ignore the limit, and 24 if each of the three hosts keeps
-/// to it only by itself; both are more than is allowed.
+/// Each host alone may send less than the limit while all together exceed it, so the test
+/// counts the arrivals at the server. Here 58 requests arrive if hosts ignore the limit, and
+/// 24 if each of the three hosts keeps to it only by itself; both are more than is allowed.
 #[test]
 fn server_limit_holds_over_all_hosts_together() {
     run(async || {
--- a/elmstream_soak/src/process.rs
+++ b/elmstream_soak/src/process.rs
@@ -1,4 +1,5 @@
-//! Entry hosts as child processes of a soak.
+//! Entry hosts as child processes of a soak. Only the soak that started a host signals or kills
+//! it.
 
 use std::{
     fs, io,
--- a/elmstream_soak/src/series.rs
+++ b/elmstream_soak/src/series.rs
@@ -1,5 +1,6 @@
 //! Faults that consist of many events: planned work on several hosts in a row, configuration
-//! changes, and outages of the store. The events of several series may interleave.
+//! changes, and outages of the store. Each has many events so that the events of several
+//! series interleave.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -88,7 +89,8 @@
     let fault =
         Fault::Restore(random.random_range(BACKUP_AGE_MS), random.random_range(REWRITE_DELAY_MS));
     events.push(Event { at_ms, duration_ms, fault });
-    // No configuration may come before the faults begin.
+    // Hosts have some time without faults at the beginning; no configuration may come before it
+    // ends.
     for at_ms in
         [(at_ms - 400).max(CALM_MARGIN_MS), at_ms + duration_ms + 200, at_ms + duration_ms + 1_200]
     {
--- a/elmstream_soak/tests/planned.rs
+++ b/elmstream_soak/tests/planned.rs
@@ -30,7 +30,8 @@
 
 /// Guards against requests that are lost when a host stops while it has little processor
 /// time. Such a host reads requests up to 0.3 s late; if its notice ends while they lie in
-/// its sockets and it closes these and its listener without reading, they get no answer.
+/// its sockets and it closes these without reading, or closes its listener with connections
+/// that it has not accepted, they get no answer.
 #[test]
 fn stop_with_little_processor_time_loses_no_request() {
     // Whether a host is at work when it is frozen depends on the machine, so there are many
@@ -59,8 +60,9 @@
     assert!(report.passed(), "{report}");
 }
 
-/// Guards against a reload signal ending a host that is just reading its settings. That
-/// happens if the signal's default action is in force between two waits for the signal.
+/// Guards against a second reload signal ending a host that is still reading its settings
+/// after the first, and aborting its requests. That happens if the signal's default action is
+/// in force between two waits for the signal.
 #[test]
 fn repeated_reload_signals_do_not_end_host() {
     let reload_burst = |n: usize| (1_500 + 100 * n as u64, Fault::ReloadBurst(n % 3));
--- a/elmstream_steer/src/quota.rs
+++ b/elmstream_steer/src/quota.rs
@@ -83,8 +83,8 @@
         /// Time after which the caller should retry, in milliseconds.
         retry_ms: u64,
     },
-    /// This host has just started and does not know the other hosts yet, so it cannot decide; the
-    /// caller should retry shortly.
+    /// This host has just started and does not know the other hosts yet, nor what they have
+    /// admitted, so it cannot decide; the caller should retry shortly.
     Unready,
 }
 
--- a/elmstream_steer/src/reader_rank.rs
+++ b/elmstream_steer/src/reader_rank.rs
@@ -87,8 +87,8 @@
     READER_RANKS
 }
 
-/// Whether a reader is in a failure domain that the readers before it do not cover, and for the
-/// last rank in a second region.
+/// Whether a reader is in a failure domain that the readers before it do not cover. For the last
+/// rank it must also be in another region if those before it are all in one.
 fn adds_location(ranked_before: &[Option<RankedReader<'_>>], reader: &RankedReader<'_>) -> bool {
     let locations = || ranked_before.iter().flatten().map(|reader| reader.location);
     let is_last = ranked_before.len() as u64 + 1 == READER_RANKS;
--- a/elmstream_steer/src/server.rs
+++ b/elmstream_steer/src/server.rs
@@ -369,8 +369,8 @@
 
     /// Records that the server's process ended, observed by this host or reported by another.
     ///
-    /// The failure rate stays: a crash says nothing about the speed of the server, which is gone or
-    /// about to be replaced by another start.
+    /// The failure rate and the slowness stay as they are: a crash says nothing about how the
+    /// server answers requests, as it is gone or about to be replaced by another start.
     pub fn record_crash(&mut self, now: Time) {
         self.reconnect_at = now + RECONNECT_PAUSE_MAX;
     }
--- a/elmstream_steer/src/steer.rs
+++ b/elmstream_steer/src/steer.rs
@@ -319,7 +319,8 @@
         &self.workspaces
     }
 
-    /// Finds the workspace of a request; `None` if the route is open and no key was presented.
+    /// Finds the workspace of a request; `None` if the route is open and the request has no key
+    /// that identifies a workspace, or if there are no workspaces.
     ///
     /// # Errors
     ///
--- a/elmstream_steer/src/store_schedule.rs
+++ b/elmstream_steer/src/store_schedule.rs
@@ -49,7 +49,7 @@
     pub live_hosts: u64,
     /// When this host learned of an update that it still lacks.
     pub behind_since: Option<Time>,
-    /// Upper bound on the age of a configuration, in milliseconds.
+    /// Time within which a configuration must be in force on all hosts, in milliseconds.
     pub bound_ms: u64,
 }
 
--- a/elmstream_steer/src/stored_row.rs
+++ b/elmstream_steer/src/stored_row.rs
@@ -180,7 +180,7 @@
 }
 
 /// Whether two contents have the same effect. A cold server always counts as changed, since its
-/// cold time restarts.
+/// entry gives the remaining cold time as of when it was written.
 fn is_unchanged(current: Option<&RowContent>, new: Option<&RowContent>) -> bool {
     match new {
         Some(RowContent::Server(server)) if server.cold_ms > 0 => false,
--- a/elmstream_steer/src/workspaces.rs
+++ b/elmstream_steer/src/workspaces.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Returns the workspace of a request; `None` if the route is open and the key belongs to no
-    /// workspace, or if there are no workspaces.
+    /// Finds the workspace of a request; `None` if the route is open and the request has no key
+    /// that identifies a workspace, or if there are no workspaces.
     ///
     /// # Errors
     ///
--- a/elmstream_steer/tests/choose.rs
+++ b/elmstream_steer/tests/choose.rs
@@ -157,7 +157,7 @@
     exchange_heartbeats(ms(20), &mut fleet, |from, to| from == 0 && to == 1);
     assert!(is_warm(&fleet, 1, 30));
     assert!(!is_warm(&fleet, 2, 30));
-    // Some of the heartbeats with the update may be lost.
+    // All but one of the heartbeats with the update may be lost.
     let mut fleet: Vec<Steer> = (0..2).map(|n| ready(n, ms(0), servers(1))).collect();
     answer(&mut fleet[0], 12, second, key);
     for (count, at) in (20..80).step_by(20).enumerate() {
--- a/elmstream_steer/tests/limits.rs
+++ b/elmstream_steer/tests/limits.rs
@@ -144,7 +144,8 @@
                 observed.admitted_fraction(0, SETTLED_MS),
                 observed.admitted_fraction(SETTLED_MS, CUT_MS),
             );
-            // A single throttled request among the few of a small workspace is allowed.
+            // In a small workspace a single throttled request can already be more than 1 % of
+            // all, so one is allowed.
             let single = observed.throttled(SETTLED_MS, CUT_MS) <= 1;
             if at_start < 0.9 || (usual < 0.99 && !single) {
                 over.push(format!("{at_start}, {usual} of the usual, {hosts} hosts, {limit}/s"));
--- a/elmstream_steer/tests/server_limits.rs
+++ b/elmstream_steer/tests/server_limits.rs
@@ -58,7 +58,8 @@
 #[derive(Clone, Copy, Debug)]
 enum CallerSpread {
     Even,
-    /// Eight times as many callers at every fourth host.
+    /// Eight times as many callers at the hosts of one of the four failure domains, which is every
+    /// fourth host.
     Uneven,
     /// All callers at one host.
     One,
--- a/elmstreamd/tests/faults.rs
+++ b/elmstreamd/tests/faults.rs
@@ -170,7 +170,8 @@
         let answer = running.send_to(0, upload.unwrap()).await;
         assert_eq!(answer.header("elmstream-outcome"), Some("ran"), "{answer:?}");
         // Only one of three services has a server in the south, and one host owns it, so the host
-        // may use the whole limit. The bucket's depth is sent at once.
+        // has the whole limit: the bucket's depth is sent at once, the rest at the limit less that
+        // depth.
         assert!(started_at.elapsed() > Duration::from_millis(900), "{:?}", started_at.elapsed());
         assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
     });
